--- a/engine/src/caller/serve.rs
+++ b/engine/src/caller/serve.rs
@@ -4,7 +4,7 @@
 
 use bramleypier_util::{
     body::Body,
-    server::{self, Bounds, Control},
+    server::{self, ConnectionLimits, Control},
 };
 use compio::net::TcpListener;
 use hyper::{Response, StatusCode, header};
@@ -63,8 +63,8 @@
     server::serve_with(listener, control, clock, bounds, handler).await;
 }
 
-fn bounds(limits: CallerLimits) -> Bounds {
-    Bounds {
+fn bounds(limits: CallerLimits) -> ConnectionLimits {
+    ConnectionLimits {
         head_bytes: limits.head_bytes,
         head_time: limits.head_time,
         idle_time: limits.idle_time,
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -156,7 +156,7 @@
             ending
         }
         Err(error) => {
-            let closed = context.client.closed(order.owner.address);
+            let closed = context.client.last_closed(order.owner.address);
             let ending = classify(&error, closed, context.clock.now());
             context.report.line(&format!(
                 "event={name}-failed service={service} target={} from={} to={} fence={} ending={ending:?} {error}",
--- a/engine/src/owner/manager/news.rs
+++ b/engine/src/owner/manager/news.rs
@@ -121,7 +121,7 @@
 
     /// Tells keepers which targets have closed connections since the last look.
     pub(super) fn look_for_closed(&mut self, now: Duration) {
-        let closed = self.context.client.closed_since(self.looked);
+        let closed = self.context.client.peers_closed_since(self.looked);
         self.looked = now;
         let services: Vec<_> = self.kept.keys().cloned().collect();
         for address in closed {
--- a/program/src/main.rs
+++ b/program/src/main.rs
@@ -15,7 +15,7 @@
     logging, settings,
     vm::{self, Ending},
 };
-use bramleypier_platform::settings::is_meant;
+use bramleypier_platform::settings::is_for_platform;
 use compio::runtime::Runtime;
 
 fn main() -> ExitCode {
@@ -36,11 +36,11 @@
         Command::Check {
             settings: Some(settings),
             documents,
-        } if documents.is_empty() && is_meant(&settings) => operate::check(&settings),
-        Command::Status { settings, json } if is_meant(&settings) => {
+        } if documents.is_empty() && is_for_platform(&settings) => operate::check(&settings),
+        Command::Status { settings, json } if is_for_platform(&settings) => {
             operate::status(&settings, json)
         }
-        Command::Timeline(timeline) if is_meant(&timeline.settings) => {
+        Command::Timeline(timeline) if is_for_platform(&timeline.settings) => {
             operate::timeline(&timeline.settings, &timeline)
         }
         command => cli::execute(command),
--- a/program/tests/calls.rs
+++ b/program/tests/calls.rs
@@ -19,16 +19,16 @@
 const MANAGER_RENEWALS: usize = 5;
 
 fn watches(store: &Store) -> usize {
-    store.asked(|it| it.starts_with("/-/kv-watch"))
+    store.count_calls(|it| it.starts_with("/-/kv-watch"))
 }
 
 /// First pages only: how many more there are depends on how much is stored.
 fn listings(store: &Store) -> usize {
-    store.asked(|it| it.starts_with("/-/kv-range") && !it.contains("after="))
+    store.count_calls(|it| it.starts_with("/-/kv-range") && !it.contains("after="))
 }
 
 fn renewals(store: &Store) -> usize {
-    store.asked(|it| it.starts_with("/-/kv-keep"))
+    store.count_calls(|it| it.starts_with("/-/kv-keep"))
 }
 
 async fn pause(millis: u64) {
@@ -37,7 +37,7 @@
 
 async fn until_logged(program: &Program, part: &str) {
     let end = Instant::now() + PATIENCE;
-    while program.log(part).is_none() {
+    while program.find_log(part).is_none() {
         assert!(Instant::now() < end, "nothing logged of {part}");
         pause(20).await;
     }
@@ -144,7 +144,7 @@
         until_logged(&stage.program, "event=manager-elected").await;
         pause(1000).await;
         let old = |it: &str| it.starts_with("/-/kv-range") && it.contains("allow-stale");
-        let before = stage.store.asked(old);
+        let before = stage.store.count_calls(old);
         let (listed, history) = (listings(&stage.store), "event=history-lost");
         // A change between two watches is dropped with the history.
         stage.store.put("op/config", &config(2, "/other/"));
@@ -152,7 +152,7 @@
         stage.store.compact();
         until_logged(&stage.program, history).await;
         until_logged(&stage.program, "event=config-in-force version=3").await;
-        assert_eq!(stage.store.asked(old), before);
+        assert_eq!(stage.store.count_calls(old), before);
         assert!(listings(&stage.store) > listed);
     });
 }
--- a/program/tests/evacuation.rs
+++ b/program/tests/evacuation.rs
@@ -52,7 +52,7 @@
         assert!(
             stage
                 .program
-                .log("event=domain-evacuated domain=z2")
+                .find_log("event=domain-evacuated domain=z2")
                 .is_some()
         );
         stage.store.remove(EVACUATED);
--- a/program/tests/limits.rs
+++ b/program/tests/limits.rs
@@ -58,7 +58,7 @@
         Clock::real().sleep(Duration::from_millis(200)).await;
         assert_eq!(stage.ran("long"), 1);
         assert_eq!(stage.ran("too-long"), 0, "a body cut off ran as whole");
-        let line = stage.program.log("event=request id=too-long ");
+        let line = stage.program.find_log("event=request id=too-long ");
         let line = line.expect("no line");
         assert!(line.contains("outcome=too-large"), "{line}");
     });
--- a/program/tests/manager.rs
+++ b/program/tests/manager.rs
@@ -48,7 +48,7 @@
         }
         stage.store.set_fault(None);
         let end = Instant::now() + PATIENCE;
-        while stage.program.log("event=service-kept").is_none() {
+        while stage.program.find_log("event=service-kept").is_none() {
             assert!(Instant::now() < end, "the service is not kept");
             Clock::real().sleep(Duration::from_millis(50)).await;
         }
@@ -56,7 +56,7 @@
         assert!(
             stage
                 .program
-                .log("event=takeover service=keyed term=2")
+                .find_log("event=takeover service=keyed term=2")
                 .is_none()
         );
         assert_eq!(holders(&stage), 1);
@@ -70,13 +70,13 @@
         // Until the first grants have been renewed, so that each connection is in use.
         Clock::real().sleep(Duration::from_millis(1500)).await;
         let owner = stage.servers.iter().find(|server| server.holds(KEY));
-        owner.unwrap().end();
+        owner.unwrap().stop();
         let took = until_served(&stage, "after").await;
         assert!(took < ENDED, "served again after {took:?}");
         assert_eq!(holders(&stage), 1);
         // Lines are written ten times a second, so the keys can be served before theirs is out.
         let end = Instant::now() + PATIENCE;
-        while stage.program.log("event=target-closed").is_none() {
+        while stage.program.find_log("event=target-closed").is_none() {
             assert!(Instant::now() < end, "nothing tells of the end");
             Clock::real().sleep(Duration::from_millis(20)).await;
         }
@@ -112,13 +112,13 @@
         stage.until_ready_at(&second).await;
         until_served(&stage, "before").await;
         let first = std::mem::replace(&mut stage.program, second);
-        assert!(first.log("event=manager-elected").is_some());
+        assert!(first.find_log("event=manager-elected").is_some());
         drop(first);
         until_served(&stage, "after").await;
         let end = Instant::now() + PATIENCE;
         while stage
             .program
-            .log("event=takeover service=keyed term=2")
+            .find_log("event=takeover service=keyed term=2")
             .is_none()
         {
             assert!(Instant::now() < end, "nobody takes over");
@@ -142,7 +142,7 @@
             stage.program.signal(Signal::KILL).unwrap();
             let killed = Instant::now();
             stage.program = start(&stage);
-            while stage.program.log("event=manager-elected").is_none() {
+            while stage.program.find_log("event=manager-elected").is_none() {
                 assert!(killed.elapsed() < PATIENCE, "nobody manages");
                 Clock::real().sleep(Duration::from_millis(10)).await;
             }
--- a/program/tests/named_rates.rs
+++ b/program/tests/named_rates.rs
@@ -39,7 +39,7 @@
 /// Goes on with the load until both VMs have logged something.
 async fn load_until(stage: &Stage, other: &Program, what: &str) {
     let end = Instant::now() + PATIENCE;
-    while stage.program.log(what).is_none() || other.log(what).is_none() {
+    while stage.program.find_log(what).is_none() || other.find_log(what).is_none() {
         assert!(Instant::now() < end, "not logged: {what}");
         load(stage, other, what, 3).await;
     }
@@ -59,7 +59,7 @@
         load(&stage, &other, "before", 10).await;
         let owners = &stage.servers[2..];
         for it in owners {
-            it.name_rate(Some(NAMED));
+            it.set_rate_limit(Some(NAMED));
         }
         load_until(&stage, &other, "event=rate-named").await;
         load(&stage, &other, "grace", GRACE).await;
@@ -71,7 +71,7 @@
         }
         assert!(answered > 0, "it takes some");
         for it in owners {
-            it.name_rate(None);
+            it.set_rate_limit(None);
         }
         load_until(&stage, &other, "event=rate-lifted").await;
         let answered = load(&stage, &other, "lifted", SPAN).await;
@@ -88,7 +88,7 @@
         load(&stage, &other, "before", 20).await;
         let owner = stage.servers.iter().find(|it| it.holds(KEY));
         let owner = owner.expect("the key has an owner");
-        owner.name_rate(Some("1"));
+        owner.set_rate_limit(Some("1"));
         let end = Instant::now() + PATIENCE;
         while owner.holds(KEY) {
             assert!(Instant::now() < end, "the key stays");
--- a/program/tests/serve.rs
+++ b/program/tests/serve.rs
@@ -53,7 +53,7 @@
         clock.sleep(Duration::from_millis(300)).await;
         let line = stage
             .program
-            .log("event=request id=id-1 ")
+            .find_log("event=request id=id-1 ")
             .expect("no line");
         for part in [
             "route=look",
@@ -63,7 +63,7 @@
         ] {
             assert!(line.contains(part), "{line}");
         }
-        assert!(stage.program.log("event=target-unreadable").is_some());
+        assert!(stage.program.find_log("event=target-unreadable").is_some());
         let text = stage.metrics().await;
         assert!(
             text.contains("bramleypier.requests{outcome:answered,route:look} 1"),
@@ -78,7 +78,7 @@
         let stage = Stage::start().await;
         let clock = Clock::real();
         let end = Instant::now() + PATIENCE;
-        while stage.program.log("event=started").is_none() && Instant::now() < end {
+        while stage.program.find_log("event=started").is_none() && Instant::now() < end {
             clock.sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(stage.ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
@@ -98,7 +98,7 @@
     Runtime::new().unwrap().block_on(async {
         let stage = Stage::start().await;
         let begun = Instant::now();
-        while stage.program.log("event=started").is_none() {
+        while stage.program.find_log("event=started").is_none() {
             assert!(begun.elapsed() < PATIENCE, "it doesn't start");
             Clock::real().sleep(Duration::from_millis(2)).await;
         }
@@ -124,7 +124,7 @@
         assert_eq!(known, StatusCode::NOT_FOUND);
         stage.store.set_fault(Some(store::Fault::Silent));
         let end = Instant::now() + PATIENCE;
-        while stage.program.log("event=store-lost ").is_none() {
+        while stage.program.find_log("event=store-lost ").is_none() {
             assert!(Instant::now() < end, "the store's silence is not noticed");
             clock.sleep(Duration::from_millis(20)).await;
         }
@@ -167,7 +167,7 @@
         // fault, look-ups are answered, an order's status, how often the order may have run
         (Fault::ForeignId, StatusCode::BAD_GATEWAY),
         (Fault::Unsigned, StatusCode::BAD_GATEWAY),
-        (Fault::Cut, StatusCode::BAD_GATEWAY),
+        (Fault::Truncate, StatusCode::BAD_GATEWAY),
         (Fault::Refuse, StatusCode::SERVICE_UNAVAILABLE),
         (Fault::Fail, StatusCode::INTERNAL_SERVER_ERROR),
     ];
@@ -257,8 +257,8 @@
             stage.ask("GET", "/key/x", "after").await.0,
             StatusCode::NOT_FOUND
         );
-        assert!(stage.program.log("event=pulse-lost").is_some());
-        assert!(stage.program.log("event=pulse-back").is_some());
+        assert!(stage.program.find_log("event=pulse-lost").is_some());
+        assert!(stage.program.find_log("event=pulse-back").is_some());
     });
 }
 
@@ -268,12 +268,12 @@
         stage.store.set_fault(Some(store::Fault::Silent));
         // Longer than the manager's lease, and than the first VM takes to notice.
         Clock::real().sleep(Duration::from_millis(3500)).await;
-        assert!(stage.program.log("event=pulse-lost").is_some());
+        assert!(stage.program.find_log("event=pulse-lost").is_some());
         let second = stage::start_vm("vm-2", stage.store_address, Some(&stage.program));
         stage.until_ready_at(&second).await;
         Clock::real().sleep(Duration::from_millis(300)).await;
-        assert!(second.log("event=told-everything").is_some());
-        assert!(second.log("event=config-in-force version=1").is_some());
+        assert!(second.find_log("event=told-everything").is_some());
+        assert!(second.find_log("event=config-in-force version=1").is_some());
     });
 }
 
@@ -300,7 +300,7 @@
             Clock::real().sleep(Duration::from_millis(50)).await;
         };
         assert!(ended.success());
-        assert!(stage.program.log("event=drained cut=0").is_some());
+        assert!(stage.program.find_log("event=drained cut=0").is_some());
     });
 }
 
--- a/program/tests/stage/mod.rs
+++ b/program/tests/stage/mod.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use bramleypier_platform_standin::{server::Server, store::Store, vm::Listens};
+use bramleypier_platform_standin::{server::Server, store::Store, vm::ListenAddresses};
 pub use bramleypier_platform_standin::{store::config, vm::Program};
 use bramleypier_util::{
     body::{self, Body},
@@ -25,13 +25,28 @@
 pub fn start_vm(name: &str, store: SocketAddr, other: Option<&Program>) -> Program {
     let seeds = other.map_or_else(String::new, |it| it.peers.to_string());
     let binary = Path::new(env!("CARGO_BIN_EXE_bramleypier"));
-    Program::start(binary, name, store, &seeds, Listens::any()).unwrap()
+    Program::start(
+        binary,
+        name,
+        store,
+        &seeds,
+        ListenAddresses::on_free_ports(),
+    )
+    .unwrap()
 }
 
 /// Starts a VM that knows of no other, with more lines of settings of the platform.
 pub fn start_vm_with(name: &str, store: SocketAddr, more: &str) -> Program {
     let binary = Path::new(env!("CARGO_BIN_EXE_bramleypier"));
-    Program::start_with(binary, name, store, "", Listens::any(), more).unwrap()
+    Program::start_with_settings(
+        binary,
+        name,
+        store,
+        "",
+        ListenAddresses::on_free_ports(),
+        more,
+    )
+    .unwrap()
 }
 
 pub struct Stage {
--- a/tools/soak/src/fleet.rs
+++ b/tools/soak/src/fleet.rs
@@ -10,7 +10,7 @@
 use bramleypier_platform_standin::{
     server::Server,
     store::Store,
-    vm::{Listens, Program},
+    vm::{ListenAddresses, Program},
 };
 use quick_error::quick_error;
 use serde_json::{Value, json};
@@ -54,7 +54,7 @@
     /// The path to the store.
     pub store: Proxy,
     /// Where it listens.
-    pub listens: Listens,
+    pub listens: ListenAddresses,
     /// The process, unless it is being stopped or started.
     pub program: Option<Program>,
     /// Logs of earlier starts.
@@ -192,7 +192,7 @@
             world.vms.push(Vm {
                 number,
                 store: Proxy::start(address).map_err(Error::Path)?,
-                listens: Listens::any(),
+                listens: ListenAddresses::on_free_ports(),
                 program: None,
                 logs: Vec::new(),
             });
--- a/tools/soak/src/run/faults.rs
+++ b/tools/soak/src/run/faults.rs
@@ -60,7 +60,7 @@
             }
             Fault::Lapse => {
                 self.disturb(None, now, now);
-                self.world.borrow().store.lapse();
+                self.world.borrow().store.expire_leases();
             }
             Fault::Forget => {
                 self.disturb(None, now, now);
@@ -131,7 +131,7 @@
         let gone = self.swap(target, &mut place, drain);
         self.clock.sleep(drain.max(RESTART)).await;
         let world = self.world.borrow();
-        world.gone[gone].end();
+        world.gone[gone].stop();
         world.store.remove(&place.key());
     }
 
@@ -142,7 +142,7 @@
         world.store.put(&place.key(), &place.entry("ready"));
         std::mem::swap(&mut world.places[target], place);
         if drain.is_zero() {
-            place.server.end();
+            place.server.stop();
         } else {
             world.store.put(&place.key(), &place.entry("draining"));
         }
--- a/tools/soak/src/run/spared.rs
+++ b/tools/soak/src/run/spared.rs
@@ -71,7 +71,7 @@
                 within && vm.is_some_and(|vm| self.is_calm(*vm, spared.from, *at))
             };
             let begun = |server: &Server| -> Vec<Duration> {
-                let all = server.begun().into_iter().filter(counts);
+                let all = server.request_starts().into_iter().filter(counts);
                 all.map(|(_, at)| at).collect()
             };
             if let Some(server) = &spared.target {
--- a/util/src/client.rs
+++ b/util/src/client.rs
@@ -134,12 +134,12 @@
     ///
     /// An orderly end is sent by the system of the peer's VM when its process ends, and by no
     /// path between. A reset, an announced end and an idle timeout don't count.
-    pub fn closed(&self, peer: SocketAddr) -> Option<Duration> {
+    pub fn last_closed(&self, peer: SocketAddr) -> Option<Duration> {
         self.closed.borrow().get(&peer).copied()
     }
 
-    /// Returns the peers that closed a connection in use after `since`; see [`Client::closed`].
-    pub fn closed_since(&self, since: Duration) -> Vec<SocketAddr> {
+    /// Returns the peers that closed a connection in use after `since`; see [`Client::last_closed`].
+    pub fn peers_closed_since(&self, since: Duration) -> Vec<SocketAddr> {
         let closed = self.closed.borrow();
         let later = closed.iter().filter(|(_, at)| **at > since);
         later.map(|(peer, _)| *peer).collect()
--- a/util/src/server.rs
+++ b/util/src/server.rs
@@ -19,9 +19,9 @@
 use crate::{
     body::Body,
     clock::Clock,
-    pace::Pace,
     socket,
     stream::{Stream, Watch},
+    timer::ConnectionTimer,
 };
 
 /// How long a caller may take over the head of a request, where nothing else is set.
@@ -37,7 +37,7 @@
 
 /// What a connection's peer may take of time and room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// The most bytes of a request's head.
     pub head_bytes: usize,
     /// How long a head may take from its first byte.
@@ -46,7 +46,7 @@
     pub idle_time: Duration,
 }
 
-impl Default for Bounds {
+impl Default for ConnectionLimits {
     fn default() -> Self {
         Self {
             head_bytes: HEAD_BYTES,
@@ -110,7 +110,14 @@
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    serve_with(listener, control, Clock::real(), Bounds::default, handler).await;
+    serve_with(
+        listener,
+        control,
+        Clock::real(),
+        ConnectionLimits::default,
+        handler,
+    )
+    .await;
 }
 
 /// Accepts connections as [`serve`] does; `bounds` gives each new one its limits.
@@ -121,7 +128,7 @@
     bounds: B,
     handler: H,
 ) where
-    B: Fn() -> Bounds,
+    B: Fn() -> ConnectionLimits,
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
@@ -185,13 +192,13 @@
 #[derive(Clone, Debug)]
 struct Paced {
     clock: Clock,
-    bounds: Bounds,
-    pace: Rc<RefCell<Pace>>,
+    bounds: ConnectionLimits,
+    pace: Rc<RefCell<ConnectionTimer>>,
 }
 
 impl Paced {
-    fn new(clock: Clock, bounds: Bounds) -> Self {
-        let pace = Pace::new(bounds, clock.now());
+    fn new(clock: Clock, bounds: ConnectionLimits) -> Self {
+        let pace = ConnectionTimer::new(bounds, clock.now());
         Self {
             clock,
             bounds,
@@ -208,7 +215,7 @@
     }
 
     /// Takes note of bytes that came or left; between requests only these tell anything.
-    fn on_bytes(&self, note: fn(&mut Pace, Duration)) {
+    fn on_bytes(&self, note: fn(&mut ConnectionTimer, Duration)) {
         let mut pace = self.pace.borrow_mut();
         if pace.is_idle() {
             note(&mut pace, self.clock.now());
@@ -246,11 +253,11 @@
 impl Watch for Paced {
     fn on_read(&mut self, bytes: usize) {
         if bytes > 0 {
-            self.on_bytes(Pace::on_read);
+            self.on_bytes(ConnectionTimer::on_read);
         }
     }
 
     fn on_write(&mut self, _bytes: usize) {
-        self.on_bytes(Pace::on_write);
+        self.on_bytes(ConnectionTimer::on_write);
     }
 }
--- a/util/src/pace.rs
+++ b/util/src/timer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::server::Bounds;
+use crate::server::ConnectionLimits;
 
 /// What a connection's peer is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,15 +22,15 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_util::{pace::Pace, server::Bounds};
+/// use bramleypier_util::{timer::ConnectionTimer, server::ConnectionLimits};
 ///
 /// let ms = Duration::from_millis;
-/// let bounds = Bounds {
+/// let bounds = ConnectionLimits {
 ///     head_time: ms(300),
 ///     idle_time: ms(900),
-///     ..Bounds::default()
+///     ..ConnectionLimits::default()
 /// };
-/// let mut pace = Pace::new(bounds, ms(0));
+/// let mut pace = ConnectionTimer::new(bounds, ms(0));
 /// assert_eq!(pace.due(), Some(ms(900)));
 /// pace.on_read(ms(500));
 /// pace.on_read(ms(700));
@@ -41,19 +41,19 @@
 /// assert_eq!(pace.due(), Some(ms(2900)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pace {
-    bounds: Bounds,
+pub struct ConnectionTimer {
+    bounds: ConnectionLimits,
     stage: Stage,
     since: Duration,
 }
 
-impl Pace {
+impl ConnectionTimer {
     /// Creates the pace of a connection that opens now.
     ///
     /// # Example
     ///
-    /// See [`Pace`].
-    pub fn new(bounds: Bounds, now: Duration) -> Self {
+    /// See [`ConnectionTimer`].
+    pub fn new(bounds: ConnectionLimits, now: Duration) -> Self {
         Self {
             bounds,
             stage: Stage::Idle,
@@ -65,7 +65,7 @@
     ///
     /// # Example
     ///
-    /// See [`Pace`].
+    /// See [`ConnectionTimer`].
     pub fn on_read(&mut self, now: Duration) {
         if self.stage == Stage::Idle {
             (self.stage, self.since) = (Stage::Head, now);
@@ -76,7 +76,7 @@
     ///
     /// # Example
     ///
-    /// See [`Pace`].
+    /// See [`ConnectionTimer`].
     pub fn on_request(&mut self) {
         self.stage = Stage::Busy;
     }
@@ -85,7 +85,7 @@
     ///
     /// # Example
     ///
-    /// See [`Pace`].
+    /// See [`ConnectionTimer`].
     pub fn on_answer(&mut self, now: Duration) {
         (self.stage, self.since) = (Stage::Idle, now);
     }
@@ -94,7 +94,7 @@
     ///
     /// # Example
     ///
-    /// See [`Pace`].
+    /// See [`ConnectionTimer`].
     pub fn on_write(&mut self, now: Duration) {
         if self.stage == Stage::Idle {
             self.since = now;
@@ -108,9 +108,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_util::{pace::Pace, server::Bounds};
+    /// use bramleypier_util::{timer::ConnectionTimer, server::ConnectionLimits};
     ///
-    /// assert!(Pace::new(Bounds::default(), Duration::ZERO).is_idle());
+    /// assert!(ConnectionTimer::new(ConnectionLimits::default(), Duration::ZERO).is_idle());
     /// ```
     pub fn is_idle(&self) -> bool {
         self.stage == Stage::Idle
@@ -120,7 +120,7 @@
     ///
     /// # Example
     ///
-    /// See [`Pace`].
+    /// See [`ConnectionTimer`].
     pub fn due(&self) -> Option<Duration> {
         match self.stage {
             Stage::Idle => Some(self.since + self.bounds.idle_time),
--- a/util/tests/client.rs
+++ b/util/tests/client.rs
@@ -76,10 +76,10 @@
     clock.sleep(idle).await;
     go.send(()).unwrap();
     let last = clock.now() + NOTICED;
-    while client.closed(address).is_none() && clock.now() < last {
+    while client.last_closed(address).is_none() && clock.now() < last {
         clock.sleep(LOOK).await;
     }
-    let closed = client.closed(address).is_some();
+    let closed = client.last_closed(address).is_some();
     let refused = client
         .send(address, request(), Duration::from_millis(200))
         .await;
--- a/util/tests/server.rs
+++ b/util/tests/server.rs
@@ -10,7 +10,7 @@
 use bramleypier_util::{
     body::Body,
     clock::Clock,
-    server::{self, Bounds, Control},
+    server::{self, ConnectionLimits, Control},
 };
 use compio::{net::TcpListener, runtime::Runtime};
 use hyper::{Request, Response, body::Incoming};
@@ -29,7 +29,7 @@
     Runtime::new().unwrap().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let bounds = || Bounds {
+        let bounds = || ConnectionLimits {
             head_bytes: 8192,
             head_time: HEAD,
             idle_time: IDLE,
