--- a/engine/src/caller/attempt.rs
+++ b/engine/src/caller/attempt.rs
@@ -13,7 +13,7 @@
 use super::body;
 use crate::{
     place::{desk::Ended, task::Permit},
-    target::{Refusal, Targets},
+    target::{Refusal, TargetProtocol},
 };
 
 /// The largest answer that is read whole before its head goes on, in bytes.
@@ -58,7 +58,7 @@
     /// Connections to targets.
     pub client: Client,
     /// How targets are spoken to.
-    pub targets: Rc<dyn Targets>,
+    pub targets: Rc<dyn TargetProtocol>,
     /// The clock.
     pub clock: Clock,
 }
@@ -77,7 +77,7 @@
         *request.uri_mut() = work.uri.clone();
         *request.headers_mut() = work.headers.clone();
         self.targets
-            .prepare(request.headers_mut(), &permit.target.id, left);
+            .set_headers(request.headers_mut(), &permit.target.id, left);
         let started = self.clock.now();
         let address = permit.target.address;
         match self.client.send(address, request, left).await {
@@ -113,7 +113,7 @@
     ) -> Tried {
         let (mut head, rest) = response.into_parts();
         let reply = self.targets.read(head.status, &head.headers);
-        let foreign = reply.request.as_ref().is_some_and(|id| *id != work.id);
+        let foreign = reply.request_id.as_ref().is_some_and(|id| *id != work.id);
         if foreign || reply.refusal.is_none() && !reply.signed {
             // Dropping the body closes the connection, so that nothing of it is used again.
             drop(rest);
@@ -125,7 +125,7 @@
             };
             return Tried::Lost(format!("status={} cause={what}", head.status.as_u16()));
         }
-        if reply.refusal != Some(Refusal::Unowned) {
+        if reply.refusal != Some(Refusal::NotOwner) {
             permit.note_rate(reply.rate);
         }
         let passed = self.clock.now().saturating_sub(started);
@@ -145,7 +145,7 @@
         if let Some(refusal) = reply.refusal {
             let ended = match refusal {
                 Refusal::Busy => Ended::Refused,
-                Refusal::Unowned => Ended::Unowned,
+                Refusal::NotOwner => Ended::Unowned,
             };
             permit.finish(ended, reply.load);
             return Tried::Refused(refusal, head.status);
--- a/engine/src/caller/tries.rs
+++ b/engine/src/caller/attempts.rs
@@ -7,10 +7,10 @@
 
 use super::{
     attempt::{LEAST_TIME, Tried, Work},
+    failure::Failure,
     forward::{Context, Job},
-    outcome::{COME_BACK, Own, Trace},
+    local_response::{COME_BACK, Own, Trace},
     payload::Payload,
-    words::Word,
 };
 use crate::{
     catalogue::{Kind, TargetId},
@@ -53,7 +53,7 @@
     let mut history = History::default();
     // What is refused here counts too: a key is as busy as its callers ask for it, also while its
     // owner can answer few of them.
-    if let Some(point) = job.asked.point.filter(|_| job.keyed) {
+    if let Some(point) = job.asked.key.filter(|_| job.keyed) {
         context.tally.count(&job.service, point);
     }
     let result = loop {
@@ -122,7 +122,7 @@
     let ask = Ask {
         ticket: 0,
         service: job.service.clone(),
-        point: job.asked.point.filter(|_| job.keyed),
+        point: job.asked.key.filter(|_| job.keyed),
         priority: job.route.priority,
         came: job.came,
         goal: job.goal,
@@ -171,7 +171,7 @@
                 .count("repeats", &[("service", &job.service)]);
         }
     }
-    if matches!(tried, Tried::Refused(Refusal::Unowned, _)) {
+    if matches!(tried, Tried::Refused(Refusal::NotOwner, _)) {
         let reason = misdirected(context, job, fence);
         context.report.count(
             "misdirected",
@@ -197,7 +197,7 @@
 
 /// Tells why a request reached a target that refused it as not the one.
 fn misdirected(context: &Context, job: &Job, fence: Fence) -> &'static str {
-    let Some(point) = job.asked.point.filter(|_| job.keyed) else {
+    let Some(point) = job.asked.key.filter(|_| job.keyed) else {
         return "another-target";
     };
     let fleet = context.beliefs.get();
@@ -234,7 +234,7 @@
             history.failure = Some(response);
             Step::Again
         }
-        Tried::Refused(Refusal::Unowned, status) => {
+        Tried::Refused(Refusal::NotOwner, status) => {
             trace
                 .notes
                 .push(format!("not its owner, status {}", status.as_u16()));
@@ -263,17 +263,17 @@
             trace.notes.push(cause.clone());
             history.reached.push(target);
             if payload.is_too_large() {
-                return Step::End(Err(Own::new(Word::TooLarge, cause)));
+                return Step::End(Err(Own::new(Failure::TooLarge, cause)));
             }
-            history.doubt = Some(Own::new(Word::Lost, cause));
+            history.doubt = Some(Own::new(Failure::Lost, cause));
             if !may_repeat {
-                return history.give_up(Own::new(Word::Lost, "lost"));
+                return history.give_up(Own::new(Failure::Lost, "lost"));
             }
             Step::Again
         }
         Tried::TimedOut => {
-            history.doubt = Some(Own::new(Word::TimedOut, "no answer in time"));
-            return history.give_up(Own::new(Word::TimedOut, "no answer in time"));
+            history.doubt = Some(Own::new(Failure::TimedOut, "no answer in time"));
+            return history.give_up(Own::new(Failure::TimedOut, "no answer in time"));
         }
     };
     if history.reached.len() >= attempts || !payload.is_left() {
--- a/engine/src/caller/words.rs
+++ b/engine/src/caller/failure.rs
@@ -2,7 +2,7 @@
 
 /// What a caller is told when no target's answer is passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Word {
+pub enum Failure {
     /// No route leads there.
     NoRoute,
     /// The request can't be understood.
@@ -19,15 +19,15 @@
     Lost,
 }
 
-impl Word {
+impl Failure {
     /// Returns the name in logs.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::caller::words::Word;
+    /// use bramleypier_engine::caller::failure::Failure;
     ///
-    /// assert_eq!(Word::NotRun.name(), "not-run");
+    /// assert_eq!(Failure::NotRun.name(), "not-run");
     /// ```
     pub fn name(self) -> &'static str {
         match self {
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -7,14 +7,14 @@
 use hyper::{Request, Response, body::Incoming, header};
 
 use super::{
-    Asked, Callers,
+    CallerProtocol, RequestInfo,
     attempt::Sender,
-    early::Early,
-    outcome::{COME_BACK, Own, Trace},
-    patience::Patience,
+    attempts::{self, Here},
+    failure::Failure,
+    local_response::{COME_BACK, Own, Trace},
     payload,
-    tries::{self, Here},
-    words::Word,
+    startup::StartupWait,
+    timeouts::RouteTimeouts,
 };
 use crate::{
     catalogue::{Config, Found, Route},
@@ -36,15 +36,15 @@
     /// Whether the manager is heard, who relays what is new.
     pub heard: Pulse,
     /// How callers are understood.
-    pub callers: Rc<dyn Callers>,
+    pub callers: Rc<dyn CallerProtocol>,
     /// Decides on targets.
     pub desk: task::Handle,
     /// Sends to targets.
     pub sender: Sender,
     /// Requests that come before the first configuration.
-    pub early: Early,
+    pub early: StartupWait,
     /// How long callers wait at the most, by route.
-    pub patience: Patience,
+    pub patience: RouteTimeouts,
     /// Counts requests by key.
     pub tally: Tally,
     /// The clock.
@@ -62,7 +62,7 @@
 /// What is known of a request once its route is.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    pub(super) asked: Asked,
+    pub(super) asked: RequestInfo,
     pub(super) route: Route,
     pub(super) service: String,
     /// Whether only the owner of the key can serve it.
@@ -83,7 +83,7 @@
         .callers
         .read(request.method(), request.uri(), request.headers());
     let (beliefs, clock) = (&context.beliefs, &context.clock);
-    let Some(config) = context.early.config(beliefs, clock, asked.wait).await else {
+    let Some(config) = context.early.config(beliefs, clock, asked.remaining).await else {
         let own = Own::not_run("no configuration is known yet", COME_BACK);
         return finish(&context, &asked, None, came, &Trace::default(), Err(own));
     };
@@ -117,7 +117,7 @@
     let here = Here::default();
     let caller = here.clone();
     compio::runtime::spawn(async move {
-        let (result, trace) = tries::run(&inner, &order, work, payload, &caller).await;
+        let (result, trace) = attempts::run(&inner, &order, work, payload, &caller).await;
         let response = finish(&inner, &order.asked, Some(&order), came, &trace, result);
         if sender.send(response).is_err() {
             inner
@@ -126,7 +126,7 @@
         }
     })
     .detach();
-    let lost = || Own::new(Word::Lost, "the request's task ended early");
+    let lost = || Own::new(Failure::Lost, "the request's task ended early");
     let _leaving = Leaving(here);
     match receiver.await {
         Ok(response) => response,
@@ -153,7 +153,7 @@
 /// Finds a request's route and the end of its time.
 fn plan(
     context: &Context,
-    asked: &Asked,
+    asked: &RequestInfo,
     config: &Rc<Config>,
     request: &Request<Incoming>,
     came: Duration,
@@ -168,10 +168,10 @@
     };
     let service = route.pick(rand::random()).to_owned();
     let keyed = config.services.get(&service).is_some_and(|it| it.keyed);
-    if keyed && asked.point.is_none() {
-        return Err(Own::new(Word::Malformed, "the request has no key"));
+    if keyed && asked.key.is_none() {
+        return Err(Own::new(Failure::Malformed, "the request has no key"));
     }
-    let told = asked.wait.unwrap_or(WAIT);
+    let told = asked.remaining.unwrap_or(WAIT);
     let wait = told.min(route.timeout);
     // A caller that tries again counts from its first try.
     let before = context.patience.passed(&route.name, told);
@@ -193,7 +193,7 @@
 fn no_route(context: &Context, host: &str, config: &Config) -> Own {
     let cause = format!("no route for host={host} version={}", config.version);
     if context.beliefs.get().config_followed || context.heard.is_well() {
-        Own::new(Word::NoRoute, cause)
+        Own::new(Failure::NoRoute, cause)
     } else {
         Own::not_run(format!("{cause}, and no news of newer ones"), COME_BACK)
     }
@@ -206,7 +206,7 @@
     limit: u64,
 ) -> (Result<Response<Body>, Own>, Trace) {
     match payload::read(context, job, request.into_parts(), limit).await {
-        Ok((work, payload)) => tries::run(context, job, work, payload, &Here::default()).await,
+        Ok((work, payload)) => attempts::run(context, job, work, payload, &Here::default()).await,
         Err(own) => (Err(own), Trace::default()),
     }
 }
@@ -214,7 +214,7 @@
 /// Logs and counts the outcome, and builds an answer of our own where there is none.
 fn finish(
     context: &Context,
-    asked: &Asked,
+    asked: &RequestInfo,
     job: Option<&Job>,
     came: Duration,
     trace: &Trace,
@@ -233,14 +233,14 @@
     context.report.request_line(|| {
         let service = job.map_or("", |it| &it.service);
         let version = job.map_or(0, |it| it.version);
-        let point = asked.point.map(|it| it.to_string()).unwrap_or_default();
+        let point = asked.key.map(|it| it.to_string()).unwrap_or_default();
         format!(
             "event=request id={} route={route} version={version} service={service} key={point} \
              outcome={outcome} status={} took_ms={} wait_ms={} targets={} cause=\"{cause}\" tries=\"{}\"",
             asked.id,
             status.as_u16(),
             took.as_millis(),
-            asked.wait.map_or(0, |it| it.as_millis()),
+            asked.remaining.map_or(0, |it| it.as_millis()),
             trace.targets.join(","),
             trace.notes.join("; ")
         )
@@ -253,14 +253,17 @@
 }
 
 /// Builds an answer of our own.
-fn speak(context: &Context, asked: &Asked, own: &Own) -> Response<Body> {
+fn speak(context: &Context, asked: &RequestInfo, own: &Own) -> Response<Body> {
     let mut response = Response::new(Body::from(format!("{}: {}\n", own.word.name(), own.cause)));
     *response.status_mut() = context.callers.status(own.word);
     let headers = response.headers_mut();
     context
         .callers
-        .mark(own.word, &asked.id, own.retry, headers);
-    if own.word == Word::TooLarge || own.word == Word::TooSlow || own.word == Word::Malformed {
+        .add_headers(own.word, &asked.id, own.retry, headers);
+    if own.word == Failure::TooLarge
+        || own.word == Failure::TooSlow
+        || own.word == Failure::Malformed
+    {
         // What is left of the request can't be told from the next one.
         headers.insert(
             header::CONNECTION,
--- a/engine/src/caller/outcome.rs
+++ b/engine/src/caller/local_response.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::words::Word;
+use super::failure::Failure;
 
 /// The time to come back that is told when nothing better is known.
 pub(super) const COME_BACK: Duration = Duration::from_millis(300);
@@ -10,13 +10,13 @@
 /// An answer of our own.
 #[derive(Clone, Debug)]
 pub(super) struct Own {
-    pub(super) word: Word,
+    pub(super) word: Failure,
     pub(super) cause: String,
     pub(super) retry: Option<Duration>,
 }
 
 impl Own {
-    pub(super) fn new<T>(word: Word, cause: T) -> Self
+    pub(super) fn new<T>(word: Failure, cause: T) -> Self
     where
         T: Into<String>,
     {
@@ -33,7 +33,7 @@
     {
         Self {
             retry: Some(retry),
-            ..Self::new(Word::NotRun, cause)
+            ..Self::new(Failure::NotRun, cause)
         }
     }
 }
--- a/engine/src/caller/mod.rs
+++ b/engine/src/caller/mod.rs
@@ -5,15 +5,15 @@
 //! [`early`] lets requests wait that come before the first configuration; [`words`] are the answers of our own.
 
 pub mod attempt;
+mod attempts;
 mod body;
-pub mod early;
+pub mod failure;
 pub mod forward;
-mod outcome;
-pub mod patience;
+mod local_response;
 mod payload;
 pub mod serve;
-mod tries;
-pub mod words;
+pub mod startup;
+pub mod timeouts;
 
 use std::time::Duration;
 
@@ -23,23 +23,29 @@
 
 /// What a caller's request says beside method, path and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestInfo {
     /// The request's id; each try of a caller has another.
     pub id: String,
     /// How long the caller waits; none if it doesn't say.
-    pub wait: Option<Duration>,
+    pub remaining: Option<Duration>,
     /// The key.
-    pub point: Option<Point>,
+    pub key: Option<Point>,
 }
 
 /// How callers are understood and answered; implemented once for each dialect.
-pub trait Callers {
+pub trait CallerProtocol {
     /// Reads what a request says.
-    fn read(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Asked;
+    fn read(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> RequestInfo;
 
     /// Returns the status of an answer of our own.
-    fn status(&self, word: words::Word) -> StatusCode;
+    fn status(&self, word: failure::Failure) -> StatusCode;
 
     /// Adds the headers of an answer of our own.
-    fn mark(&self, word: words::Word, id: &str, retry: Option<Duration>, headers: &mut HeaderMap);
+    fn add_headers(
+        &self,
+        word: failure::Failure,
+        id: &str,
+        retry: Option<Duration>,
+        headers: &mut HeaderMap,
+    );
 }
--- a/engine/src/caller/payload.rs
+++ b/engine/src/caller/payload.rs
@@ -11,9 +11,9 @@
 use super::{
     attempt::Work,
     body::{self, Streamed, Taken},
+    failure::Failure,
     forward::{Context, Job},
-    outcome::Own,
-    words::Word,
+    local_response::Own,
 };
 
 /// The largest request body that is read whole, in bytes; only such a one can be sent twice.
@@ -58,7 +58,7 @@
     let size = incoming.size_hint();
     if size.lower() > limit {
         return Err(Own::new(
-            Word::TooLarge,
+            Failure::TooLarge,
             format!("body={} limit={limit}", size.lower()),
         ));
     }
@@ -67,7 +67,7 @@
     let path = head.uri.path_and_query().map_or("/", |it| it.as_str());
     let uri = path
         .parse()
-        .map_err(|_| Own::new(Word::Malformed, "the path can't be read"))?;
+        .map_err(|_| Own::new(Failure::Malformed, "the path can't be read"))?;
     let work = Work {
         id: job.asked.id.clone(),
         method: head.method,
@@ -86,7 +86,7 @@
             let read: usize = pieces.iter().map(Bytes::len).sum();
             if read as u64 > limit {
                 return Err(Own::new(
-                    Word::TooLarge,
+                    Failure::TooLarge,
                     format!("body>{read} limit={limit}"),
                 ));
             }
@@ -96,11 +96,16 @@
         }
         Ok(Err(error)) => {
             return Err(Own::new(
-                Word::Malformed,
+                Failure::Malformed,
                 format!("the body broke off: {error}"),
             ));
         }
-        Err(_) => return Err(Own::new(Word::TooSlow, "the body did not arrive in time")),
+        Err(_) => {
+            return Err(Own::new(
+                Failure::TooSlow,
+                "the body did not arrive in time",
+            ));
+        }
     };
     Ok((work, payload))
 }
--- a/engine/src/caller/early.rs
+++ b/engine/src/caller/startup.rs
@@ -24,28 +24,28 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::caller::early::Early;
+/// use bramleypier_engine::caller::startup::StartupWait;
 /// use bramleypier_util::clock::Clock;
 ///
 /// let clock = Clock::paused();
-/// let early = Early::new(&clock);
+/// let early = StartupWait::new(&clock);
 /// assert!(early.may_wait(clock.now()));
 /// clock.advance(Duration::from_secs(1));
 /// assert!(!early.may_wait(clock.now()));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Early {
+pub struct StartupWait {
     /// Until when requests wait.
     until: Duration,
     waiting: Rc<Cell<usize>>,
 }
 
-impl Early {
+impl StartupWait {
     /// Begins with a process's start.
     ///
     /// # Example
     ///
-    /// See [`Early`].
+    /// See [`StartupWait`].
     pub fn new(clock: &Clock) -> Self {
         Self {
             until: clock.now() + START,
@@ -57,7 +57,7 @@
     ///
     /// # Example
     ///
-    /// See [`Early`].
+    /// See [`StartupWait`].
     pub fn may_wait(&self, now: Duration) -> bool {
         now < self.until && self.waiting.get() < WAITING_MOST
     }
--- a/engine/src/caller/patience.rs
+++ b/engine/src/caller/timeouts.rs
@@ -17,22 +17,22 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::caller::patience::Patience;
+/// use bramleypier_engine::caller::timeouts::RouteTimeouts;
 ///
-/// let patience = Patience::default();
+/// let patience = RouteTimeouts::default();
 /// let ms = Duration::from_millis;
 /// assert_eq!(patience.passed("r", ms(500)), ms(0));
 /// assert_eq!(patience.passed("r", ms(380)), ms(120));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Patience(Rc<RefCell<IndexMap<String, Duration>>>);
+pub struct RouteTimeouts(Rc<RefCell<IndexMap<String, Duration>>>);
 
-impl Patience {
+impl RouteTimeouts {
     /// Takes a caller's wait in, and returns how long ago it probably tried first.
     ///
     /// # Example
     ///
-    /// See [`Patience`].
+    /// See [`RouteTimeouts`].
     pub fn passed(&self, route: &str, wait: Duration) -> Duration {
         let mut longest = self.0.borrow_mut();
         if let Some(known) = longest.get_mut(route) {
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -2,7 +2,7 @@
 //! exclusively, apart from any platform's names and formats.
 //!
 //! Four traits are all that it sees of the outside: [`store::Store`], [`catalogue::Catalogue`],
-//! [`target::Targets`] and [`caller::Callers`]. An adapter implements them for one platform; this
+//! [`target::TargetProtocol`] and [`caller::CallerProtocol`]. An adapter implements them for one platform; this
 //! package can't depend on an adapter.
 
 pub mod caller;
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -150,7 +150,7 @@
     let ending = match result {
         Ok(response) => {
             let (head, rest) = response.into_parts();
-            let ending = context.targets.settled(head.status, &head.headers);
+            let ending = context.targets.call_result(head.status, &head.headers);
             // Read to its end so that the connection can be used again.
             let _ = body::read(rest, ANSWER_BYTES).await;
             ending
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -25,9 +25,9 @@
     fleet::{Beliefs, Keys, Vm},
     pulse::Pulse,
     report::Report,
-    settings::Spans,
+    settings::LeaseLimits,
     store::{Commit, Error, Item, Lease, LeaseId, Revision, Store},
-    target::{Rate, Targets},
+    target::{Rate, TargetProtocol},
 };
 
 /// The time between two looks at what is due.
@@ -71,7 +71,7 @@
     /// The platform's store.
     pub store: Rc<dyn Store>,
     /// How targets are spoken to.
-    pub targets: Rc<dyn Targets>,
+    pub targets: Rc<dyn TargetProtocol>,
     /// Connections to targets for grants and releases.
     pub client: Client,
     /// What is believed of the fleet.
@@ -89,7 +89,7 @@
     /// Logs and counters.
     pub report: Report,
     /// What the platform sets for leases and holds.
-    pub spans: Spans,
+    pub spans: LeaseLimits,
 }
 
 impl std::fmt::Debug for Context {
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -114,7 +114,7 @@
         TIMELINE => {
             let since: Option<Stamp> = uri.query().map_or(Some(0), |it| it.parse().ok());
             match since {
-                Some(since) => encoded(&context.report.part(&context.vm.name, since)),
+                Some(since) => encoded(&context.report.events_since(&context.vm.name, since)),
                 None => super::refuse(StatusCode::BAD_REQUEST),
             }
         }
--- a/engine/src/peer/pause.rs
+++ b/engine/src/peer/pause.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::settings::VMS_USUAL;
+use crate::settings::BASELINE_VMS;
 
 /// The time between two exchanges while requests are under way.
 ///
@@ -109,8 +109,8 @@
 /// ```
 pub fn until_next(busy: bool, vms: usize, lag: Duration) -> Duration {
     let period = if busy { PERIOD } else { IDLE_PERIOD };
-    let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(VMS_USUAL);
-    let period = (period * vms / VMS_USUAL).min(PERIOD_MOST);
+    let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
+    let period = (period * vms / BASELINE_VMS).min(PERIOD_MOST);
     // A manager with little processor would have its own calls wait behind the words of all VMs.
     let late = lag.saturating_sub(LAG_USUAL);
     (period + late * YIELD).min(YIELD_MOST)
--- a/engine/src/process/life.rs
+++ b/engine/src/process/lifecycle.rs
@@ -53,15 +53,15 @@
 }
 
 /// A process in one stage of its life.
-pub(super) struct Life<S> {
+pub(super) struct Lifecycle<S> {
     duties: Duties,
     stop: LocalBoxFuture<'static, ()>,
     stage: PhantomData<S>,
 }
 
-impl<S> Life<S> {
-    fn into_stage<T>(self) -> Life<T> {
-        Life {
+impl<S> Lifecycle<S> {
+    fn into_stage<T>(self) -> Lifecycle<T> {
+        Lifecycle {
             duties: self.duties,
             stop: self.stop,
             stage: PhantomData,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Life<Starting> {
+impl Lifecycle<Starting> {
     pub(super) fn new(duties: Duties) -> Self {
         Self {
             duties,
@@ -79,7 +79,7 @@
     }
 
     /// Waits until callers can be served; a process that is told to stop before leaves at once.
-    pub(super) async fn until_ready(mut self) -> Result<Life<Ready>, Life<Leaving>> {
+    pub(super) async fn until_ready(mut self) -> Result<Lifecycle<Ready>, Lifecycle<Leaving>> {
         let mut changes = self.duties.beliefs.listen();
         while !self.duties.beliefs.get().is_ready() {
             match future::select(changes.next(), &mut self.stop).await {
@@ -93,15 +93,15 @@
     }
 }
 
-impl Life<Ready> {
+impl Lifecycle<Ready> {
     /// Waits until the process is told to stop.
-    pub(super) async fn until_told(mut self) -> Life<Leaving> {
+    pub(super) async fn until_told(mut self) -> Lifecycle<Leaving> {
         (&mut self.stop).await;
         self.into_stage()
     }
 }
 
-impl Life<Leaving> {
+impl Lifecycle<Leaving> {
     /// Ends in order: no new connections, duties handed over, requests in flight ended.
     pub(super) async fn drain(self) {
         let duties = self.duties;
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -1,6 +1,6 @@
 //! One process: its sockets and tasks, from start to stop.
 
-mod life;
+mod lifecycle;
 mod listeners;
 mod signals;
 
@@ -18,17 +18,17 @@
 use quick_error::quick_error;
 
 use self::{
-    life::{Duties, Life},
+    lifecycle::{Duties, Lifecycle},
     listeners::Listeners,
 };
 use crate::{
     caller::{
-        Callers,
+        CallerProtocol,
         attempt::Sender,
-        early::Early,
         forward,
-        patience::Patience,
         serve::{self, Gate},
+        startup::StartupWait,
+        timeouts::RouteTimeouts,
     },
     catalogue::Catalogue,
     fleet::{Beliefs, Keys, Vm},
@@ -41,7 +41,7 @@
     report::Report,
     settings::Settings,
     store::{Counted, Store},
-    target::Targets,
+    target::TargetProtocol,
 };
 
 /// The most connections to one target from one VM.
@@ -68,20 +68,20 @@
 
 /// What an adapter brings.
 #[derive(Clone)]
-pub struct Seams {
+pub struct Adapter {
     /// The platform's store.
     pub store: Rc<dyn Store>,
     /// Decodes what operators and targets wrote.
     pub catalogue: Rc<dyn Catalogue>,
     /// How targets are spoken to.
-    pub targets: Rc<dyn Targets>,
+    pub targets: Rc<dyn TargetProtocol>,
     /// How callers are understood.
-    pub callers: Rc<dyn Callers>,
+    pub callers: Rc<dyn CallerProtocol>,
 }
 
-impl std::fmt::Debug for Seams {
+impl std::fmt::Debug for Adapter {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Seams")
+        f.write_str("Adapter")
     }
 }
 
@@ -96,13 +96,13 @@
 pub async fn run(
     settings: Settings,
     clock: Clock,
-    seams: Seams,
+    adapter: Adapter,
     reload: Reload,
 ) -> Result<(), Error> {
     let report = Report::new(clock.clone());
     report.start_log(settings.log_level).map_err(Error::Log)?;
     let started = settings.clone();
-    let process = Process::new(settings, clock, seams, report.clone());
+    let process = Process::new(settings, clock, adapter, report.clone());
     let result = process.run(reload).await;
     match &result {
         Ok(()) => report.line(&format!("event=stopped vm={}", started.name)),
@@ -115,7 +115,7 @@
 struct Process {
     settings: Settings,
     clock: Clock,
-    seams: Seams,
+    adapter: Adapter,
     report: Report,
     beliefs: Beliefs,
     keys: Rc<Keys>,
@@ -129,7 +129,7 @@
 }
 
 impl Process {
-    fn new(settings: Settings, clock: Clock, seams: Seams, report: Report) -> Self {
+    fn new(settings: Settings, clock: Clock, adapter: Adapter, report: Report) -> Self {
         let vm = Vm {
             name: settings.name.clone(),
             start: format!("{}/{:016x}", settings.name, rand::random::<u64>()),
@@ -141,15 +141,15 @@
             prefix: settings.prefix.clone(),
         });
         let peers = Client::new(clock.clone(), PEER_CONNECTIONS);
-        let store = Counted::new(seams.store.clone(), report.clone());
-        let seams = Seams {
+        let store = Counted::new(adapter.store.clone(), report.clone());
+        let adapter = Adapter {
             store: Rc::new(store),
-            ..seams
+            ..adapter
         };
         Self {
             settings,
             clock,
-            seams,
+            adapter,
             report,
             beliefs: Beliefs::default(),
             keys,
@@ -175,7 +175,7 @@
         let manager = self.start_manager();
         let entry = register::start(register::Context {
             vm: self.vm.clone(),
-            store: self.seams.store.clone(),
+            store: self.adapter.store.clone(),
             keys: self.keys.clone(),
             pulse: self.pulse.clone(),
             heard: self.heard.clone(),
@@ -191,7 +191,7 @@
             self.clock.clone(),
             self.report.clone(),
         ));
-        let starting = Life::new(Duties {
+        let starting = Lifecycle::new(Duties {
             clock: self.clock.clone(),
             report: self.report.clone(),
             beliefs: self.beliefs.clone(),
@@ -211,8 +211,8 @@
 
     fn follow(&self) {
         spawn(follow::run(follow::Context {
-            store: self.seams.store.clone(),
-            catalogue: self.seams.catalogue.clone(),
+            store: self.adapter.store.clone(),
+            catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
             beliefs: self.beliefs.clone(),
             pulse: self.pulse.clone(),
@@ -231,10 +231,10 @@
     fn start_desk(&self) -> task::Handle {
         let desk = Desk::new(
             &self.settings.domain,
-            self.settings.allowance,
+            self.settings.retry_budget,
             rand::random(),
         )
-        .of_vm(&self.settings.name, self.settings.tolerance);
+        .of_vm(&self.settings.name, self.settings.burst_allowance);
         let handle = task::start(desk, self.clock.clone(), self.report.clone());
         let (beliefs, shown) = (self.beliefs.clone(), handle.clone());
         let mut changes = beliefs.listen();
@@ -250,17 +250,17 @@
     fn start_manager(&self) -> mpsc::UnboundedSender<manager::Message> {
         manager::start(manager::Context {
             vm: self.vm.clone(),
-            store: self.seams.store.clone(),
-            targets: self.seams.targets.clone(),
+            store: self.adapter.store.clone(),
+            targets: self.adapter.targets.clone(),
             client: Client::new(self.clock.clone(), CONNECTIONS),
             beliefs: self.beliefs.clone(),
-            catalogue: self.seams.catalogue.clone(),
+            catalogue: self.adapter.catalogue.clone(),
             leading: self.leading.clone(),
             pulse: self.pulse.clone(),
             keys: self.keys.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
-            spans: self.settings.spans,
+            spans: self.settings.lease_limits,
         })
     }
 
@@ -274,15 +274,15 @@
         let context = forward::Context {
             beliefs: self.beliefs.clone(),
             heard: self.heard.clone(),
-            callers: self.seams.callers.clone(),
+            callers: self.adapter.callers.clone(),
             desk: desk.clone(),
             sender: Sender {
                 client: Client::new(self.clock.clone(), CONNECTIONS),
-                targets: self.seams.targets.clone(),
+                targets: self.adapter.targets.clone(),
                 clock: self.clock.clone(),
             },
-            early: Early::new(&self.clock),
-            patience: Patience::default(),
+            early: StartupWait::new(&self.clock),
+            patience: RouteTimeouts::default(),
             tally: self.tally.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
@@ -315,7 +315,7 @@
         sync::Context {
             vm: self.vm.clone(),
             beliefs: self.beliefs.clone(),
-            catalogue: self.seams.catalogue.clone(),
+            catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
             pulse: self.pulse.clone(),
             heard: self.heard.clone(),
--- a/engine/src/report/events.rs
+++ b/engine/src/report/events.rs
@@ -23,7 +23,7 @@
 /// What one process answers when asked for its events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Part {
+pub struct VmEvents {
     /// The VM.
     pub vm: String,
     /// Its events that are still kept, the oldest first.
@@ -42,7 +42,7 @@
 /// let mut events = Events::default();
 /// events.add("event=started", false);
 /// events.add("event=request id=a", true);
-/// let part = events.part("vm-1", 0);
+/// let part = events.since("vm-1", 0);
 /// assert_eq!((part.events.len(), part.dropped), (2, 0));
 /// assert!(part.events[0].stamp < part.events[1].stamp);
 /// ```
@@ -110,11 +110,11 @@
     /// # Example
     ///
     /// See [`Events`].
-    pub fn part(&self, vm: &str, since: Stamp) -> Part {
+    pub fn since(&self, vm: &str, since: Stamp) -> VmEvents {
         let all = self.changes.iter().chain(&self.requests);
         let mut events: Vec<Event> = all.filter(|it| it.stamp >= since).cloned().collect();
         events.sort_by_key(|it| it.stamp);
-        Part {
+        VmEvents {
             vm: vm.to_owned(),
             events,
             dropped: self.dropped,
--- a/engine/src/report/mod.rs
+++ b/engine/src/report/mod.rs
@@ -19,7 +19,7 @@
 use log::{LevelFilter, SetLoggerError};
 use simplelog::{Config, ConfigBuilder, WriteLogger};
 
-pub use self::events::{Event, Events, Part};
+pub use self::events::{Event, Events, VmEvents};
 use self::{buffer::Buffer, metrics::Totals};
 
 /// What precedes each metric's name.
@@ -119,10 +119,10 @@
     ///
     /// let report = Report::new(Clock::paused());
     /// report.line("event=started");
-    /// assert_eq!(report.part("vm-1", 0).events.len(), 1);
+    /// assert_eq!(report.events_since("vm-1", 0).events.len(), 1);
     /// ```
-    pub fn part(&self, vm: &str, since: Stamp) -> Part {
-        self.events.borrow().part(vm, since)
+    pub fn events_since(&self, vm: &str, since: Stamp) -> VmEvents {
+        self.events.borrow().since(vm, since)
     }
 
     /// Logs several lines.
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -35,13 +35,13 @@
     /// How long a process that is told to stop may take.
     pub grace: Duration,
     /// What all VMs together may send again.
-    pub allowance: Allowance,
+    pub retry_budget: Allowance,
     /// What all VMs together may send to a cold target.
-    pub tolerance: Tolerance,
+    pub burst_allowance: Tolerance,
     /// What the VM can do as the manager, in thousandths of a core.
     pub power: u32,
     /// What the platform sets for leases and holds.
-    pub spans: Spans,
+    pub lease_limits: LeaseLimits,
     /// The least grave kind of line that is logged.
     pub log_level: LevelFilter,
 }
@@ -75,18 +75,18 @@
 ///
 /// At the usual pause 600 words a second reach the manager then. With more, it needs longer to renew all grants
 /// than a lease that fits few VMs lasts.
-pub(crate) const VMS_USUAL: u32 = 24;
+pub(crate) const BASELINE_VMS: u32 = 24;
 
 /// What the platform sets for leases and holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spans {
+pub struct LeaseLimits {
     /// The shortest lease that the store gives.
-    pub lease_least: Duration,
+    pub min_lease: Duration,
     /// The longest hold that a grant may have.
-    pub hold_most: Duration,
+    pub max_grant: Duration,
 }
 
-impl Spans {
+impl LeaseLimits {
     /// Returns the spans of the manager's lease and of grants for so many VMs.
     ///
     /// A hold outlasts the replacement of a manager that is lost when a renewal was just due, and is no
@@ -97,21 +97,21 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::settings::Spans;
+    /// use bramleypier_engine::settings::LeaseLimits;
     ///
     /// let ms = Duration::from_millis;
-    /// let spans = |lease_least, hold_most| Spans { lease_least, hold_most };
+    /// let spans = |min_lease, max_grant| LeaseLimits { min_lease, max_grant };
     /// assert_eq!(spans(ms(1000), ms(10_000)).timing(8).hold, ms(2250));
     /// assert_eq!(spans(ms(1000), ms(10_000)).timing(60).lease, ms(3000));
     /// assert_eq!(spans(ms(3000), ms(10_000)).timing(8).hold, ms(4500));
     /// assert_eq!(spans(ms(1000), ms(1000)).timing(8).hold, ms(1000));
     /// ```
     pub fn timing(&self, vms: usize) -> keeper::Timing {
-        let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(VMS_USUAL);
-        let lease = (LEASE * vms / VMS_USUAL).min(LEASE_MOST);
-        let lease = lease.max(self.lease_least);
-        let hold = ((lease + TAKEOVER) * RENEWALS / (RENEWALS - 1)).min(self.hold_most);
-        let hold_alone = HOLD_ALONE.min(self.hold_most);
+        let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
+        let lease = (LEASE * vms / BASELINE_VMS).min(LEASE_MOST);
+        let lease = lease.max(self.min_lease);
+        let hold = ((lease + TAKEOVER) * RENEWALS / (RENEWALS - 1)).min(self.max_grant);
+        let hold_alone = HOLD_ALONE.min(self.max_grant);
         keeper::Timing {
             lease,
             hold,
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -30,7 +30,7 @@
     /// It is full, or the request's time was over.
     Busy,
     /// It doesn't hold the request's key, or isn't the target that was meant.
-    Unowned,
+    NotOwner,
 }
 
 /// What the head of a target's answer says.
@@ -41,7 +41,7 @@
     /// The answer bears the target's signature.
     pub signed: bool,
     /// The request id that the answer belongs to.
-    pub request: Option<String>,
+    pub request_id: Option<String>,
     /// The load that the target reports.
     pub load: Option<LoadReport>,
     /// The rate to which the target asks to be held; none if it takes whatever comes.
@@ -62,12 +62,12 @@
 }
 
 /// How targets are spoken to; implemented once for each dialect.
-pub trait Targets {
+pub trait TargetProtocol {
     /// Returns the last key; the first is 0.
     fn last_point(&self) -> Point;
 
     /// Sets the headers of a request that is sent to a target with the time that is left.
-    fn prepare(&self, headers: &mut HeaderMap, target: &TargetId, left: Duration);
+    fn set_headers(&self, headers: &mut HeaderMap, target: &TargetId, left: Duration);
 
     /// Reads the head of an answer.
     fn read(&self, status: StatusCode, headers: &HeaderMap) -> Reply;
@@ -79,5 +79,5 @@
     fn release(&self, order: &Order) -> Call;
 
     /// Reads the answer of a grant or release.
-    fn settled(&self, status: StatusCode, headers: &HeaderMap) -> Ending;
+    fn call_result(&self, status: StatusCode, headers: &HeaderMap) -> Ending;
 }
--- a/program/src/operate.rs
+++ b/program/src/operate.rs
@@ -9,7 +9,7 @@
 use bramleypier_engine::{
     fleet::Vm,
     peer::admin::{self, Status},
-    report::Part,
+    report::VmEvents,
     settings::Settings,
 };
 use bramleypier_platform::settings;
@@ -60,7 +60,7 @@
         let mut answers = Answers::default();
         let question = format!("{}?{since}", admin::TIMELINE);
         for (address, status) in std::mem::take(&mut fleet.statuses) {
-            match fleet.ask::<Part>(address, &question).await {
+            match fleet.ask::<VmEvents>(address, &question).await {
                 Some(part) => answers.answers.push(part),
                 None => answers.unreached.push(status.vm),
             }
@@ -216,7 +216,7 @@
 }
 
 /// Merges what several VMs kept, as text.
-fn account(parts: &[Part], command: &Timeline) -> String {
+fn account(parts: &[VmEvents], command: &Timeline) -> String {
     let words = filter(command);
     let mut lines: Vec<(Stamp, &str, &str)> = Vec::new();
     for part in parts {
