--- a/engine/src/fleet/entries.rs
+++ b/engine/src/fleet/entries.rs
@@ -127,7 +127,7 @@
         let note = format!(
             "event=owners-in-force service={service} term={} revision={revision} ranges={}",
             record.term,
-            record.parts.len()
+            record.ranges.len()
         );
         let recorded = Recorded { revision, record };
         self.records.insert(service.to_owned(), recorded);
--- a/engine/src/owner/balance.rs
+++ b/engine/src/owner/balance.rs
@@ -19,7 +19,7 @@
 
 use super::{
     load::Load,
-    record::{Life, Part, Point, Record},
+    record::{Incarnation, KeyRange, Record, ShardKey},
 };
 
 /// Up to which utilisation a target is left alone: below it, few requests wait.
@@ -47,23 +47,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The first key.
-    pub from: Point,
+    pub from: ShardKey,
     /// The last key.
-    pub to: Point,
+    pub to: ShardKey,
     /// The new owner.
-    pub owner: Life,
+    pub owner: Incarnation,
 }
 
 /// A target that may own keys.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Holder {
+pub struct Candidate {
     /// Its life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// How many requests a second it can do.
-    pub power: f64,
+    pub capacity: f64,
 }
 
-/// Splits ranges that nobody owns among holders, in proportion to power, least loaded first.
+/// Splits ranges that nobody owns among holders, in proportion to capacity, least loaded first.
 ///
 /// Ranges without measured load are cut evenly; owners of neighbouring keys are preferred to none.
 ///
@@ -71,23 +71,23 @@
 ///
 /// ```
 /// use bramleypier_engine::owner::{
-///     balance::{self, Holder},
+///     balance::{self, Candidate},
 ///     load::Load,
-///     record::{Life, Record},
+///     record::{Incarnation, Record},
 /// };
 ///
-/// let holder = |id: &str| Holder { life: Life { id: id.into(), born: 0, address: "127.0.0.1:1".parse().unwrap() }, power: 2.0 };
-/// let record = Record::first(99);
-/// let moves = balance::assign(&record, &record.parts, &[holder("a"), holder("b")], &Load::default());
+/// let holder = |id: &str| Candidate { incarnation: Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() }, capacity: 2.0 };
+/// let record = Record::unowned(99);
+/// let moves = balance::assign(&record, &record.ranges, &[holder("a"), holder("b")], &Load::default());
 /// let bounds: Vec<_> = moves.iter().map(|it| (it.from, it.to)).collect();
 /// assert_eq!(bounds, [(0, 49), (50, 99)]);
 /// ```
-pub fn assign(record: &Record, free: &[Part], holders: &[Holder], load: &Load) -> Vec<Move> {
+pub fn assign(record: &Record, free: &[KeyRange], holders: &[Candidate], load: &Load) -> Vec<Move> {
     if holders.is_empty() {
         return Vec::new();
     }
     let mut filled = fill(record, holders, load);
-    let keys: u64 = record.parts.iter().map(Part::width).sum();
+    let keys: u64 = record.ranges.iter().map(KeyRange::width).sum();
     let mut moves = Vec::new();
     for part in free {
         split(part, keys, holders, load, &mut filled, &mut moves);
@@ -96,11 +96,14 @@
 }
 
 /// What each holder carries, in parts of all load and keys.
-fn fill(record: &Record, holders: &[Holder], load: &Load) -> IndexMap<Life, f64> {
-    let mut filled: IndexMap<_, _> = holders.iter().map(|it| (it.life.clone(), 0.0)).collect();
-    let keys: u64 = record.parts.iter().map(Part::width).sum();
-    let total = load.sum(0, Point::MAX).max(1.0);
-    for part in &record.parts {
+fn fill(record: &Record, holders: &[Candidate], load: &Load) -> IndexMap<Incarnation, f64> {
+    let mut filled: IndexMap<_, _> = holders
+        .iter()
+        .map(|it| (it.incarnation.clone(), 0.0))
+        .collect();
+    let keys: u64 = record.ranges.iter().map(KeyRange::width).sum();
+    let total = load.rate(0, ShardKey::MAX).max(1.0);
+    for part in &record.ranges {
         let Some(sum) = part.owner.as_ref().and_then(|life| filled.get_mut(life)) else {
             continue;
         };
@@ -110,22 +113,22 @@
 }
 
 /// The weight of a range: mostly its load, a little its keys, which may become busy.
-fn weigh(from: Point, to: Point, keys: u64, total: f64, load: &Load) -> f64 {
+fn weigh(from: ShardKey, to: ShardKey, keys: u64, total: f64, load: &Load) -> f64 {
     const KEYS_PART: f64 = 0.2;
     let width = (to - from + 1) as f64 / keys.max(1) as f64;
-    load.sum(from, to) / total + KEYS_PART * width
+    load.rate(from, to) / total + KEYS_PART * width
 }
 
 fn split(
-    part: &Part,
+    part: &KeyRange,
     keys: u64,
-    holders: &[Holder],
+    holders: &[Candidate],
     load: &Load,
-    filled: &mut IndexMap<Life, f64>,
+    filled: &mut IndexMap<Incarnation, f64>,
     moves: &mut Vec<Move>,
 ) {
-    let total = load.sum(0, Point::MAX).max(1.0);
-    let power: f64 = holders.iter().map(|it| it.power).sum();
+    let total = load.rate(0, ShardKey::MAX).max(1.0);
+    let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
     let whole: f64 = weigh(part.from, part.to, keys, total, load);
     let all: f64 = filled.values().sum::<f64>() + whole;
     let mut rest = part.clone();
@@ -133,7 +136,7 @@
         let Some(holder) = emptiest(holders, filled) else {
             return;
         };
-        let room = all * holder.power / power - filled[&holder.life];
+        let room = all * holder.capacity / capacity - filled[&holder.incarnation];
         let left = weigh(rest.from, rest.to, keys, total, load);
         let to = if room >= left * 0.95 {
             rest.to
@@ -141,11 +144,11 @@
             reach(&rest, room, keys, total, load)
         };
         let weight = weigh(rest.from, to, keys, total, load);
-        *filled.entry(holder.life.clone()).or_default() += weight;
+        *filled.entry(holder.incarnation.clone()).or_default() += weight;
         moves.push(Move {
             from: rest.from,
             to,
-            owner: holder.life.clone(),
+            owner: holder.incarnation.clone(),
         });
         if to >= rest.to {
             return;
@@ -154,13 +157,18 @@
     }
 }
 
-fn emptiest<'a>(holders: &'a [Holder], filled: &IndexMap<Life, f64>) -> Option<&'a Holder> {
-    let level = |it: &Holder| filled.get(&it.life).copied().unwrap_or(0.0) / it.power.max(0.01);
+fn emptiest<'a>(
+    holders: &'a [Candidate],
+    filled: &IndexMap<Incarnation, f64>,
+) -> Option<&'a Candidate> {
+    let level = |it: &Candidate| {
+        filled.get(&it.incarnation).copied().unwrap_or(0.0) / it.capacity.max(0.01)
+    };
     holders.iter().min_by(|a, b| level(a).total_cmp(&level(b)))
 }
 
 /// The last key of a prefix of `part` that weighs about `room`, by bisection.
-fn reach(part: &Part, room: f64, keys: u64, total: f64, load: &Load) -> Point {
+fn reach(part: &KeyRange, room: f64, keys: u64, total: f64, load: &Load) -> ShardKey {
     let (mut low, mut high) = (part.from, part.to);
     while low < high {
         let middle = low + (high - low) / 2;
@@ -183,23 +191,23 @@
 /// use std::time::Duration;
 ///
 /// use bramleypier_engine::owner::{
-///     balance::{self, Holder},
+///     balance::{self, Candidate},
 ///     load::Load,
-///     record::{Life, Part, Record},
+///     record::{Incarnation, KeyRange, Record},
 /// };
 ///
-/// let life = |id: &str| Life { id: id.into(), born: 0, address: "127.0.0.1:1".parse().unwrap() };
-/// let part = |from, to, id| Part { from, to, fence: 1, owner: Some(life(id)) };
-/// let record = Record { parts: vec![part(0, 49, "a"), part(50, 99, "b")], ..Record::default() };
+/// let life = |id: &str| Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() };
+/// let part = |from, to, id| KeyRange { from, to, fence: 1, owner: Some(life(id)) };
+/// let record = Record { ranges: vec![part(0, 49, "a"), part(50, 99, "b")], ..Record::default() };
 /// let mut load = Load::default();
 /// load.add(Duration::ZERO, [(1, 30), (9, 30), (60, 2)]);
-/// let holders = [Holder { life: life("a"), power: 20.0 }, Holder { life: life("b"), power: 20.0 }];
-/// let moves = balance::even(&record, &holders, &load, &[]);
+/// let holders = [Candidate { incarnation: life("a"), capacity: 20.0 }, Candidate { incarnation: life("b"), capacity: 20.0 }];
+/// let moves = balance::plan(&record, &holders, &load, &[]);
 /// assert_eq!(moves.len(), 1);
 /// assert_eq!(moves[0].from, moves[0].to);
 /// assert_eq!(moves[0].owner.id, "b");
 /// ```
-pub fn even(record: &Record, holders: &[Holder], load: &Load, resting: &[Move]) -> Vec<Move> {
+pub fn plan(record: &Record, holders: &[Candidate], load: &Load, resting: &[Move]) -> Vec<Move> {
     let mut plan = Plan::new(record, holders, load);
     plan.resting = resting;
     while plan.moves.len() < MOVES && plan.step() {}
@@ -209,7 +217,7 @@
 /// A plan under way.
 struct Plan<'a> {
     record: &'a Record,
-    holders: &'a [Holder],
+    holders: &'a [Candidate],
     load: &'a Load,
     /// Rates by holder, as they will be after the moves.
     rates: Vec<f64>,
@@ -222,30 +230,30 @@
 /// A run of keys with its rate.
 #[derive(Clone, Copy)]
 struct Run {
-    from: Point,
-    to: Point,
+    from: ShardKey,
+    to: ShardKey,
     rate: f64,
 }
 
 impl<'a> Plan<'a> {
-    fn new(record: &'a Record, holders: &'a [Holder], load: &'a Load) -> Self {
-        let index: HashMap<&Life, usize> = holders
+    fn new(record: &'a Record, holders: &'a [Candidate], load: &'a Load) -> Self {
+        let index: HashMap<&Incarnation, usize> = holders
             .iter()
             .enumerate()
-            .map(|(at, it)| (&it.life, at))
+            .map(|(at, it)| (&it.incarnation, at))
             .collect();
         let mut rates = vec![0.0; holders.len()];
-        for part in &record.parts {
+        for part in &record.ranges {
             if let Some(at) = part.owner.as_ref().and_then(|life| index.get(life)) {
-                rates[*at] += load.sum(part.from, part.to);
+                rates[*at] += load.rate(part.from, part.to);
             }
         }
-        let power: f64 = holders.iter().map(|it| it.power).sum();
+        let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
         Self {
             record,
             holders,
             load,
-            mean: rates.iter().sum::<f64>() / power.max(0.01),
+            mean: rates.iter().sum::<f64>() / capacity.max(0.01),
             rates,
             moves: Vec::new(),
             resting: &[],
@@ -253,13 +261,13 @@
     }
 
     /// Returns whether some of a range moves already, or has moved lately.
-    fn is_taken(&self, from: Point, to: Point) -> bool {
+    fn is_taken(&self, from: ShardKey, to: ShardKey) -> bool {
         let mut taken = self.moves.iter().chain(self.resting);
         taken.any(|it| it.from <= to && from <= it.to)
     }
 
     fn used(&self, at: usize) -> f64 {
-        self.rates[at] / self.holders[at].power.max(0.01)
+        self.rates[at] / self.holders[at].capacity.max(0.01)
     }
 
     /// Adds one move; returns whether there was one worth making.
@@ -289,7 +297,7 @@
         self.moves.push(Move {
             from: run.from,
             to: run.to,
-            owner: self.holders[to].life.clone(),
+            owner: self.holders[to].incarnation.clone(),
         });
         true
     }
@@ -302,15 +310,15 @@
         for to in (0..self.holders.len()).filter(|to| *to != busiest) {
             // Both ends would be used alike after a move of this rate.
             let (from, into) = (&self.holders[busiest], &self.holders[to]);
-            let want = (self.rates[busiest] * into.power - self.rates[to] * from.power)
-                / (from.power + into.power);
+            let want = (self.rates[busiest] * into.capacity - self.rates[to] * from.capacity)
+                / (from.capacity + into.capacity);
             if want <= 0.0 {
                 continue;
             }
             let runs = [self.narrowest(busiest, want), hottest];
             for run in runs.into_iter().flatten() {
-                let left = (self.rates[busiest] - run.rate) / from.power;
-                let filled = (self.rates[to] + run.rate) / into.power;
+                let left = (self.rates[busiest] - run.rate) / from.capacity;
+                let filled = (self.rates[to] + run.rate) / into.capacity;
                 let after = left.max(filled);
                 if best.is_none_or(|(_, _, least)| after < least - EVEN) {
                     best = Some((run, to, after));
@@ -323,13 +331,13 @@
 
     /// The busiest single key of a holder.
     fn hottest(&self, owner: usize) -> Option<Run> {
-        let life = &self.holders[owner].life;
+        let life = &self.holders[owner].incarnation;
         let own = self
             .record
-            .parts
+            .ranges
             .iter()
             .filter(|part| part.owner.as_ref() == Some(life));
-        let keys = own.flat_map(|part| self.load.keys(part.from, part.to));
+        let keys = own.flat_map(|part| self.load.key_rates(part.from, part.to));
         let free = keys.filter(|(key, _)| !self.is_taken(*key, *key));
         let (key, rate) = free.max_by(|a, b| a.1.total_cmp(&b.1))?;
         Some(Run {
@@ -341,25 +349,25 @@
 
     /// A run of the busiest holder's keys for one that has nothing to do.
     fn fill(&self, busiest: usize, idlest: usize) -> Option<(Run, usize)> {
-        let want = self.mean * self.holders[idlest].power * FILL;
+        let want = self.mean * self.holders[idlest].capacity * FILL;
         let run = self.narrowest(busiest, want)?;
         Some((run, idlest))
     }
 
     /// The narrowest run of a holder's keys that carries about `want`.
     fn narrowest(&self, owner: usize, want: f64) -> Option<Run> {
-        let life = &self.holders[owner].life;
+        let life = &self.holders[owner].incarnation;
         let own = self
             .record
-            .parts
+            .ranges
             .iter()
             .filter(|part| part.owner.as_ref() == Some(life));
         let runs = own.filter_map(|part| self.narrowest_of(part, want));
         runs.min_by_key(|run| run.to - run.from)
     }
 
-    fn narrowest_of(&self, part: &Part, want: f64) -> Option<Run> {
-        let keys = self.load.keys(part.from, part.to);
+    fn narrowest_of(&self, part: &KeyRange, want: f64) -> Option<Run> {
+        let keys = self.load.key_rates(part.from, part.to);
         let (mut start, mut rate) = (0, 0.0);
         let mut best: Option<Run> = None;
         for (end, (last, own)) in keys.iter().enumerate() {
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -7,9 +7,9 @@
 use indexmap::IndexMap;
 
 use super::{
-    keeper::{Ending, Order},
     manager::Context,
-    times::Times,
+    ownership::{CallOutcome, OwnershipCommand},
+    service_times::ServiceTimes,
 };
 use crate::{
     catalogue::{self, Target, TargetHash, TargetId},
@@ -119,8 +119,13 @@
 }
 
 /// Sends a grant or release and tells how it ended.
-pub(super) async fn send(context: &Context, service: &str, order: &Order, grant: bool) -> Ending {
-    let age = context.clock.now().saturating_sub(order.decided);
+pub(super) async fn send(
+    context: &Context,
+    service: &str,
+    order: &OwnershipCommand,
+    grant: bool,
+) -> CallOutcome {
+    let age = context.clock.now().saturating_sub(order.decided_at);
     if grant && age > DECISION_VALID {
         context.report.line(&format!(
             "event=grant-dropped service={service} target={} from={} to={} fence={} age_ms={}",
@@ -130,7 +135,7 @@
             order.fence,
             age.as_millis()
         ));
-        return Ending::Unsent;
+        return CallOutcome::Unsent;
     }
     let (call, timeout, name) = if grant {
         let call = context.targets.grant(order);
@@ -167,7 +172,7 @@
     };
     let took = context.clock.now().saturating_sub(started);
     context.report.time(name, took, &[("service", service)]);
-    if !matches!(ending, Ending::Done(_)) {
+    if !matches!(ending, CallOutcome::Done(_)) {
         context
             .report
             .count("grant.failed", &[("service", service)]);
@@ -180,14 +185,14 @@
 /// A refusal alone may come from a path that is cut while the target works on. Only together with
 /// the orderly end of a connection in use, which no path sends, does it prove that the process has
 /// ended.
-fn classify(error: &client::Error, closed: Option<Duration>, now: Duration) -> Ending {
+fn classify(error: &client::Error, closed: Option<Duration>, now: Duration) -> CallOutcome {
     let lately = closed.is_some_and(|at| now.saturating_sub(at) <= CLOSED_WITHIN);
     if error.is_refused() && lately {
-        Ending::Gone
+        CallOutcome::Gone
     } else if error.unsent() {
-        Ending::Unsent
+        CallOutcome::Unsent
     } else {
-        Ending::Silent
+        CallOutcome::Silent
     }
 }
 
@@ -204,7 +209,7 @@
 }
 
 /// The time that one request takes, in seconds, at each target of which it is known.
-pub(super) fn measured(times: &Times, targets: &[Target]) -> IndexMap<TargetId, f64> {
+pub(super) fn measured(times: &ServiceTimes, targets: &[Target]) -> IndexMap<TargetId, f64> {
     let time = |target: &Target| {
         let mean = times.mean(catalogue::hash(&target.id))?;
         Some((target.id.clone(), mean))
--- a/engine/src/owner/order.rs
+++ b/engine/src/owner/events.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::record::{Fence, Life, Point, Record};
+use super::record::{Fence, Incarnation, Record, ShardKey};
 use crate::catalogue::Target;
 
 /// Spans by which a keeper works.
@@ -11,37 +11,37 @@
     /// How long the manager's lease lasts.
     pub lease: Duration,
     /// How long a grant holds.
-    pub hold: Duration,
+    pub grant_duration: Duration,
     /// How long a grant holds while the manager can't renew its lease.
-    pub hold_alone: Duration,
+    pub outage_duration: Duration,
     /// The time from one renewal to the next.
-    pub renew: Duration,
+    pub renew_interval: Duration,
     /// How long after the end of a manager's lease its last grant may hold.
-    pub horizon: Duration,
+    pub latest_expiry: Duration,
 }
 
 /// A grant or release to be sent to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct OwnershipCommand {
     /// To which life of a target.
-    pub owner: Life,
+    pub owner: Incarnation,
     /// The first key.
-    pub from: Point,
+    pub from: ShardKey,
     /// The last key.
-    pub to: Point,
+    pub to: ShardKey,
     /// The fence.
     pub fence: Fence,
     /// How long a grant holds; zero for a release.
-    pub hold: Duration,
+    pub grant_duration: Duration,
     /// When it was decided.
-    pub decided: Duration,
+    pub decided_at: Duration,
     /// What the last owner handed over, for a grant.
     pub handover: Option<String>,
 }
 
 /// How a call to a target ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum CallOutcome {
     /// It was done; a release may bring a handover.
     Done(Option<String>),
     /// The target has seen a higher fence.
@@ -60,21 +60,21 @@
     /// These lives of targets are announced.
     Targets(Vec<Target>),
     /// A grant ended.
-    Granted(Point, Ending),
+    GrantEnded(ShardKey, CallOutcome),
     /// A release ended.
-    Released(Point, Ending),
+    ReleaseEnded(ShardKey, CallOutcome),
     /// A commit ended: the record stands at this revision.
     Committed,
     /// A commit failed and did not take effect; it is to be made again.
     CommitFailed,
     /// The manager's lease holds until then, by this VM's clock.
-    Lease(Duration),
+    LeaseExtended(Duration),
     /// A target at this address has closed a connection in use: its process may have ended.
-    Closed(SocketAddr),
+    ConnectionClosed(SocketAddr),
     /// The manager before this one has stopped; its last grants may be under way.
-    EarlierStopped,
+    PredecessorStopped,
     /// Requests ran on these keys.
-    Load(Vec<(Point, u32)>),
+    Load(Vec<(ShardKey, u32)>),
     /// Time passed.
     Tick,
 }
@@ -83,13 +83,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a grant.
-    Grant(Order),
+    Grant(OwnershipCommand),
     /// Send a release.
-    Release(Order),
+    Release(OwnershipCommand),
     /// Write the record under the condition that it has not changed.
     Commit(Record),
     /// Another manager has taken over; nothing more may be sent.
     Deposed,
     /// A belief changed: for the log.
-    Note(String),
+    Log(String),
 }
--- a/engine/src/owner/load.rs
+++ b/engine/src/owner/load.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::record::Point;
+use super::record::ShardKey;
 
 /// The times in which a key's two counts lose half their weight.
 ///
@@ -46,12 +46,12 @@
 /// for second in 0..30 {
 ///     load.add(Duration::from_secs(second), [(7, 4)]);
 /// }
-/// assert!((load.sum(0, 9) - 4.0).abs() < 1.0);
-/// assert_eq!(load.sum(0, 6), 0.0);
+/// assert!((load.rate(0, 9) - 4.0).abs() < 1.0);
+/// assert_eq!(load.rate(0, 6), 0.0);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    counts: BTreeMap<Point, Counts>,
+    counts: BTreeMap<ShardKey, Counts>,
     /// When the first request was counted.
     since: Option<Duration>,
     at: Duration,
@@ -65,7 +65,7 @@
     /// See [`Load`].
     pub fn add<I>(&mut self, now: Duration, counts: I)
     where
-        I: IntoIterator<Item = (Point, u32)>,
+        I: IntoIterator<Item = (ShardKey, u32)>,
     {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         if passed > 0.0 {
@@ -105,9 +105,9 @@
     ///
     /// let mut load = Load::default();
     /// load.add(Duration::ZERO, [(7, 4), (3, 1)]);
-    /// assert_eq!(load.counted(), 5.0);
+    /// assert_eq!(load.request_count(), 5.0);
     /// ```
-    pub fn counted(&self) -> f64 {
+    pub fn request_count(&self) -> f64 {
         self.counts.values().map(|counts| counts.slow).sum()
     }
 
@@ -116,7 +116,7 @@
     /// # Example
     ///
     /// See [`Load`].
-    pub fn sum(&self, from: Point, to: Point) -> f64 {
+    pub fn rate(&self, from: ShardKey, to: ShardKey) -> f64 {
         let range = self.counts.range(from..=to);
         let spans = self.spans();
         // A sum of nothing is negative zero, which reads oddly in logs.
@@ -138,8 +138,8 @@
     /// let mut load = Load::default();
     /// load.add(Duration::ZERO, [(7, 40), (8, 4)]);
     /// let capped = load.capped(50.0);
-    /// assert!((capped.sum(7, 7) - 50.0).abs() < 0.1);
-    /// assert!((capped.sum(8, 8) - load.sum(8, 8)).abs() < 0.1);
+    /// assert!((capped.rate(7, 7) - 50.0).abs() < 0.1);
+    /// assert!((capped.rate(8, 8) - load.rate(8, 8)).abs() < 0.1);
     /// ```
     #[must_use]
     pub fn capped(&self, most: f64) -> Self {
@@ -164,10 +164,10 @@
     ///
     /// let mut load = Load::default();
     /// load.add(Duration::ZERO, [(7, 4), (3, 1)]);
-    /// let keys: Vec<_> = load.keys(0, 9).into_iter().map(|(key, _)| key).collect();
+    /// let keys: Vec<_> = load.key_rates(0, 9).into_iter().map(|(key, _)| key).collect();
     /// assert_eq!(keys, [3, 7]);
     /// ```
-    pub fn keys(&self, from: Point, to: Point) -> Vec<(Point, f64)> {
+    pub fn key_rates(&self, from: ShardKey, to: ShardKey) -> Vec<(ShardKey, f64)> {
         let spans = self.spans();
         let range = self.counts.range(from..=to);
         range
--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -5,7 +5,7 @@
 use super::{BID_PAUSE, Manager, Message};
 use crate::{
     fleet::Vm,
-    owner::{calls, keeper::Event},
+    owner::{calls, ownership::Event},
     store::{Error, Lease, Transaction},
 };
 
@@ -146,7 +146,7 @@
         let verified = self.kept.iter().filter(|(_, kept)| kept.verified);
         let services: Vec<_> = verified.map(|(name, _)| name.clone()).collect();
         for service in services {
-            self.feed(&service, Event::Lease(until));
+            self.feed(&service, Event::LeaseExtended(until));
         }
     }
 
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -1,8 +1,8 @@
 //! The task that seeks the manager's lease, and keeps the owners while it holds it.
 
 mod lease;
-mod news;
 mod records;
+mod updates;
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -16,9 +16,9 @@
 
 use super::{
     calls,
-    keeper::{Effect, Ending, Event, Keeper, Order, Timing},
-    record::{Point, Record, Term},
-    times::Times,
+    ownership::{CallOutcome, Effect, Event, OwnershipCommand, ServiceOwnership, Timing},
+    record::{Record, ShardKey, Term},
+    service_times::ServiceTimes,
 };
 use crate::{
     catalogue::{Catalogue, ServiceId, TargetHash},
@@ -41,7 +41,7 @@
     /// What a VM counted since its last word.
     Load {
         /// Requests by service and key.
-        counts: Vec<(ServiceId, Vec<(Point, u32)>)>,
+        counts: Vec<(ServiceId, Vec<(ShardKey, u32)>)>,
         /// Sums in seconds and counts of service times without waiting, by target.
         times: Vec<(TargetHash, f64, u32)>,
         /// The rates that targets ask to be held to, as all VMs know.
@@ -50,9 +50,9 @@
     /// The process stops: hand over, and tell when done.
     Stop(oneshot::Sender<()>),
     /// This start of a VM's process tells this VM, so it knows that it isn't the manager.
-    Told(String),
+    SyncReceived(String),
     /// A call to a target ended.
-    Called(ServiceId, Term, Point, bool, Ending),
+    Called(ServiceId, Term, ShardKey, bool, CallOutcome),
     /// A commit of a record ended.
     Committed(ServiceId, Term, Result<Commit, Error>),
     /// A service's record was read.
@@ -102,7 +102,7 @@
 
 /// A service that this VM keeps.
 struct Kept {
-    keeper: Keeper,
+    keeper: ServiceOwnership,
     /// The start of the process that was the manager before, while it may still be.
     earlier: Option<String>,
     revision: Revision,
@@ -116,7 +116,7 @@
     context: Context,
     sender: mpsc::UnboundedSender<Message>,
     kept: IndexMap<ServiceId, Kept>,
-    times: Times,
+    times: ServiceTimes,
     /// The rates that targets ask to be held to.
     rates: IndexMap<TargetHash, Rate>,
     /// The spans of the lease and of grants, by the number of VMs at the last bid.
@@ -133,7 +133,7 @@
     /// When what is due was last looked at.
     ticked: Duration,
     /// Requests by service and key that keepers weren't told of yet.
-    counts: IndexMap<ServiceId, Vec<(Point, u32)>>,
+    counts: IndexMap<ServiceId, Vec<(ShardKey, u32)>>,
     stopping: Option<oneshot::Sender<()>>,
 }
 
@@ -145,7 +145,7 @@
         context,
         sender: sender.clone(),
         kept: IndexMap::new(),
-        times: Times::default(),
+        times: ServiceTimes::default(),
         rates: IndexMap::new(),
         timing,
         reading: Vec::new(),
@@ -210,7 +210,7 @@
                 self.rates = rates.into_iter().collect();
                 self.loaded(counts, &times);
             }
-            Message::Told(start) => self.told(&start),
+            Message::SyncReceived(start) => self.told(&start),
             Message::Stop(done) => self.stopping = Some(done),
             Message::Called(service, term, from, grant, ending) => {
                 self.called(&service, term, from, grant, ending);
@@ -238,7 +238,7 @@
                 Effect::Grant(order) => self.call(service, order, true),
                 Effect::Release(order) => self.call(service, order, false),
                 Effect::Commit(record) => self.commit(service, &record),
-                Effect::Note(text) => self.log(&format!("{text} service={service}")),
+                Effect::Log(text) => self.log(&format!("{text} service={service}")),
                 Effect::Deposed => {
                     self.log(&format!(
                         "event=deposed service={service} cause=higher-fence"
@@ -249,7 +249,14 @@
         }
     }
 
-    fn called(&mut self, service: &str, term: Term, from: Point, grant: bool, ending: Ending) {
+    fn called(
+        &mut self,
+        service: &str,
+        term: Term,
+        from: ShardKey,
+        grant: bool,
+        ending: CallOutcome,
+    ) {
         if self
             .kept
             .get(service)
@@ -258,9 +265,9 @@
             return;
         }
         let event = if grant {
-            Event::Granted(from, ending)
+            Event::GrantEnded(from, ending)
         } else {
-            Event::Released(from, ending)
+            Event::ReleaseEnded(from, ending)
         };
         self.feed(service, event);
     }
@@ -281,7 +288,7 @@
         }
     }
 
-    fn call(&mut self, service: &str, order: Order, grant: bool) {
+    fn call(&mut self, service: &str, order: OwnershipCommand, grant: bool) {
         let Some(kept) = self.kept.get(service) else {
             return;
         };
--- a/engine/src/owner/manager/records.rs
+++ b/engine/src/owner/manager/records.rs
@@ -3,7 +3,7 @@
 use super::{BID_PAUSE, Kept, Manager, Message};
 use crate::{
     owner::{
-        keeper::{Event, Keeper},
+        ownership::{Event, ServiceOwnership},
         record::{Record, Term},
     },
     store::{Change, Commit, Error, Item, Revision, Transaction},
@@ -64,12 +64,13 @@
                 ));
                 return;
             }
-            None => Record::first(self.context.targets.last_point()),
+            None => Record::unowned(self.context.targets.last_point()),
         };
         let timing = self.timing;
         let now = self.now();
         let earlier = Some(record.manager.clone());
-        let (keeper, effects) = Keeper::take_over(&self.context.vm.start, record, timing, now);
+        let (keeper, effects) =
+            ServiceOwnership::take_over(&self.context.vm.start, record, timing, now);
         self.log(&format!(
             "event=takeover service={service} term={} revision={revision}",
             keeper.term()
@@ -84,7 +85,7 @@
         self.kept.insert(service.to_owned(), kept);
         self.apply(service, effects);
         let until = self.lease.map_or(now, |(_, until)| until);
-        self.feed(service, Event::Lease(until));
+        self.feed(service, Event::LeaseExtended(until));
         let fleet = self.context.beliefs.get();
         self.look_for_earlier(&fleet);
         self.show_targets(&fleet, service);
--- a/engine/src/owner/manager/news.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -6,13 +6,13 @@
 use crate::{
     catalogue::{ServiceId, TargetHash},
     fleet::Fleet,
-    owner::{calls, keeper::Event, record::Point},
+    owner::{calls, ownership::Event, record::ShardKey},
 };
 
 impl Manager {
     pub(super) fn loaded(
         &mut self,
-        counts: Vec<(ServiceId, Vec<(Point, u32)>)>,
+        counts: Vec<(ServiceId, Vec<(ShardKey, u32)>)>,
         times: &[(TargetHash, f64, u32)],
     ) {
         let now = self.now();
@@ -37,8 +37,8 @@
         let times = calls::measured(&self.times, &targets);
         let rates = calls::held(&self.rates, &targets);
         if let Some(kept) = self.kept.get_mut(service) {
-            kept.keeper.set_times(times);
-            kept.keeper.set_rates(rates);
+            kept.keeper.set_service_times(times);
+            kept.keeper.set_rate_limits(rates);
         }
         self.feed(service, Event::Load(counts));
     }
@@ -62,7 +62,7 @@
             self.log(&format!(
                 "event=earlier-manager-stopped start={start} cause=\"{cause}\""
             ));
-            self.feed(service, Event::EarlierStopped);
+            self.feed(service, Event::PredecessorStopped);
         }
     }
 
@@ -127,7 +127,7 @@
         for address in closed {
             self.log(&format!("event=target-closed address={address}"));
             for service in &services {
-                self.feed(service, Event::Closed(address));
+                self.feed(service, Event::ConnectionClosed(address));
             }
         }
     }
--- a/engine/src/owner/keeper/commit.rs
+++ b/engine/src/owner/ownership/commit.rs
@@ -4,11 +4,11 @@
 
 use indexmap::IndexMap;
 
-use super::{AGAIN, Effect, Keeper};
+use super::{AGAIN, Effect, ServiceOwnership};
 use crate::owner::{
-    balance::{self, Holder, Move},
-    live::{Live, Phase, lasting},
-    record::{Fence, Life, Part, Point, Record},
+    balance::{self, Candidate, Move},
+    range_state::{Live, Phase, lasting},
+    record::{Fence, Incarnation, KeyRange, Record, ShardKey},
 };
 
 /// The longest pause between two tries of a commit: each call to a store that is down is paid for.
@@ -29,7 +29,7 @@
     pub(super) takeover: bool,
 }
 
-impl Keeper {
+impl ServiceOwnership {
     pub(super) fn retry_commit(&mut self, now: Duration) {
         self.commit_due = Some(now + self.commit_pause);
         self.commit_pause = (self.commit_pause * 2).min(COMMIT_PAUSE_MOST);
@@ -44,9 +44,9 @@
         if pending.takeover {
             self.record = pending.record;
             // The earlier manager may have been alone just now.
-            let alone = now + lasting(self.timing.hold_alone);
+            let alone = now + lasting(self.timing.outage_duration);
             let until = alone.min(self.earlier.holds());
-            let live = self.record.parts.iter().map(|part| {
+            let live = self.record.ranges.iter().map(|part| {
                 let live = match part.owner {
                     Some(_) => Live {
                         inherited: true,
@@ -74,7 +74,7 @@
             .get(&origin)
             .and_then(|live| live.handover.clone());
         assign(&mut self.record, it, fence);
-        for part in &self.record.parts {
+        for part in &self.record.ranges {
             if !self.live.contains_key(&part.from) {
                 let rest = self.live.get(&origin).cloned().unwrap_or_else(Live::free);
                 self.live.insert(part.from, rest);
@@ -92,7 +92,7 @@
             }
             return;
         }
-        let first = self.record.parts.iter().all(|part| part.owner.is_none());
+        let first = self.record.ranges.iter().all(|part| part.owner.is_none());
         let gathering = first && now < self.started + GATHER;
         if self.pending.is_some() || gathering {
             return;
@@ -103,8 +103,8 @@
             self.pending = Some(next);
             return;
         }
-        let is_free = |part: &&Part| self.live.get(&part.from).is_some_and(Live::is_free);
-        let free: Vec<Part> = self.record.parts.iter().filter(is_free).cloned().collect();
+        let is_free = |part: &&KeyRange| self.live.get(&part.from).is_some_and(Live::is_free);
+        let free: Vec<KeyRange> = self.record.ranges.iter().filter(is_free).cloned().collect();
         let holders = self.holders(now);
         if free.is_empty() || holders.is_empty() {
             return;
@@ -127,11 +127,11 @@
         self.pending = Some(next);
     }
 
-    fn intended(&self, part: &Part, holders: &[Holder]) -> Option<Life> {
+    fn intended(&self, part: &KeyRange, holders: &[Candidate]) -> Option<Incarnation> {
         let Phase::Free(Some(life)) = &self.live.get(&part.from)?.phase else {
             return None;
         };
-        let known = holders.iter().any(|it| it.life == *life);
+        let known = holders.iter().any(|it| it.incarnation == *life);
         known.then(|| life.clone())
     }
 
@@ -155,8 +155,8 @@
 
 /// Gives a range of a record to another owner.
 fn assign(record: &mut Record, it: &Move, fence: Fence) {
-    record.cut(it.from, it.to);
-    if let Some(part) = record.parts.iter_mut().find(|part| part.from == it.from) {
+    record.split(it.from, it.to);
+    if let Some(part) = record.ranges.iter_mut().find(|part| part.from == it.from) {
         part.fence = fence;
         part.owner = Some(it.owner.clone());
     }
@@ -169,33 +169,33 @@
         manager: manager.to_owned(),
         resigned: false,
         counter: 0,
-        parts: earlier.parts,
+        ranges: earlier.ranges,
         settled: false,
     };
     let fence = record.next_fence();
-    let mut parts: Vec<Part> = Vec::new();
-    for mut part in record.parts {
+    let mut ranges: Vec<KeyRange> = Vec::new();
+    for mut part in record.ranges {
         part.fence = fence;
-        match parts.last_mut() {
+        match ranges.last_mut() {
             Some(last) if last.owner == part.owner => last.to = part.to,
-            _ => parts.push(part),
+            _ => ranges.push(part),
         }
     }
-    Record { parts, ..record }
+    Record { ranges, ..record }
 }
 
 /// Joins neighbours that are alike in owner and fence and that nothing is under way for.
-fn join(record: &mut Record, live: &mut IndexMap<Point, Live>) {
+fn join(record: &mut Record, live: &mut IndexMap<ShardKey, Live>) {
     let calm = |live: Option<&Live>| live.is_some_and(|it| it.phase == Phase::Held && !it.busy);
-    let mut parts: Vec<Part> = Vec::new();
-    for part in record.parts.drain(..) {
-        let alike = parts.last().is_some_and(|last| {
+    let mut ranges: Vec<KeyRange> = Vec::new();
+    for part in record.ranges.drain(..) {
+        let alike = ranges.last().is_some_and(|last| {
             let same = last.owner == part.owner && last.fence == part.fence;
             let fresh = live.get(&last.from).is_some_and(|it| it.handover.is_none())
                 && live.get(&part.from).is_some_and(|it| it.handover.is_none());
             same && fresh && calm(live.get(&last.from)) && calm(live.get(&part.from))
         });
-        if let Some(last) = parts.last_mut().filter(|_| alike) {
+        if let Some(last) = ranges.last_mut().filter(|_| alike) {
             last.to = part.to;
             let gone = live.shift_remove(&part.from);
             if let (Some(kept), Some(gone)) = (live.get_mut(&last.from), gone) {
@@ -204,8 +204,8 @@
                 kept.due = kept.due.min(gone.due);
             }
         } else {
-            parts.push(part);
+            ranges.push(part);
         }
     }
-    record.parts = parts;
+    record.ranges = ranges;
 }
--- a/engine/src/owner/keeper/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -18,21 +18,21 @@
 //!   of a life counts only once no earlier manager is left, or once the next life was fenced.
 //! - A grant without an answer may have arrived until the moment at which its connection was reset.
 
-mod answers;
+mod call_outcomes;
 mod commit;
-mod earlier;
 mod moves;
+mod predecessors;
 
 use std::{collections::HashSet, time::Duration};
 
 use indexmap::IndexMap;
 
-use self::{commit::Pending, earlier::Earlier, moves::Rested};
-pub use super::order::{Effect, Ending, Event, Order, Timing};
+use self::{commit::Pending, moves::Rested, predecessors::Earlier};
+pub use super::events::{CallOutcome, Effect, Event, OwnershipCommand, Timing};
 use super::{
-    live::{Live, Phase, shrunk},
     load::Load,
-    record::{Life, Point, Record, Term},
+    range_state::{Live, Phase, shrunk},
+    record::{Incarnation, Record, ShardKey, Term},
 };
 use crate::{
     catalogue::{Target, TargetId},
@@ -62,24 +62,24 @@
 /// use std::time::Duration;
 ///
 /// use bramleypier_engine::owner::{
-///     keeper::{Effect, Event, Keeper, Timing},
+///     ownership::{Effect, Event, ServiceOwnership, Timing},
 ///     record::Record,
 /// };
 ///
 /// let timing = Timing {
 ///     lease: Duration::from_secs(2),
-///     hold: Duration::from_secs(4),
-///     hold_alone: Duration::from_secs(10),
-///     renew: Duration::from_secs(1),
-///     horizon: Duration::from_secs(12),
+///     grant_duration: Duration::from_secs(4),
+///     outage_duration: Duration::from_secs(10),
+///     renew_interval: Duration::from_secs(1),
+///     latest_expiry: Duration::from_secs(12),
 /// };
 /// let now = Duration::ZERO;
-/// let (mut keeper, effects) = Keeper::take_over("vm-1", Record::first(99), timing, now);
+/// let (mut keeper, effects) = ServiceOwnership::take_over("vm-1", Record::unowned(99), timing, now);
 /// assert!(matches!(&effects[..], [Effect::Commit(record)] if record.term == 1));
 /// assert!(keeper.on(now, Event::Committed).is_empty());
 /// ```
 #[derive(Debug)]
-pub struct Keeper {
+pub struct ServiceOwnership {
     timing: Timing,
     record: Record,
     /// The commit under way.
@@ -92,9 +92,9 @@
     lease: Duration,
     /// Managers of earlier terms.
     earlier: Earlier,
-    live: IndexMap<Point, Live>,
+    live: IndexMap<ShardKey, Live>,
     targets: IndexMap<TargetId, Target>,
-    shunned: IndexMap<Life, Duration>,
+    shunned: IndexMap<Incarnation, Duration>,
     /// Until when targets bear few requests: they are cold.
     warming: IndexMap<TargetId, Duration>,
     load: Load,
@@ -111,7 +111,7 @@
     stopped: bool,
 }
 
-impl Keeper {
+impl ServiceOwnership {
     /// Takes a service over from the manager that wrote `record`.
     ///
     /// The first effect writes the record for the new term; until [`Event::Committed`] nothing is
@@ -119,7 +119,7 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
+    /// See [`ServiceOwnership`].
     pub fn take_over(
         manager: &str,
         earlier: Record,
@@ -165,7 +165,7 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
+    /// See [`ServiceOwnership`].
     pub fn record(&self) -> &Record {
         &self.record
     }
@@ -174,7 +174,7 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
+    /// See [`ServiceOwnership`].
     pub fn term(&self) -> Term {
         let pending = self.pending.as_ref().map(|it| it.record.term);
         pending.unwrap_or(self.record.term)
@@ -184,8 +184,8 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
-    pub fn set_times(&mut self, times: IndexMap<TargetId, f64>) {
+    /// See [`ServiceOwnership`].
+    pub fn set_service_times(&mut self, times: IndexMap<TargetId, f64>) {
         self.times = times;
     }
 
@@ -193,8 +193,8 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
-    pub fn set_rates(&mut self, rates: IndexMap<TargetId, Rate>) {
+    /// See [`ServiceOwnership`].
+    pub fn set_rate_limits(&mut self, rates: IndexMap<TargetId, Rate>) {
         self.rates = rates;
     }
 
@@ -202,7 +202,7 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
+    /// See [`ServiceOwnership`].
     pub fn set_warming(&mut self, warming: IndexMap<TargetId, Duration>) {
         self.warming = warming;
     }
@@ -213,7 +213,7 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
+    /// See [`ServiceOwnership`].
     pub fn resign(&mut self, now: Duration) -> Option<Record> {
         self.stopped = true;
         if self.pending.is_some() || self.live.values().any(|live| live.busy) {
@@ -229,19 +229,19 @@
     ///
     /// # Example
     ///
-    /// See [`Keeper`].
+    /// See [`ServiceOwnership`].
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
             Event::Targets(targets) => self.targets(targets),
-            Event::Granted(from, ending) => self.granted(now, from, &ending, &mut effects),
-            Event::Released(from, ending) => self.released(now, from, ending, &mut effects),
+            Event::GrantEnded(from, ending) => self.granted(now, from, &ending, &mut effects),
+            Event::ReleaseEnded(from, ending) => self.released(now, from, ending, &mut effects),
             Event::Committed => self.committed(now),
             Event::CommitFailed => self.retry_commit(now),
-            Event::Lease(until) => self.lease = until,
-            Event::EarlierStopped => self.earlier.on_stopped(now),
+            Event::LeaseExtended(until) => self.lease = until,
+            Event::PredecessorStopped => self.earlier.on_stopped(now),
             Event::Load(counts) => self.load.add(now, counts),
-            Event::Closed(address) => self.hurry(now, address),
+            Event::ConnectionClosed(address) => self.hurry(now, address),
             Event::Tick => {}
         }
         if !self.stopped {
@@ -269,7 +269,7 @@
     }
 
     fn free_lapsed(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let lapsed: Vec<Point> = self
+        let lapsed: Vec<ShardKey> = self
             .live
             .iter()
             .filter(|(_, live)| !live.busy && !matches!(live.phase, Phase::Free(_)))
@@ -290,16 +290,16 @@
     }
 
     /// The owners that are to let go: they leave, are no longer announced, or are cold while others aren't.
-    fn unfit(&self, now: Duration) -> HashSet<Life> {
+    fn unfit(&self, now: Duration) -> HashSet<Incarnation> {
         let ready = |it: &Target| !it.leaving;
         let warm = self
             .targets
             .values()
             .any(|it| ready(it) && !self.is_warming(now, &it.id));
-        let owners = self.record.parts.iter().filter_map(|it| it.owner.as_ref());
-        let stays = |owner: &Life| {
+        let owners = self.record.ranges.iter().filter_map(|it| it.owner.as_ref());
+        let stays = |owner: &Incarnation| {
             let target = self.targets.get(&owner.id);
-            let there = target.is_some_and(|it| owner.is(it) && ready(it));
+            let there = target.is_some_and(|it| owner.is_announced_by(it) && ready(it));
             there && !(warm && self.is_warming(now, &owner.id))
         };
         owners.filter(|owner| !stays(owner)).cloned().collect()
@@ -308,7 +308,7 @@
     /// Asks owners to let go that are to.
     fn empty_unfit(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let unfit = self.unfit(now);
-        for part in &self.record.parts {
+        for part in &self.record.ranges {
             let Some(live) = self.live.get_mut(&part.from) else {
                 continue;
             };
@@ -321,7 +321,7 @@
             if unfit.contains(owner) {
                 live.phase = Phase::Releasing(None);
                 live.due = now;
-                out.push(Effect::Note(format!(
+                out.push(Effect::Log(format!(
                     "event=release-begun from={} to={} owner={} announced={}",
                     part.from,
                     part.to,
@@ -336,48 +336,49 @@
     ///
     /// Without the store nobody can replace the manager, and when it goes too, keys are served only
     /// until their holds run out: so these are longer then.
-    fn hold(&self, now: Duration) -> Option<Duration> {
+    fn grant_duration(&self, now: Duration) -> Option<Duration> {
         if now + self.timing.lease.mul_f64(ALONE_PART) < self.lease {
-            return Some(self.timing.hold);
+            return Some(self.timing.grant_duration);
         }
-        let end = self.lease + self.timing.horizon;
+        let end = self.lease + self.timing.latest_expiry;
         let left = end.saturating_sub(now + LAST_GRANTS);
-        let hold = shrunk(left).min(self.timing.hold_alone);
-        (hold >= HOLD_LEAST).then_some(hold)
+        let grant_duration = shrunk(left).min(self.timing.outage_duration);
+        (grant_duration >= HOLD_LEAST).then_some(grant_duration)
     }
 
     /// Sends what is due: renewals of what is held, releases of what is to be let go.
     fn call(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let hold = self.hold(now);
-        for part in &self.record.parts {
+        let grant_duration = self.grant_duration(now);
+        for part in &self.record.ranges {
             let (Some(live), Some(owner)) = (self.live.get_mut(&part.from), &part.owner) else {
                 continue;
             };
             if live.busy || now < live.due {
                 continue;
             }
-            let order = |fence, hold, handover| Order {
+            let order = |fence, grant_duration, handover| OwnershipCommand {
                 owner: owner.clone(),
                 from: part.from,
                 to: part.to,
                 fence,
-                hold,
-                decided: now,
+                grant_duration,
+                decided_at: now,
                 handover,
             };
-            let hold = hold.and_then(|hold| bounded(now, live, hold));
-            if hold.is_none() && live.phase == Phase::Held && live.is_silent() {
+            let grant_duration =
+                grant_duration.and_then(|grant_duration| bounded(now, live, grant_duration));
+            if grant_duration.is_none() && live.phase == Phase::Held && live.is_silent() {
                 live.phase = Phase::Releasing(None);
-                out.push(Effect::Note(format!(
+                out.push(Effect::Log(format!(
                     "event=grant-silent from={}",
                     part.from
                 )));
             }
-            match (&live.phase, hold) {
-                (Phase::Held, Some(hold)) => {
+            match (&live.phase, grant_duration) {
+                (Phase::Held, Some(grant_duration)) => {
                     live.busy = true;
-                    live.hold = hold;
-                    let order = order(part.fence, hold, live.handover.clone());
+                    live.grant_duration = grant_duration;
+                    let order = order(part.fence, grant_duration, live.handover.clone());
                     out.push(Effect::Grant(order));
                 }
                 (Phase::Releasing(_), _) => {
@@ -395,12 +396,12 @@
 ///
 /// A dark owner's range waits for the last grant that may have arrived: each one that is sent while it is
 /// silent makes it wait longer.
-fn bounded(now: Duration, live: &Live, hold: Duration) -> Option<Duration> {
+fn bounded(now: Duration, live: &Live, grant_duration: Duration) -> Option<Duration> {
     let until = match live.until {
-        None => return Some(hold.min(HOLD_FIRST)),
-        Some(_) if !live.is_silent() => return Some(hold),
+        None => return Some(grant_duration.min(HOLD_FIRST)),
+        Some(_) if !live.is_silent() => return Some(grant_duration),
         Some(until) => until,
     };
     let left = shrunk(until.saturating_sub(now + LAST_GRANTS));
-    (left >= HOLD_ASKING).then(|| left.min(hold))
+    (left >= HOLD_ASKING).then(|| left.min(grant_duration))
 }
--- a/engine/src/owner/keeper/moves.rs
+++ b/engine/src/owner/ownership/moves.rs
@@ -7,14 +7,14 @@
 
 use std::{collections::HashSet, time::Duration};
 
-use super::{Effect, Keeper};
+use super::{Effect, ServiceOwnership};
 use crate::{
     owner::{
-        balance::{self, Holder, Move},
-        deal,
-        live::{Live, Phase},
+        balance::{self, Candidate, Move},
         load::Load,
-        record::Life,
+        range_state::{Live, Phase},
+        record::Incarnation,
+        redistribution,
     },
     place::rates,
 };
@@ -57,14 +57,14 @@
 impl Rested {
     /// Returns whether the keys are so much busier that what was known when they moved is void.
     fn has_grown(&self, load: &Load) -> bool {
-        let rate = load.sum(self.keys.from, self.keys.to);
+        let rate = load.rate(self.keys.from, self.keys.to);
         rate > self.rate * GROWN + GROWN_LEAST
     }
 }
 
-impl Keeper {
+impl ServiceOwnership {
     /// Returns the targets that may own keys.
-    pub(super) fn holders(&self, now: Duration) -> Vec<Holder> {
+    pub(super) fn holders(&self, now: Duration) -> Vec<Candidate> {
         let usual = median(self.times.values().copied().collect()).unwrap_or(USUAL_TIME);
         let ready = self.targets.values().filter(|it| !it.leaving);
         let holders = ready.map(|it| {
@@ -72,15 +72,15 @@
             let cold = if it.cold.is_zero() { 1.0 } else { COLD_POWER };
             let power = it.slots.max(1) as f64 / time * cold;
             let rate = self.rates.get(&it.id).copied();
-            Holder {
-                life: Life::of(it),
-                power: rate.map_or(power, |rate| power.min(rates::sent_at(rate))),
+            Candidate {
+                incarnation: Incarnation::of(it),
+                capacity: rate.map_or(power, |rate| power.min(rates::sent_at(rate))),
             }
         });
-        let shunned = |life: &Life| self.shunned.get(life).is_some_and(|until| now < *until);
+        let shunned = |life: &Incarnation| self.shunned.get(life).is_some_and(|until| now < *until);
         let silent = self.silent();
         let (bad, good): (Vec<_>, Vec<_>) = holders.partition(|it| {
-            let life = &it.life;
+            let life = &it.incarnation;
             shunned(life) || silent.contains(life) || self.is_warming(now, &life.id)
         });
         if good.is_empty() { bad } else { good }
@@ -89,8 +89,8 @@
     /// Returns the owners that did not answer when they were last called.
     ///
     /// One that is dark stays announced for a while, and looks idle.
-    fn silent(&self) -> HashSet<&Life> {
-        let parts = self.record.parts.iter();
+    fn silent(&self) -> HashSet<&Incarnation> {
+        let parts = self.record.ranges.iter();
         let silent = parts.filter(|part| self.live.get(&part.from).is_some_and(Live::is_silent));
         silent.filter_map(|part| part.owner.as_ref()).collect()
     }
@@ -108,15 +108,15 @@
         let calm = self.live.values().all(|live| live.phase == Phase::Held);
         self.balanced = now;
         let holders = self.holders(now);
-        let fastest = holders.iter().map(|it| it.power).fold(0.0, f64::max);
+        let fastest = holders.iter().map(|it| it.capacity).fold(0.0, f64::max);
         let load = self.load.capped(fastest);
         self.moved
             .retain(|it| now < it.until && !it.has_grown(&load));
         if calm && now >= self.dealt + DEAL_PAUSE {
-            let moves = deal::anew(&self.record, &holders, &load);
+            let moves = redistribution::plan(&self.record, &holders, &load);
             if !moves.is_empty() {
                 self.dealt = now;
-                out.push(Effect::Note(format!(
+                out.push(Effect::Log(format!(
                     "event=dealt-anew moves={}",
                     moves.len()
                 )));
@@ -127,7 +127,7 @@
             }
         }
         let resting: Vec<Move> = self.moved.iter().map(|it| it.keys.clone()).collect();
-        for it in balance::even(&self.record, &holders, &load, &resting) {
+        for it in balance::plan(&self.record, &holders, &load, &resting) {
             self.begin(now, it, REST, out);
         }
     }
@@ -149,12 +149,12 @@
             return;
         }
         let whole = self.live[&from].clone();
-        self.record.cut(it.from, it.to);
-        for part in &self.record.parts {
+        self.record.split(it.from, it.to);
+        for part in &self.record.ranges {
             self.live.entry(part.from).or_insert_with(|| whole.clone());
         }
-        let rate = self.load.sum(it.from, it.to);
-        out.push(Effect::Note(format!(
+        let rate = self.load.rate(it.from, it.to);
+        out.push(Effect::Log(format!(
             "event=move-begun from={} to={} owner={} load={rate:.1}",
             it.from, it.to, it.owner.id,
         )));
--- a/engine/src/owner/keeper/earlier.rs
+++ b/engine/src/owner/ownership/predecessors.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{LAST_GRANTS, Timing};
-use crate::owner::{live::lasting, record::Record};
+use crate::owner::{range_state::lasting, record::Record};
 
 /// Until when managers before this one may send grants, and until when those may hold.
 #[derive(Clone, Copy, Debug)]
@@ -12,7 +12,7 @@
     holds: Duration,
     /// Whether the manager before this one knew that those before it had stopped.
     settled: bool,
-    hold_alone: Duration,
+    outage_duration: Duration,
 }
 
 impl Earlier {
@@ -21,11 +21,11 @@
         let first = record.term == 0;
         let settled = first || record.settled;
         let stopped = first || record.resigned && settled;
-        let horizon = now + timing.horizon;
+        let horizon = now + timing.latest_expiry;
         let holds = if first {
             now
         } else if stopped {
-            now + lasting(timing.hold_alone)
+            now + lasting(timing.outage_duration)
         } else {
             horizon
         };
@@ -33,7 +33,7 @@
             sends: if stopped { now } else { horizon },
             holds,
             settled,
-            hold_alone: timing.hold_alone,
+            outage_duration: timing.outage_duration,
         }
     }
 
@@ -46,7 +46,7 @@
         }
         let last = now + LAST_GRANTS;
         self.sends = self.sends.min(last);
-        self.holds = self.holds.min(last + lasting(self.hold_alone));
+        self.holds = self.holds.min(last + lasting(self.outage_duration));
     }
 
     /// Returns whether none of them sends grants any more.
--- a/engine/src/owner/packed.rs
+++ b/engine/src/owner/packed.rs
@@ -6,11 +6,11 @@
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
-use super::record::{Error, Fence, Life, Part, Point, Record, Term};
+use super::record::{Error, Fence, Incarnation, KeyRange, Record, ShardKey, Term};
 
 /// A range; it begins where the one before it ends.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct PackedPart {
+struct PackedRange {
     width: u64,
     fence: Fence,
     /// The owner's place in the table.
@@ -25,19 +25,20 @@
     resigned: bool,
     settled: bool,
     counter: u64,
-    owners: Vec<Life>,
-    parts: Vec<PackedPart>,
+    owners: Vec<Incarnation>,
+    #[serde(rename = "parts")]
+    ranges: Vec<PackedRange>,
 }
 
 impl From<&Record> for Packed {
     fn from(record: &Record) -> Self {
-        let mut owners: IndexSet<&Life> = IndexSet::new();
-        let parts = record.parts.iter().map(|part| PackedPart {
+        let mut owners: IndexSet<&Incarnation> = IndexSet::new();
+        let ranges = record.ranges.iter().map(|part| PackedRange {
             width: part.width(),
             fence: part.fence,
             owner: part.owner.as_ref().map(|life| owners.insert_full(life).0),
         });
-        let parts = parts.collect();
+        let ranges = ranges.collect();
         Self {
             term: record.term,
             manager: record.manager.clone(),
@@ -45,7 +46,7 @@
             settled: record.settled,
             counter: record.counter,
             owners: owners.into_iter().cloned().collect(),
-            parts,
+            ranges,
         }
     }
 }
@@ -55,20 +56,20 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unsound`] when a range has no width, goes beyond the last number, or names no owner
+    /// [`Error::InvalidRange`] when a range has no width, goes beyond the last number, or names no owner
     /// of the table.
     pub(super) fn unpack(self) -> Result<Record, Error> {
-        let mut from: Point = 0;
-        let mut parts = Vec::with_capacity(self.parts.len());
-        for (place, part) in self.parts.iter().enumerate() {
+        let mut from: ShardKey = 0;
+        let mut ranges = Vec::with_capacity(self.ranges.len());
+        for (place, part) in self.ranges.iter().enumerate() {
             let last = part.width.checked_sub(1);
             let to = last.and_then(|last| from.checked_add(last));
-            let to = to.ok_or(Error::Unsound(place))?;
+            let to = to.ok_or(Error::InvalidRange(place))?;
             let owner = match part.owner {
-                Some(index) => Some(self.owners.get(index).ok_or(Error::Unsound(place))?),
+                Some(index) => Some(self.owners.get(index).ok_or(Error::InvalidRange(place))?),
                 None => None,
             };
-            parts.push(Part {
+            ranges.push(KeyRange {
                 from,
                 to,
                 fence: part.fence,
@@ -81,7 +82,7 @@
             manager: self.manager,
             resigned: self.resigned,
             counter: self.counter,
-            parts,
+            ranges,
             settled: self.settled,
         })
     }
--- a/engine/src/owner/live.rs
+++ b/engine/src/owner/range_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::record::Life;
+use super::record::Incarnation;
 
 /// How much slower than true a target's clock may run, as a factor on holds.
 const DRIFT: f64 = 1.03;
@@ -10,8 +10,8 @@
 const MARGIN: Duration = Duration::from_millis(100);
 
 /// How long a hold may last by this VM's clock.
-pub(super) fn lasting(hold: Duration) -> Duration {
-    hold.mul_f64(DRIFT) + MARGIN
+pub(super) fn lasting(grant_duration: Duration) -> Duration {
+    grant_duration.mul_f64(DRIFT) + MARGIN
 }
 
 /// The hold that lasts for so long at the most; the inverse of [`lasting`].
@@ -25,9 +25,9 @@
     /// The owner is to hold the range.
     Held,
     /// The owner is asked to let go, in favour of this life if any.
-    Releasing(Option<Life>),
+    Releasing(Option<Incarnation>),
     /// Nobody holds the range.
-    Free(Option<Life>),
+    Free(Option<Incarnation>),
 }
 
 /// What is known of a range beside its record.
@@ -43,7 +43,7 @@
     /// When the last grant that can have arrived runs out for certain; none if none was sent.
     pub(super) until: Option<Duration>,
     /// The hold of the grant that was sent last.
-    pub(super) hold: Duration,
+    pub(super) grant_duration: Duration,
     /// When the next call is due.
     pub(super) due: Duration,
     /// Calls in a row without an answer.
@@ -61,7 +61,7 @@
             confirmed: false,
             inherited: false,
             until: None,
-            hold: Duration::ZERO,
+            grant_duration: Duration::ZERO,
             due: Duration::ZERO,
             silences: 0,
             unsent: 0,
@@ -81,7 +81,7 @@
 
     /// Takes note that the grant sent last may have arrived until now.
     pub(super) fn extend(&mut self, now: Duration) {
-        self.until = self.until.max(Some(now + lasting(self.hold)));
+        self.until = self.until.max(Some(now + lasting(self.grant_duration)));
     }
 
     /// Returns whether the owner did not answer when it was last called.
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -9,7 +9,7 @@
 use crate::catalogue::{Born, Target, TargetId};
 
 /// A key's place.
-pub type Point = u64;
+pub type ShardKey = u64;
 /// A fencing token; a target refuses a grant below one that it has seen.
 pub type Fence = u64;
 /// A manager's turn; each takeover adds one.
@@ -28,7 +28,7 @@
             source(cause)
         }
         /// A range is empty or has an owner that isn't there.
-        Unsound(place: usize) {
+        InvalidRange(place: usize) {
             display("step=decode peer=record cause=range {place} is unsound")
         }
     }
@@ -37,30 +37,31 @@
 /// One life of a target, as an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Life {
+pub struct Incarnation {
     /// The target's id.
     pub id: TargetId,
     /// When the life began.
-    pub born: Born,
+    #[serde(rename = "born")]
+    pub start_time: Born,
     /// Where it answers.
     pub address: SocketAddr,
 }
 
-impl Life {
+impl Incarnation {
     /// Returns the life that a target announced.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::owner::record::Life;
+    /// use bramleypier_engine::owner::record::Incarnation;
     ///
-    /// let life = Life { id: "a".into(), born: 1, address: "127.0.0.1:1".parse().unwrap() };
+    /// let life = Incarnation { id: "a".into(), start_time: 1, address: "127.0.0.1:1".parse().unwrap() };
     /// assert_eq!(life, life.clone());
     /// ```
     pub fn of(target: &Target) -> Self {
         Self {
             id: target.id.clone(),
-            born: target.born,
+            start_time: target.born,
             address: target.address,
         }
     }
@@ -69,34 +70,34 @@
     ///
     /// # Example
     ///
-    /// See [`Life::of`].
-    pub fn is(&self, target: &Target) -> bool {
-        self.id == target.id && self.born == target.born
+    /// See [`Incarnation::of`].
+    pub fn is_announced_by(&self, target: &Target) -> bool {
+        self.id == target.id && self.start_time == target.born
     }
 }
 
 /// A range of keys with its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct KeyRange {
     /// The first key.
-    pub from: Point,
+    pub from: ShardKey,
     /// The last key.
-    pub to: Point,
+    pub to: ShardKey,
     /// The fence of the owner's grant.
     pub fence: Fence,
     /// The owner; none while nobody may be granted the range.
-    pub owner: Option<Life>,
+    pub owner: Option<Incarnation>,
 }
 
-impl Part {
+impl KeyRange {
     /// Returns how many keys the range has.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::owner::record::Part;
+    /// use bramleypier_engine::owner::record::KeyRange;
     ///
-    /// let part = Part { from: 4, to: 7, fence: 1, owner: None };
+    /// let part = KeyRange { from: 4, to: 7, fence: 1, owner: None };
     /// assert_eq!(part.width(), 4);
     /// ```
     pub fn width(&self) -> u64 {
@@ -116,7 +117,7 @@
     /// How many fences this term has used.
     pub counter: u64,
     /// The ranges in order; they cover all keys.
-    pub parts: Vec<Part>,
+    pub ranges: Vec<KeyRange>,
     /// Whether all managers of earlier terms have stopped for good.
     pub settled: bool,
 }
@@ -129,17 +130,17 @@
     /// ```
     /// use bramleypier_engine::owner::record::Record;
     ///
-    /// assert_eq!(Record::first(65_535).parts[0].width(), 65_536);
+    /// assert_eq!(Record::unowned(65_535).parts[0].width(), 65_536);
     /// ```
-    pub fn first(last: Point) -> Self {
-        let whole = Part {
+    pub fn unowned(last: ShardKey) -> Self {
+        let whole = KeyRange {
             from: 0,
             to: last,
             fence: 0,
             owner: None,
         };
         Self {
-            parts: vec![whole],
+            ranges: vec![whole],
             ..Self::default()
         }
     }
@@ -151,7 +152,7 @@
     /// ```
     /// use bramleypier_engine::owner::record::Record;
     ///
-    /// let mut record = Record::first(9);
+    /// let mut record = Record::unowned(9);
     /// assert!(record.next_fence() < record.next_fence());
     /// ```
     pub fn next_fence(&mut self) -> Fence {
@@ -166,12 +167,12 @@
     /// ```
     /// use bramleypier_engine::owner::record::Record;
     ///
-    /// assert_eq!(Record::first(9).find(3).unwrap().to, 9);
-    /// assert!(Record::first(9).find(10).is_none());
+    /// assert_eq!(Record::unowned(9).find(3).unwrap().to, 9);
+    /// assert!(Record::unowned(9).find(10).is_none());
     /// ```
-    pub fn find(&self, point: Point) -> Option<&Part> {
-        let index = self.parts.partition_point(|part| part.to < point);
-        self.parts.get(index).filter(|part| part.from <= point)
+    pub fn find(&self, point: ShardKey) -> Option<&KeyRange> {
+        let index = self.ranges.partition_point(|part| part.to < point);
+        self.ranges.get(index).filter(|part| part.from <= point)
     }
 
     /// Cuts ranges so that one begins at `from` and one ends at `to`.
@@ -183,21 +184,21 @@
     /// ```
     /// use bramleypier_engine::owner::record::Record;
     ///
-    /// let mut record = Record::first(9);
-    /// record.cut(3, 5);
-    /// let bounds: Vec<_> = record.parts.iter().map(|part| (part.from, part.to)).collect();
+    /// let mut record = Record::unowned(9);
+    /// record.split(3, 5);
+    /// let bounds: Vec<_> = record.ranges.iter().map(|part| (part.from, part.to)).collect();
     /// assert_eq!(bounds, [(0, 2), (3, 5), (6, 9)]);
     /// ```
-    pub fn cut(&mut self, from: Point, to: Point) {
+    pub fn split(&mut self, from: ShardKey, to: ShardKey) {
         self.cut_before(from);
         if let Some(next) = to.checked_add(1) {
             self.cut_before(next);
         }
     }
 
-    fn cut_before(&mut self, point: Point) {
-        let index = self.parts.partition_point(|part| part.to < point);
-        let Some(part) = self.parts.get_mut(index) else {
+    fn cut_before(&mut self, point: ShardKey) {
+        let index = self.ranges.partition_point(|part| part.to < point);
+        let Some(part) = self.ranges.get_mut(index) else {
             return;
         };
         if part.from >= point {
@@ -206,7 +207,7 @@
         let mut rest = part.clone();
         rest.from = point;
         part.to = point - 1;
-        self.parts.insert(index + 1, rest);
+        self.ranges.insert(index + 1, rest);
     }
 
     /// Encodes the record for the store.
@@ -216,7 +217,7 @@
     /// ```
     /// use bramleypier_engine::owner::record::Record;
     ///
-    /// let record = Record::first(9);
+    /// let record = Record::unowned(9);
     /// assert_eq!(Record::decode(&record.encode()).unwrap(), record);
     /// ```
     pub fn encode(&self) -> Vec<u8> {
@@ -228,7 +229,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] when the bytes are no record, [`Error::Unsound`] when it makes no sense.
+    /// [`Error::Unreadable`] when the bytes are no record, [`Error::InvalidRange`] when it makes no sense.
     ///
     /// # Example
     ///
--- a/engine/src/owner/deal.rs
+++ b/engine/src/owner/redistribution.rs
@@ -14,9 +14,9 @@
 use std::collections::HashMap;
 
 use super::{
-    balance::{Holder, Move},
+    balance::{Candidate, Move},
     load::Load,
-    record::{Life, Point, Record},
+    record::{Incarnation, Record, ShardKey},
 };
 
 /// From how many requests on the load is taken as known: with fifteen targets, three each.
@@ -42,33 +42,33 @@
 /// use std::time::Duration;
 ///
 /// use bramleypier_engine::owner::{
-///     balance::Holder,
-///     deal,
+///     balance::Candidate,
+///     redistribution,
 ///     load::Load,
-///     record::{Life, Part, Record},
+///     record::{Incarnation, KeyRange, Record},
 /// };
 ///
-/// let life = |id: &str| Life { id: id.into(), born: 0, address: "127.0.0.1:1".parse().unwrap() };
-/// let part = |from, to, id| Part { from, to, fence: 1, owner: Some(life(id)) };
-/// let record = Record { parts: vec![part(0, 49, "a"), part(50, 99, "b")], ..Record::default() };
-/// let holders = ["a", "b"].map(|id| Holder { life: life(id), power: 20.0 });
+/// let life = |id: &str| Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() };
+/// let part = |from, to, id| KeyRange { from, to, fence: 1, owner: Some(life(id)) };
+/// let record = Record { ranges: vec![part(0, 49, "a"), part(50, 99, "b")], ..Record::default() };
+/// let holders = ["a", "b"].map(|id| Candidate { incarnation: life(id), capacity: 20.0 });
 /// let mut load = Load::default();
 /// load.add(Duration::ZERO, (0..20).map(|key| (key, 6)));
-/// let moves = deal::anew(&record, &holders, &load);
+/// let moves = redistribution::plan(&record, &holders, &load);
 /// assert_eq!(moves.len(), 1);
 /// assert!(moves[0].from < 20 && moves[0].to == 49);
 /// ```
-pub fn anew(record: &Record, holders: &[Holder], load: &Load) -> Vec<Move> {
-    let total = load.sum(0, Point::MAX);
-    let power: f64 = holders.iter().map(|it| it.power).sum();
+pub fn plan(record: &Record, holders: &[Candidate], load: &Load) -> Vec<Move> {
+    let total = load.rate(0, ShardKey::MAX);
+    let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
     let uneven = excess(record, holders, load) > total * EXCESS;
-    if load.counted() < COUNTED_LEAST || total < power * USED_LEAST || !uneven {
+    if load.request_count() < COUNTED_LEAST || total < capacity * USED_LEAST || !uneven {
         return Vec::new();
     }
-    let Some(last) = record.parts.last().map(|part| part.to) else {
+    let Some(last) = record.ranges.last().map(|part| part.to) else {
         return Vec::new();
     };
-    let bounds = cut(&ordered(record, holders), last, load, total, power);
+    let bounds = cut(&ordered(record, holders), last, load, total, capacity);
     let mut moves = Vec::new();
     for (from, to, owner) in bounds {
         changed(record, from, to, &owner, &mut moves);
@@ -77,60 +77,60 @@
 }
 
 /// The rate that lies above its holder's part.
-fn excess(record: &Record, holders: &[Holder], load: &Load) -> f64 {
-    let mut rates: HashMap<&Life, f64> = HashMap::new();
-    for part in &record.parts {
+fn excess(record: &Record, holders: &[Candidate], load: &Load) -> f64 {
+    let mut rates: HashMap<&Incarnation, f64> = HashMap::new();
+    for part in &record.ranges {
         if let Some(life) = &part.owner {
-            *rates.entry(life).or_default() += load.sum(part.from, part.to);
+            *rates.entry(life).or_default() += load.rate(part.from, part.to);
         }
     }
     let total: f64 = rates.values().sum();
-    let power: f64 = holders.iter().map(|it| it.power).sum();
-    let above = |it: &Holder| {
-        let rate = rates.get(&it.life).copied().unwrap_or(0.0);
+    let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
+    let above = |it: &Candidate| {
+        let rate = rates.get(&it.incarnation).copied().unwrap_or(0.0);
         // What one key has can't be spread.
-        (rate - total * it.power / power * TOLERANCE).max(0.0)
+        (rate - total * it.capacity / capacity * TOLERANCE).max(0.0)
     };
     holders.iter().map(above).sum()
 }
 
 /// Holders in the order of the middle of their keys.
-fn ordered<'a>(record: &Record, holders: &'a [Holder]) -> Vec<&'a Holder> {
-    let middle = |it: &Holder| {
+fn ordered<'a>(record: &Record, holders: &'a [Candidate]) -> Vec<&'a Candidate> {
+    let middle = |it: &Candidate| {
         let own = record
-            .parts
+            .ranges
             .iter()
-            .filter(|part| part.owner.as_ref() == Some(&it.life));
+            .filter(|part| part.owner.as_ref() == Some(&it.incarnation));
         let (sum, keys) = own.fold((0.0, 0.0), |(sum, keys), part| {
             let width = part.width() as f64;
             (sum + width * (part.from as f64 + width / 2.0), keys + width)
         });
         if keys > 0.0 { sum / keys } else { f64::MAX }
     };
-    let mut sorted: Vec<&Holder> = holders.iter().collect();
+    let mut sorted: Vec<&Candidate> = holders.iter().collect();
     sorted.sort_by(|a, b| middle(a).total_cmp(&middle(b)));
     sorted
 }
 
 /// Cuts all keys into one run for each holder, by load and a little by width.
 fn cut(
-    holders: &[&Holder],
-    last: Point,
+    holders: &[&Candidate],
+    last: ShardKey,
     load: &Load,
     total: f64,
-    power: f64,
-) -> Vec<(Point, Point, Life)> {
+    capacity: f64,
+) -> Vec<(ShardKey, ShardKey, Incarnation)> {
     let keys = last as f64 + 1.0;
     let per_key = total * EVEN_PART / (1.0 - EVEN_PART) / keys;
     let whole = total + per_key * keys;
-    let busy = load.keys(0, last);
+    let busy = load.key_rates(0, last);
     let mut bounds = Vec::new();
     let mut from = 0;
     let mut next = 0;
     let mut given = 0.0;
     let mut wanted = 0.0;
     for (at, holder) in holders.iter().enumerate() {
-        wanted += whole * holder.power / power;
+        wanted += whole * holder.capacity / capacity;
         let mut to = last;
         if at + 1 < holders.len() {
             let mut point = from;
@@ -139,7 +139,7 @@
                 let (key, rate) = busy.get(next).copied().unwrap_or((last + 1, 0.0));
                 let gap = (key.saturating_sub(point)) as f64 * per_key;
                 if given + gap >= wanted {
-                    let steps = ((wanted - given) / per_key).max(0.0) as Point;
+                    let steps = ((wanted - given) / per_key).max(0.0) as ShardKey;
                     given += steps as f64 * per_key;
                     point = (point + steps).min(last);
                     break;
@@ -162,16 +162,22 @@
         if from > last {
             break;
         }
-        bounds.push((from, to.min(last), holder.life.clone()));
+        bounds.push((from, to.min(last), holder.incarnation.clone()));
         from = to + 1;
     }
     bounds
 }
 
 /// The pieces of a run that belong to others.
-fn changed(record: &Record, from: Point, to: Point, owner: &Life, moves: &mut Vec<Move>) {
+fn changed(
+    record: &Record,
+    from: ShardKey,
+    to: ShardKey,
+    owner: &Incarnation,
+    moves: &mut Vec<Move>,
+) {
     let within = record
-        .parts
+        .ranges
         .iter()
         .filter(|part| part.from <= to && from <= part.to);
     for part in within.filter(|part| part.owner.as_ref() != Some(owner)) {
--- a/engine/src/owner/times.rs
+++ b/engine/src/owner/service_times.rs
@@ -33,29 +33,29 @@
     at: Duration,
 }
 
-/// Times that one request takes, without waiting, by target.
+/// ServiceTimes that one request takes, without waiting, by target.
 ///
 /// # Example
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::owner::times::Times;
+/// use bramleypier_engine::owner::service_times::ServiceTimes;
 ///
-/// let mut times = Times::default();
+/// let mut times = ServiceTimes::default();
 /// times.add(Duration::from_secs(1), 7, 1.2, 20);
 /// assert_eq!(times.mean(7), Some(0.06));
 /// assert_eq!(times.mean(8), None);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Times(HashMap<TargetHash, Total>);
+pub struct ServiceTimes(HashMap<TargetHash, Total>);
 
-impl Times {
+impl ServiceTimes {
     /// Takes in the sum in seconds and the count of some measurements.
     ///
     /// # Example
     ///
-    /// See [`Times`].
+    /// See [`ServiceTimes`].
     pub fn add(&mut self, now: Duration, target: TargetHash, sum: f64, count: u32) {
         let total = self.0.entry(target).or_default();
         let passed = now.saturating_sub(total.at).as_secs_f64();
@@ -78,7 +78,7 @@
     ///
     /// # Example
     ///
-    /// See [`Times`].
+    /// See [`ServiceTimes`].
     pub fn mean(&self, target: TargetHash) -> Option<f64> {
         let total = self.0.get(&target)?;
         (total.count >= LEAST).then(|| (total.sum / total.weight).max(0.001))
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -69,7 +69,7 @@
     /// Tells how a VM stands that believes this of the fleet.
     fn of(context: &Context, fleet: &Fleet) -> Self {
         let services = fleet.records.iter().map(|(name, recorded)| {
-            let parts = &recorded.record.parts;
+            let parts = &recorded.record.ranges;
             let owned = Owned {
                 term: recorded.record.term,
                 ranges: parts.len(),
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -25,7 +25,7 @@
 use crate::{
     catalogue::{ServiceId, TargetHash},
     fleet::{Place, Relay},
-    owner::record::Point,
+    owner::record::ShardKey,
     place::{
         rates::RateNews,
         share::{Queue, Share},
@@ -73,7 +73,7 @@
     /// How far it has followed the store itself, by prefix; empty once it follows the journal.
     pub followed: IndexMap<String, Revision>,
     /// Requests by service and key since the last message.
-    pub counts: Vec<(ServiceId, Vec<(Point, u32)>)>,
+    pub counts: Vec<(ServiceId, Vec<(ShardKey, u32)>)>,
     /// Sums and counts of service times without waiting, in seconds, since the last message.
     pub times: Vec<(TargetHash, f64, u32)>,
     /// The rates that targets have named to it, or to others as it was told.
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -129,7 +129,7 @@
         if self.leading.get() && message.knows {
             let _ = self
                 .manager
-                .unbounded_send(manager::Message::Told(message.start.clone()));
+                .unbounded_send(manager::Message::SyncReceived(message.start.clone()));
         }
         // Who isn't the manager tells what it knows too, however old: a VM that starts while nobody
         // reaches the store could serve nothing otherwise, and no belief goes back by it.
--- a/engine/src/place/desk/choose.rs
+++ b/engine/src/place/desk/choose.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     catalogue::{Target, TargetId},
-    owner::record::{Point, Record},
+    owner::record::{Record, ShardKey},
     place::{
         member::{Member, UNKNOWN_TIME},
         share::Share,
@@ -68,7 +68,7 @@
         now: Duration,
         ask: &Ask,
         standing: Standing,
-        point: Point,
+        point: ShardKey,
         record: &Record,
     ) -> Choice {
         let Some(part) = record.find(point) else {
@@ -89,7 +89,7 @@
         }
         let member = part.owner.as_ref().and_then(|life| {
             let member = self.members.get(&life.id);
-            member.filter(|it| life.is(&it.target))
+            member.filter(|it| life.is_announced_by(&it.target))
         });
         let Some(member) = member else {
             return self.unowned(now, ask);
--- a/engine/src/place/end.rs
+++ b/engine/src/place/end.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    owner::record::{Fence, Point},
+    owner::record::{Fence, ShardKey},
     target::LoadReport,
 };
 
@@ -40,5 +40,5 @@
     /// The load that the target reported.
     pub load: Option<LoadReport>,
     /// The request's key and the fence of its owner, where its service has owners.
-    pub owned: Option<(Point, Fence)>,
+    pub owned: Option<(ShardKey, Fence)>,
 }
--- a/engine/src/place/message.rs
+++ b/engine/src/place/message.rs
@@ -18,7 +18,7 @@
 use crate::{
     catalogue::{ServiceId, Target, TargetHash, TargetId, Warmup},
     fleet::VmId,
-    owner::record::{Fence, Part, Point, Record},
+    owner::record::{Fence, KeyRange, Record, ShardKey},
     target::Rate,
 };
 
@@ -33,7 +33,7 @@
     /// The service.
     pub service: ServiceId,
     /// The key, where the service's keys have owners.
-    pub point: Option<Point>,
+    pub point: Option<ShardKey>,
     /// Its rank; 0 is the highest.
     pub priority: u32,
     /// When it came.
@@ -54,7 +54,7 @@
 
 impl Ask {
     /// Returns whether a range's owner has refused the request at its present fence.
-    pub(super) fn refused_by(&self, part: &Part) -> bool {
+    pub(super) fn refused_by(&self, part: &KeyRange) -> bool {
         let Some(owner) = &part.owner else {
             return false;
         };
@@ -136,7 +136,7 @@
     /// The target that was looked at, if there was one.
     pub target: TargetId,
     /// The request's key, where its service has owners.
-    pub point: Option<Point>,
+    pub point: Option<ShardKey>,
     /// How many requests were probably there.
     pub depth: f64,
     /// How long an answer would probably have taken.
--- a/engine/src/place/unowned.rs
+++ b/engine/src/place/unowned.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     catalogue::ServiceId,
-    owner::record::{Fence, Part, Point},
+    owner::record::{Fence, KeyRange, ShardKey},
 };
 
 /// How long a key whose owner has refused it counts as moving at first, unless a newer owner is known.
@@ -28,7 +28,7 @@
 const MOVE_MOST: Duration = Duration::from_millis(400);
 
 /// A range of keys, by service and its first key.
-type RangeId = (ServiceId, Point);
+type RangeId = (ServiceId, ShardKey);
 
 /// When something that was refused may be asked for again.
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 struct Refused {
     fence: Fence,
-    keys: HashMap<Point, Asking>,
+    keys: HashMap<ShardKey, Asking>,
     /// How many refusals came in a row.
     count: u32,
     all: Option<Asking>,
@@ -78,12 +78,12 @@
 /// use std::time::Duration;
 ///
 /// use bramleypier_engine::{
-///     owner::record::Part,
+///     owner::record::KeyRange,
 ///     place::unowned::{Standing, Unowned},
 /// };
 ///
 /// let ms = Duration::from_millis;
-/// let part = Part { from: 0, to: 9, fence: 5, owner: None };
+/// let part = KeyRange { from: 0, to: 9, fence: 5, owner: None };
 /// let mut unowned = Unowned::default();
 /// unowned.refused(ms(0), "s", &part, 7);
 /// assert_eq!(unowned.standing(ms(50), "s", &part, 7), Standing::Moving);
@@ -103,7 +103,13 @@
     /// # Example
     ///
     /// See [`Unowned`].
-    pub fn standing(&self, now: Duration, service: &str, part: &Part, point: Point) -> Standing {
+    pub fn standing(
+        &self,
+        now: Duration,
+        service: &str,
+        part: &KeyRange,
+        point: ShardKey,
+    ) -> Standing {
         let Some(range) = self.range(service, part) else {
             return Standing::Open;
         };
@@ -121,7 +127,7 @@
     /// # Example
     ///
     /// See [`Unowned`].
-    pub fn sent(&mut self, now: Duration, service: &str, part: &Part, point: Point) {
+    pub fn sent(&mut self, now: Duration, service: &str, part: &KeyRange, point: ShardKey) {
         if self.ranges.is_empty() {
             return;
         }
@@ -142,7 +148,7 @@
     /// # Example
     ///
     /// See [`Unowned`].
-    pub fn refused(&mut self, now: Duration, service: &str, part: &Part, point: Point) {
+    pub fn refused(&mut self, now: Duration, service: &str, part: &KeyRange, point: ShardKey) {
         let fresh = || Refused {
             fence: part.fence,
             keys: HashMap::new(),
@@ -170,17 +176,17 @@
     /// use std::time::Duration;
     ///
     /// use bramleypier_engine::{
-    ///     owner::record::Part,
+    ///     owner::record::KeyRange,
     ///     place::unowned::{Standing, Unowned},
     /// };
     ///
-    /// let part = Part { from: 0, to: 9, fence: 5, owner: None };
+    /// let part = KeyRange { from: 0, to: 9, fence: 5, owner: None };
     /// let mut unowned = Unowned::default();
     /// unowned.refused(Duration::ZERO, "s", &part, 7);
     /// unowned.taken("s", &part, 7);
     /// assert_eq!(unowned.standing(Duration::ZERO, "s", &part, 7), Standing::Open);
     /// ```
-    pub fn taken(&mut self, service: &str, part: &Part, point: Point) {
+    pub fn taken(&mut self, service: &str, part: &KeyRange, point: ShardKey) {
         let id = (service.to_owned(), part.from);
         let Some(range) = self.ranges.get_mut(&id) else {
             return;
@@ -199,14 +205,14 @@
     /// Forgets ranges that have changed; `find` returns the range of a key as it stands now.
     pub fn keep<'a, F>(&mut self, find: F)
     where
-        F: Fn(&str, Point) -> Option<&'a Part>,
+        F: Fn(&str, ShardKey) -> Option<&'a KeyRange>,
     {
         self.ranges.retain(|(service, from), range| {
             find(service, *from).is_some_and(|part| part.fence == range.fence)
         });
     }
 
-    fn range(&self, service: &str, part: &Part) -> Option<&Refused> {
+    fn range(&self, service: &str, part: &KeyRange) -> Option<&Refused> {
         if self.ranges.is_empty() {
             return None;
         }
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -7,7 +7,7 @@
 use crate::{
     catalogue::DomainId,
     fleet::VmId,
-    owner::keeper,
+    owner::ownership,
     place::{budget::Allowance, warmup::Tolerance},
 };
 
@@ -101,23 +101,23 @@
     ///
     /// let ms = Duration::from_millis;
     /// let spans = |min_lease, max_grant| LeaseLimits { min_lease, max_grant };
-    /// assert_eq!(spans(ms(1000), ms(10_000)).timing(8).hold, ms(2250));
+    /// assert_eq!(spans(ms(1000), ms(10_000)).timing(8).grant_duration, ms(2250));
     /// assert_eq!(spans(ms(1000), ms(10_000)).timing(60).lease, ms(3000));
-    /// assert_eq!(spans(ms(3000), ms(10_000)).timing(8).hold, ms(4500));
-    /// assert_eq!(spans(ms(1000), ms(1000)).timing(8).hold, ms(1000));
+    /// assert_eq!(spans(ms(3000), ms(10_000)).timing(8).grant_duration, ms(4500));
+    /// assert_eq!(spans(ms(1000), ms(1000)).timing(8).grant_duration, ms(1000));
     /// ```
-    pub fn timing(&self, vms: usize) -> keeper::Timing {
+    pub fn timing(&self, vms: usize) -> ownership::Timing {
         let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
         let lease = (LEASE * vms / BASELINE_VMS).min(LEASE_MOST);
         let lease = lease.max(self.min_lease);
-        let hold = ((lease + TAKEOVER) * RENEWALS / (RENEWALS - 1)).min(self.max_grant);
-        let hold_alone = HOLD_ALONE.min(self.max_grant);
-        keeper::Timing {
+        let grant_duration = ((lease + TAKEOVER) * RENEWALS / (RENEWALS - 1)).min(self.max_grant);
+        let outage_duration = HOLD_ALONE.min(self.max_grant);
+        ownership::Timing {
             lease,
-            hold,
-            hold_alone,
-            renew: hold / RENEWALS,
-            horizon: hold_alone + BEYOND_HOLD,
+            grant_duration,
+            outage_duration,
+            renew_interval: grant_duration / RENEWALS,
+            latest_expiry: outage_duration + BEYOND_HOLD,
         }
     }
 }
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -7,8 +7,8 @@
 use crate::{
     catalogue::TargetId,
     owner::{
-        keeper::{Ending, Order},
-        record::Point,
+        ownership::{CallOutcome, OwnershipCommand},
+        record::ShardKey,
     },
 };
 
@@ -64,7 +64,7 @@
 /// How targets are spoken to; implemented once for each dialect.
 pub trait TargetProtocol {
     /// Returns the last key; the first is 0.
-    fn last_point(&self) -> Point;
+    fn last_point(&self) -> ShardKey;
 
     /// Sets the headers of a request that is sent to a target with the time that is left.
     fn set_headers(&self, headers: &mut HeaderMap, target: &TargetId, left: Duration);
@@ -73,11 +73,11 @@
     fn read(&self, status: StatusCode, headers: &HeaderMap) -> Reply;
 
     /// Builds a grant.
-    fn grant(&self, order: &Order) -> Call;
+    fn grant(&self, order: &OwnershipCommand) -> Call;
 
     /// Builds a release.
-    fn release(&self, order: &Order) -> Call;
+    fn release(&self, order: &OwnershipCommand) -> Call;
 
     /// Reads the answer of a grant or release.
-    fn call_result(&self, status: StatusCode, headers: &HeaderMap) -> Ending;
+    fn call_result(&self, status: StatusCode, headers: &HeaderMap) -> CallOutcome;
 }
--- a/engine/tests/balance.rs
+++ b/engine/tests/balance.rs
@@ -4,33 +4,33 @@
 use std::time::{Duration, Instant};
 
 use bramleypier_engine::owner::{
-    balance::{self, Holder, Move},
-    deal,
+    balance::{self, Candidate, Move},
     load::Load,
-    record::{Life, Part, Point, Record},
+    record::{Incarnation, KeyRange, Record, ShardKey},
+    redistribution,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const LAST: Point = 65_535;
+const LAST: ShardKey = 65_535;
 /// The pause between two rounds of moves.
 const ROUND: Duration = Duration::from_millis(400);
 
-fn holder(number: u16, power: f64) -> Holder {
-    Holder {
-        life: Life {
+fn holder(number: u16, capacity: f64) -> Candidate {
+    Candidate {
+        incarnation: Incarnation {
             id: format!("t{number}"),
-            born: 1,
+            start_time: 1,
             address: format!("127.0.0.1:{}", 100 + number).parse().unwrap(),
         },
-        power,
+        capacity,
     }
 }
 
 /// Keys split evenly.
-fn even(holders: &[Holder]) -> Record {
+fn even(holders: &[Candidate]) -> Record {
     let count = holders.len() as u64;
     let width = (LAST + 1) / count;
-    let part = |(at, holder): (u64, &Holder)| Part {
+    let part = |(at, holder): (u64, &Candidate)| KeyRange {
         from: at * width,
         to: if at + 1 == count {
             LAST
@@ -38,16 +38,16 @@
             (at + 1) * width - 1
         },
         fence: 1,
-        owner: Some(holder.life.clone()),
+        owner: Some(holder.incarnation.clone()),
     };
     Record {
-        parts: (0..).zip(holders).map(part).collect(),
+        ranges: (0..).zip(holders).map(part).collect(),
         ..Record::default()
     }
 }
 
-/// Ten holders of one power with keys split evenly, and how many keys each has.
-fn ten() -> (Vec<Holder>, Record, u64) {
+/// Ten holders of one capacity with keys split evenly, and how many keys each has.
+fn ten() -> (Vec<Candidate>, Record, u64) {
     let holders: Vec<_> = (0..10).map(|number| holder(number, 30.0)).collect();
     let record = even(&holders);
     (holders, record, (LAST + 1) / 10)
@@ -55,21 +55,21 @@
 
 fn apply(record: &mut Record, moves: &[Move]) {
     for it in moves {
-        record.cut(it.from, it.to);
-        let parts = record.parts.iter_mut();
+        record.split(it.from, it.to);
+        let parts = record.ranges.iter_mut();
         for part in parts.filter(|part| it.from <= part.from && part.to <= it.to) {
             part.owner = Some(it.owner.clone());
         }
     }
 }
 
-fn used(record: &Record, holders: &[Holder], load: &Load) -> Vec<f64> {
-    let rate = |holder: &Holder| {
+fn used(record: &Record, holders: &[Candidate], load: &Load) -> Vec<f64> {
+    let rate = |holder: &Candidate| {
         let own = record
-            .parts
+            .ranges
             .iter()
-            .filter(|part| part.owner.as_ref() == Some(&holder.life));
-        own.map(|part| load.sum(part.from, part.to)).sum::<f64>() / holder.power
+            .filter(|part| part.owner.as_ref() == Some(&holder.incarnation));
+        own.map(|part| load.rate(part.from, part.to)).sum::<f64>() / holder.capacity
     };
     holders.iter().map(rate).collect()
 }
@@ -83,7 +83,7 @@
 /// Requests at a rate for some seconds, on keys drawn by `key`.
 fn requests<F>(load: &mut Load, from: Duration, seconds: u64, rate: u64, mut key: F)
 where
-    F: FnMut() -> Point,
+    F: FnMut() -> ShardKey,
 {
     for tick in 0..seconds * 25 {
         let now = from + Duration::from_millis(tick * 40);
@@ -103,12 +103,12 @@
     });
     let before = used(&record, &holders, &load);
     assert!(before.iter().any(|it| *it > 3.0), "{before:?}");
-    let moves = deal::anew(&record, &holders, &load);
+    let moves = redistribution::plan(&record, &holders, &load);
     apply(&mut record, &moves);
     let after = used(&record, &holders, &load);
     assert!(after.iter().all(|it| *it < 1.0), "{after:?}");
     assert!(
-        deal::anew(&record, &holders, &load).is_empty(),
+        redistribution::plan(&record, &holders, &load).is_empty(),
         "dealt again"
     );
 }
@@ -117,7 +117,7 @@
 fn a_key_busier_than_its_slow_owner_moves_to_a_fast_one_and_stays() {
     let mut holders: Vec<_> = (0..15).map(|number| holder(number, 22.0)).collect();
     for fast in [4, 9, 14] {
-        holders[fast].power = 50.0;
+        holders[fast].capacity = 50.0;
     }
     let mut record = even(&holders);
     let mut load = Load::default();
@@ -135,7 +135,7 @@
             let counts = [(hot, 2), (random.random_range(0..=LAST), 4)];
             load.add(now, counts);
         }
-        let moves = balance::even(&record, &holders, &load, &resting);
+        let moves = balance::plan(&record, &holders, &load, &resting);
         apply(&mut record, &moves);
         resting.extend(moves);
         owners.push(record.find(hot).unwrap().owner.clone().unwrap().id);
@@ -156,7 +156,7 @@
     requests(&mut load, Duration::ZERO, 8, 50, || {
         random.random_range(0..=LAST)
     });
-    let moves = balance::even(&record, &holders, &load, &[]);
+    let moves = balance::plan(&record, &holders, &load, &[]);
     assert!(moves.iter().any(|it| it.owner.id == "t9"), "{moves:?}");
 }
 
@@ -169,8 +169,8 @@
     requests(&mut load, Duration::ZERO, 20, 100, || {
         random.random_range(0..=LAST)
     });
-    assert!(balance::even(&record, &holders, &load, &[]).is_empty());
-    assert!(deal::anew(&record, &holders, &load).is_empty());
+    assert!(balance::plan(&record, &holders, &load, &[]).is_empty());
+    assert!(redistribution::plan(&record, &holders, &load).is_empty());
 }
 
 #[test]
@@ -185,7 +185,7 @@
             _ => random.random_range(0..=LAST),
         }
     });
-    let moves = balance::even(&record, &holders, &load, &[]);
+    let moves = balance::plan(&record, &holders, &load, &[]);
     assert!(!moves.is_empty());
     assert!(moved(&moves) < 0.02, "{moves:?}");
 }
@@ -206,7 +206,7 @@
     });
     let before = used(&record, &holders, &load);
     assert!(before[0] > 1.5 && before[1] > 1.0, "{before:?}");
-    let moves = balance::even(&record, &holders, &load, &[]);
+    let moves = balance::plan(&record, &holders, &load, &[]);
     let relieves = |it: &Move| (width..2 * width).contains(&it.from);
     assert!(moves.iter().any(relieves), "{moves:?}");
 }
@@ -227,9 +227,9 @@
     let resting = Move {
         from: 0,
         to: width - 1,
-        owner: holders[0].life.clone(),
+        owner: holders[0].incarnation.clone(),
     };
-    let moves = balance::even(&record, &holders, &load, &[resting]);
+    let moves = balance::plan(&record, &holders, &load, &[resting]);
     let relieves = |it: &Move| (width..2 * width).contains(&it.from);
     assert!(moves.iter().any(relieves), "{moves:?}");
 }
@@ -240,7 +240,7 @@
 fn a_round_looks_at_a_few_of_thousands_of_busy_targets() {
     let mut holders: Vec<_> = (0..3000).map(|number| holder(number, 2.0)).collect();
     for holder in &mut holders[1000..] {
-        holder.power = 6.0;
+        holder.capacity = 6.0;
     }
     let record = even(&holders);
     let width = (LAST + 1) / 3000;
@@ -250,10 +250,10 @@
     let resting = Move {
         from: 0,
         to: LAST,
-        owner: holders[0].life.clone(),
+        owner: holders[0].incarnation.clone(),
     };
     let begun = Instant::now();
-    let moves = balance::even(&record, &holders, &load, &[resting]);
+    let moves = balance::plan(&record, &holders, &load, &[resting]);
     assert!(begun.elapsed() < ROUND, "{:?}", begun.elapsed());
     assert_eq!(moves, []);
 }
--- a/engine/tests/busy_key.rs
+++ b/engine/tests/busy_key.rs
@@ -4,7 +4,7 @@
 
 use bramleypier_engine::{
     catalogue::{self, Target},
-    owner::record::{Life, Part, Record},
+    owner::record::{Incarnation, KeyRange, Record},
     peer::Board,
     place::{
         budget::Allowance,
@@ -50,12 +50,12 @@
 }
 
 fn view(vms: usize) -> Event {
-    let mut record = Record::first(99);
-    record.parts = vec![Part {
+    let mut record = Record::unowned(99);
+    record.ranges = vec![KeyRange {
         from: 0,
         to: 99,
         fence: 5,
-        owner: Some(Life::of(&owner())),
+        owner: Some(Incarnation::of(&owner())),
     }];
     Event::View(Rc::new(View {
         targets: [("s".to_owned(), vec![owner()])].into_iter().collect(),
--- a/engine/tests/desk_owners.rs
+++ b/engine/tests/desk_owners.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_key_without_an_owner_waits_briefly_and_is_refused_then() {
-    let mut desk = desk(vec![target(0, "d1")], Some(Record::first(99)));
+    let mut desk = desk(vec![target(0, "d1")], Some(Record::unowned(99)));
     assert!(desk.on(ms(0), Event::Ask(keyed(1, ms(0)))).is_empty());
     assert!(desk.on(ms(100), Event::Tick).is_empty());
     assert_eq!(refused(&desk.on(ms(121), Event::Tick)), [(1, Why::NoOwner)]);
@@ -59,7 +59,7 @@
         "other keys stay"
     );
     let mut newer = owned_by(&targets[1]);
-    newer.parts[0].fence = 7;
+    newer.ranges[0].fence = 7;
     let effects = desk.on(ms(10), view(targets, Some(newer)));
     assert_eq!(sent(&effects).len(), 3);
     assert!(sent(&effects).iter().all(|(_, id)| id == "t1"));
--- a/engine/tests/desk_world/mod.rs
+++ b/engine/tests/desk_world/mod.rs
@@ -6,7 +6,7 @@
 
 use bramleypier_engine::{
     catalogue::{self, Target},
-    owner::record::{Life, Part, Record},
+    owner::record::{Incarnation, KeyRange, Record},
     place::{
         budget::Allowance,
         desk::{Ask, Desk, Effect, End, Ended, Event, View, Why, Word},
@@ -87,12 +87,12 @@
 }
 
 pub fn owned_by(target: &Target) -> Record {
-    let mut record = Record::first(99);
-    record.parts = vec![Part {
+    let mut record = Record::unowned(99);
+    record.ranges = vec![KeyRange {
         from: 0,
         to: 99,
         fence: 5,
-        owner: Some(Life::of(target)),
+        owner: Some(Incarnation::of(target)),
     }];
     record
 }
--- a/engine/tests/evacuation.rs
+++ b/engine/tests/evacuation.rs
@@ -9,8 +9,8 @@
     catalogue::Target,
     fleet::Fleet,
     owner::{
-        keeper::{Effect, Ending, Event, Keeper, Timing},
-        record::{Life, Part, Record},
+        ownership::{CallOutcome, Effect, Event, ServiceOwnership, Timing},
+        record::{Incarnation, KeyRange, Record},
     },
     place::desk::{self, Why},
     store::{Change, Item, Listing},
@@ -135,10 +135,10 @@
 
 const TIMING: Timing = Timing {
     lease: Duration::from_secs(2),
-    hold: Duration::from_secs(4),
-    hold_alone: Duration::from_secs(10),
-    renew: Duration::from_millis(1300),
-    horizon: Duration::from_secs(12),
+    grant_duration: Duration::from_secs(4),
+    outage_duration: Duration::from_secs(10),
+    renew_interval: Duration::from_millis(1300),
+    latest_expiry: Duration::from_secs(12),
 };
 
 fn holder(number: u16) -> Target {
@@ -150,45 +150,45 @@
 }
 
 /// A keeper of two ranges, owned by the first and the second of three targets.
-fn keeper() -> (Keeper, Duration) {
+fn ownership() -> (ServiceOwnership, Duration) {
     let targets: Vec<Target> = (0..3).map(holder).collect();
-    let parts = (0..2_u16).map(|number| Part {
+    let parts = (0..2_u16).map(|number| KeyRange {
         from: u64::from(number) * 50,
         to: u64::from(number) * 50 + 49,
         fence: 1,
-        owner: Some(Life::of(&targets[usize::from(number)])),
+        owner: Some(Incarnation::of(&targets[usize::from(number)])),
     });
     let record = Record {
         term: 1,
         resigned: true,
         settled: true,
-        parts: parts.collect(),
-        ..Record::first(99)
+        ranges: parts.collect(),
+        ..Record::unowned(99)
     };
     let now = Duration::from_secs(10);
-    let (mut keeper, _) = Keeper::take_over("vm-1", record, TIMING, now);
-    keeper.on(now, Event::Lease(now + Duration::from_secs(9)));
-    keeper.on(now, Event::Targets(targets));
-    for effect in keeper.on(now, Event::Committed) {
+    let (mut ownership, _) = ServiceOwnership::take_over("vm-1", record, TIMING, now);
+    ownership.on(now, Event::LeaseExtended(now + Duration::from_secs(9)));
+    ownership.on(now, Event::Targets(targets));
+    for effect in ownership.on(now, Event::Committed) {
         if let Effect::Grant(order) = effect {
-            keeper.on(now, Event::Granted(order.from, Ending::Done(None)));
+            ownership.on(now, Event::GrantEnded(order.from, CallOutcome::Done(None)));
         }
     }
-    (keeper, now)
+    (ownership, now)
 }
 
 #[test]
 fn the_owner_of_keys_that_turns_cold_lets_go_and_gets_no_others_until_it_is_warm() {
-    let (mut keeper, now) = keeper();
+    let (mut ownership, now) = ownership();
     let warm = now + SPAN;
-    keeper.set_warming([("t1".to_owned(), warm), ("t2".to_owned(), warm)].into());
-    let effects = keeper.on(now, Event::Tick);
+    ownership.set_warming([("t1".to_owned(), warm), ("t2".to_owned(), warm)].into());
+    let effects = ownership.on(now, Event::Tick);
     let released = effects.iter().find_map(|effect| match effect {
         Effect::Release(order) => Some(order.from),
         _ => None,
     });
     assert_eq!(released, Some(50));
-    let effects = keeper.on(now, Event::Released(50, Ending::Done(None)));
+    let effects = ownership.on(now, Event::ReleaseEnded(50, CallOutcome::Done(None)));
     let next = effects.iter().find_map(|effect| match effect {
         Effect::Commit(record) => record.find(50).and_then(|part| part.owner.clone()),
         _ => None,
@@ -198,10 +198,10 @@
 
 #[test]
 fn keys_stay_with_cold_owners_while_all_are_cold() {
-    let (mut keeper, now) = keeper();
+    let (mut ownership, now) = ownership();
     let all = (0..3).map(|number| (format!("t{number}"), now + SPAN));
-    keeper.set_warming(all.collect());
-    let effects = keeper.on(now, Event::Tick);
+    ownership.set_warming(all.collect());
+    let effects = ownership.on(now, Event::Tick);
     let releases = effects.iter().filter(|it| matches!(it, Effect::Release(_)));
     assert_eq!(releases.count(), 0);
 }
--- a/engine/tests/fleet.rs
+++ b/engine/tests/fleet.rs
@@ -118,7 +118,7 @@
     hear(
         &mut fleet,
         NOW,
-        &put("own/owners/s", Record::first(9).encode(), 7),
+        &put("own/owners/s", Record::unowned(9).encode(), 7),
     );
     assert_eq!(fleet.manager, Some(vm));
     assert_eq!((fleet.vms.len(), fleet.records.len()), (1, 1));
--- a/engine/tests/keeper.rs
+++ b/engine/tests/keeper.rs
@@ -5,19 +5,19 @@
 use bramleypier_engine::{
     catalogue::Target,
     owner::{
-        keeper::{Effect, Ending, Event, Keeper, Order, Timing},
-        record::{Life, Part, Point, Record},
+        ownership::{CallOutcome, Effect, Event, OwnershipCommand, ServiceOwnership, Timing},
+        record::{Incarnation, KeyRange, Record, ShardKey},
     },
 };
 
 const TIMING: Timing = Timing {
     lease: Duration::from_secs(2),
-    hold: Duration::from_secs(4),
-    hold_alone: Duration::from_secs(10),
-    renew: Duration::from_millis(1300),
-    horizon: Duration::from_secs(12),
+    grant_duration: Duration::from_secs(4),
+    outage_duration: Duration::from_secs(10),
+    renew_interval: Duration::from_millis(1300),
+    latest_expiry: Duration::from_secs(12),
 };
-const LAST: Point = 99;
+const LAST: ShardKey = 99;
 
 fn target(number: u16) -> Target {
     Target {
@@ -33,35 +33,35 @@
 }
 
 /// A keeper whose first target owns three ranges apart, all granted; returns it with the grants.
-fn keeper() -> (Keeper, Vec<Order>, Duration) {
+fn ownership() -> (ServiceOwnership, Vec<OwnershipCommand>, Duration) {
     let targets: Vec<Target> = (1..=3).map(target).collect();
     let owners = [0, 1, 0, 2, 0];
-    let parts = owners.iter().zip(0..).map(|(owner, place)| Part {
+    let parts = owners.iter().zip(0..).map(|(owner, place)| KeyRange {
         from: place * 20,
         to: place * 20 + 19,
         fence: 1,
-        owner: Some(Life::of(&targets[*owner])),
+        owner: Some(Incarnation::of(&targets[*owner])),
     });
     let record = Record {
         term: 1,
         resigned: true,
         settled: true,
-        parts: parts.collect(),
-        ..Record::first(LAST)
+        ranges: parts.collect(),
+        ..Record::unowned(LAST)
     };
     let now = Duration::from_secs(10);
-    let (mut keeper, _) = Keeper::take_over("vm-1", record, TIMING, now);
-    keeper.on(now, Event::Lease(now + Duration::from_secs(2)));
-    keeper.on(now, Event::Targets(targets));
-    let grants = grants(&keeper.on(now, Event::Committed));
+    let (mut ownership, _) = ServiceOwnership::take_over("vm-1", record, TIMING, now);
+    ownership.on(now, Event::LeaseExtended(now + Duration::from_secs(2)));
+    ownership.on(now, Event::Targets(targets));
+    let grants = grants(&ownership.on(now, Event::Committed));
     assert_eq!(grants.len(), owners.len());
     for order in &grants {
-        keeper.on(now, Event::Granted(order.from, Ending::Done(None)));
+        ownership.on(now, Event::GrantEnded(order.from, CallOutcome::Done(None)));
     }
-    (keeper, grants, now)
+    (ownership, grants, now)
 }
 
-fn grants(effects: &[Effect]) -> Vec<Order> {
+fn grants(effects: &[Effect]) -> Vec<OwnershipCommand> {
     let orders = effects.iter().filter_map(|effect| match effect {
         Effect::Grant(order) => Some(order.clone()),
         _ => None,
@@ -78,12 +78,12 @@
 
 #[test]
 fn the_end_of_a_life_frees_all_its_ranges_at_once() {
-    let (mut keeper, _, now) = keeper();
-    let due = now + TIMING.renew;
-    let lost = grants(&keeper.on(due, Event::Tick));
+    let (mut ownership, _, now) = ownership();
+    let due = now + TIMING.renew_interval;
+    let lost = grants(&ownership.on(due, Event::Tick));
     let first = lost.iter().find(|order| order.owner.id == "t1").unwrap();
     for order in lost.iter().filter(|order| order.owner.id != "t1") {
-        keeper.on(due, Event::Granted(order.from, Ending::Done(None)));
+        ownership.on(due, Event::GrantEnded(order.from, CallOutcome::Done(None)));
     }
     // Its other two calls are still under way when the first tells.
     let others: Vec<_> = lost
@@ -91,11 +91,11 @@
         .filter(|order| order.owner.id == "t1" && order.from != first.from)
         .collect();
     for order in &others {
-        keeper.on(due, Event::Granted(order.from, Ending::Done(None)));
+        ownership.on(due, Event::GrantEnded(order.from, CallOutcome::Done(None)));
     }
-    let effects = keeper.on(due, Event::Granted(first.from, Ending::Gone));
+    let effects = ownership.on(due, Event::GrantEnded(first.from, CallOutcome::Gone));
     let record = committed(&effects).expect("new owners are written at once");
-    let left = record.parts.iter().filter(|part| {
+    let left = record.ranges.iter().filter(|part| {
         let owner = part.owner.as_ref();
         owner.is_some_and(|owner| owner.id == "t1")
     });
@@ -104,63 +104,76 @@
 
 #[test]
 fn a_closed_connection_makes_its_targets_grants_due() {
-    let (mut keeper, granted, now) = keeper();
+    let (mut ownership, granted, now) = ownership();
     let soon = now + Duration::from_millis(100);
-    assert!(grants(&keeper.on(soon, Event::Tick)).is_empty());
-    let effects = keeper.on(soon, Event::Closed(target(1).address));
-    let expected: Vec<Point> = granted
+    assert!(grants(&ownership.on(soon, Event::Tick)).is_empty());
+    let effects = ownership.on(soon, Event::ConnectionClosed(target(1).address));
+    let expected: Vec<ShardKey> = granted
         .iter()
         .filter(|order| order.owner.id == "t1")
         .map(|order| order.from)
         .collect();
-    let sent: Vec<Point> = grants(&effects).iter().map(|order| order.from).collect();
+    let sent: Vec<ShardKey> = grants(&effects).iter().map(|order| order.from).collect();
     assert_eq!(sent, expected);
 }
 
 #[test]
 fn grants_hold_longer_while_the_lease_is_not_renewed() {
-    let (mut keeper, granted, now) = keeper();
-    assert!(granted.iter().all(|order| order.hold == TIMING.hold));
+    let (mut ownership, granted, now) = ownership();
+    assert!(
+        granted
+            .iter()
+            .all(|order| order.grant_duration == TIMING.grant_duration)
+    );
     // The lease of two seconds was last renewed at `now`.
-    let alone = now + TIMING.renew;
-    let sent = grants(&keeper.on(alone, Event::Tick));
+    let alone = now + TIMING.renew_interval;
+    let sent = grants(&ownership.on(alone, Event::Tick));
     assert_eq!(sent.len(), granted.len());
-    assert!(sent.iter().all(|order| order.hold == TIMING.hold_alone));
+    assert!(
+        sent.iter()
+            .all(|order| order.grant_duration == TIMING.outage_duration)
+    );
     for order in &sent {
-        keeper.on(alone, Event::Granted(order.from, Ending::Done(None)));
+        ownership.on(
+            alone,
+            Event::GrantEnded(order.from, CallOutcome::Done(None)),
+        );
     }
     // The store answers again, and one target falls silent.
     let back = alone + Duration::from_secs(1);
-    keeper.on(back, Event::Lease(back + Duration::from_secs(2)));
-    let freed = freed(&mut keeper, back, &Ending::Silent);
-    assert!(freed >= alone + TIMING.hold_alone, "freed at {freed:?}");
+    ownership.on(back, Event::LeaseExtended(back + Duration::from_secs(2)));
+    let freed = freed(&mut ownership, back, &CallOutcome::Silent);
+    assert!(
+        freed >= alone + TIMING.outage_duration,
+        "freed at {freed:?}"
+    );
 }
 
 #[test]
 fn a_takeover_reckons_with_a_manager_that_was_alone() {
-    let (mut keeper, _, now) = keeper();
-    let freed = freed(&mut keeper, now, &Ending::Unsent);
-    assert!(freed >= now + TIMING.hold_alone, "freed at {freed:?}");
+    let (mut ownership, _, now) = ownership();
+    let freed = freed(&mut ownership, now, &CallOutcome::Unsent);
+    assert!(freed >= now + TIMING.outage_duration, "freed at {freed:?}");
 }
 
 /// Plays on until the keys of the first target move, whose calls all end so.
-fn freed(keeper: &mut Keeper, from: Duration, ending: &Ending) -> Duration {
+fn freed(ownership: &mut ServiceOwnership, from: Duration, ending: &CallOutcome) -> Duration {
     let step = Duration::from_millis(50);
     let mut at = from;
     loop {
         at += step;
-        let mut effects = keeper.on(at, Event::Lease(at + Duration::from_secs(2)));
+        let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         for order in grants(&effects) {
             let first = order.owner.id == "t1";
             let ending = if first {
                 ending.clone()
             } else {
-                Ending::Done(None)
+                CallOutcome::Done(None)
             };
-            effects.extend(keeper.on(at, Event::Granted(order.from, ending)));
+            effects.extend(ownership.on(at, Event::GrantEnded(order.from, ending)));
         }
         for from in releases(&effects) {
-            effects.extend(keeper.on(at, Event::Released(from, Ending::Unsent)));
+            effects.extend(ownership.on(at, Event::ReleaseEnded(from, CallOutcome::Unsent)));
         }
         if committed(&effects).is_some() {
             return at;
@@ -169,7 +182,7 @@
     }
 }
 
-fn releases(effects: &[Effect]) -> Vec<Point> {
+fn releases(effects: &[Effect]) -> Vec<ShardKey> {
     let orders = effects.iter().filter_map(|effect| match effect {
         Effect::Release(order) => Some(order.from),
         _ => None,
@@ -179,53 +192,53 @@
 
 #[test]
 fn a_target_that_only_refuses_keeps_its_ranges_until_its_hold_ran_out() {
-    let (mut keeper, _, now) = keeper();
-    let freed = freed(&mut keeper, now, &Ending::Unsent);
-    assert!(freed >= now + TIMING.hold, "freed at {freed:?}");
+    let (mut ownership, _, now) = ownership();
+    let freed = freed(&mut ownership, now, &CallOutcome::Unsent);
+    assert!(freed >= now + TIMING.grant_duration, "freed at {freed:?}");
 }
 
 /// A dark target's ranges wait for its hold; a key that grows busy elsewhere must not wait with them.
 #[test]
 fn a_busy_key_moves_while_a_silent_owners_ranges_wait() {
-    let (mut keeper, _, now) = keeper();
+    let (mut ownership, _, now) = ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
     let mut begun = None;
     while at < now + Duration::from_secs(4) && begun.is_none() {
         at += step;
-        let mut effects = keeper.on(at, Event::Lease(at + Duration::from_secs(2)));
+        let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         // The first target is dark and asked to let go; then two keys of the second grow busy.
-        let busy = at > now + TIMING.renew + Duration::from_millis(1200);
+        let busy = at > now + TIMING.renew_interval + Duration::from_millis(1200);
         let counts = if busy {
             vec![(25, 4), (26, 2)]
         } else {
             Vec::new()
         };
-        effects.extend(keeper.on(at, Event::Load(counts)));
+        effects.extend(ownership.on(at, Event::Load(counts)));
         for order in grants(&effects) {
             let dark = order.owner.id == "t1";
             let ending = if dark {
-                Ending::Silent
+                CallOutcome::Silent
             } else {
-                Ending::Done(None)
+                CallOutcome::Done(None)
             };
-            effects.extend(keeper.on(at, Event::Granted(order.from, ending)));
+            effects.extend(ownership.on(at, Event::GrantEnded(order.from, ending)));
         }
         let moved = effects.iter().find_map(|effect| match effect {
-            Effect::Note(note) if note.starts_with("event=move-begun") => Some(note.clone()),
+            Effect::Log(note) if note.starts_with("event=move-begun") => Some(note.clone()),
             _ => None,
         });
         begun = moved;
         for order in orders_released(&effects) {
             let dark = order.owner.id == "t1";
             let ending = if dark {
-                Ending::Silent
+                CallOutcome::Silent
             } else {
-                Ending::Done(None)
+                CallOutcome::Done(None)
             };
-            keeper.on(at, Event::Released(order.from, ending));
+            ownership.on(at, Event::ReleaseEnded(order.from, ending));
         }
-        keeper.on(at, Event::Committed);
+        ownership.on(at, Event::Committed);
     }
     let begun = begun.expect("nothing moves beside a dark target");
     assert!(
@@ -234,7 +247,7 @@
     );
 }
 
-fn orders_released(effects: &[Effect]) -> Vec<Order> {
+fn orders_released(effects: &[Effect]) -> Vec<OwnershipCommand> {
     let orders = effects.iter().filter_map(|effect| match effect {
         Effect::Release(order) => Some(order.clone()),
         _ => None,
@@ -246,25 +259,25 @@
 /// has turned out to be three times as fast.
 #[test]
 fn a_key_that_turns_busy_in_a_run_that_has_just_moved_moves_again() {
-    let (mut keeper, _, now) = keeper();
+    let (mut ownership, _, now) = ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
-    let mut first: Option<(Point, Duration)> = None;
+    let mut first: Option<(ShardKey, Duration)> = None;
     let mut second = None;
     while at < now + Duration::from_secs(6) && second.is_none() {
         at += step;
-        let mut effects = keeper.on(at, Event::Lease(at + Duration::from_secs(2)));
+        let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         let mut counts = vec![(25, 1), (30, 1), (35, 1)];
         counts.extend(first.map(|(key, _)| (key, 8)));
-        effects.extend(keeper.on(at, Event::Load(counts)));
-        effects = settled(&mut keeper, at, effects);
+        effects.extend(ownership.on(at, Event::Load(counts)));
+        effects = settled(&mut ownership, at, effects);
         for (from, to, owner) in effects.iter().filter_map(begun) {
             match first {
                 None => {
                     first = Some((if from <= 30 && 30 <= to { 30 } else { from }, at));
                     let fast = if owner == "t1" { "t3" } else { "t1" };
                     let time = |id: &str| (id.to_owned(), if id == fast { 0.03 } else { 0.1 });
-                    keeper.set_times(["t1", "t2", "t3"].map(time).into_iter().collect());
+                    ownership.set_service_times(["t1", "t2", "t3"].map(time).into_iter().collect());
                 }
                 Some((key, _)) if from <= key && key <= to => second = Some(at),
                 Some(_) => {}
@@ -277,8 +290,8 @@
 }
 
 /// The bounds of a move that has begun and its new owner, from its line in the log.
-fn begun(effect: &Effect) -> Option<(Point, Point, String)> {
-    let Effect::Note(note) = effect else {
+fn begun(effect: &Effect) -> Option<(ShardKey, ShardKey, String)> {
+    let Effect::Log(note) = effect else {
         return None;
     };
     let rest = note.strip_prefix("event=move-begun ")?;
@@ -291,17 +304,23 @@
 }
 
 /// Answers every call and commit until nothing is left to do, and returns all effects.
-fn settled(keeper: &mut Keeper, at: Duration, mut effects: Vec<Effect>) -> Vec<Effect> {
+fn settled(
+    ownership: &mut ServiceOwnership,
+    at: Duration,
+    mut effects: Vec<Effect>,
+) -> Vec<Effect> {
     let mut next = 0;
     while let Some(effect) = effects.get(next).cloned() {
         next += 1;
         effects.extend(match effect {
-            Effect::Grant(order) => keeper.on(at, Event::Granted(order.from, Ending::Done(None))),
+            Effect::Grant(order) => {
+                ownership.on(at, Event::GrantEnded(order.from, CallOutcome::Done(None)))
+            }
             Effect::Release(order) => {
-                keeper.on(at, Event::Released(order.from, Ending::Done(None)))
+                ownership.on(at, Event::ReleaseEnded(order.from, CallOutcome::Done(None)))
             }
-            Effect::Commit(_) => keeper.on(at, Event::Committed),
-            Effect::Deposed | Effect::Note(_) => Vec::new(),
+            Effect::Commit(_) => ownership.on(at, Event::Committed),
+            Effect::Deposed | Effect::Log(_) => Vec::new(),
         });
     }
     effects
@@ -310,60 +329,72 @@
 /// Dark owners answer nothing and are still announced for some seconds.
 #[test]
 fn a_silent_owner_is_not_granted_beyond_the_hold_that_it_has() {
-    let (mut keeper, now) = rested();
-    let freed = freed(&mut keeper, now, &Ending::Silent);
+    let (mut ownership, now) = rested();
+    let freed = freed(&mut ownership, now, &CallOutcome::Silent);
     // Its last renewal has just been answered; the next may have arrived.
-    let least = now + TIMING.hold;
+    let least = now + TIMING.grant_duration;
     assert!(
         freed >= least,
         "freed at {freed:?}, before its hold ran out"
     );
-    let most = least + TIMING.renew + Duration::from_millis(400);
+    let most = least + TIMING.renew_interval + Duration::from_millis(400);
     assert!(freed <= most, "freed at {freed:?} instead of {most:?}");
 }
 
 /// Three in ten answers are lost on the way: a target that lives keeps its keys.
 #[test]
 fn an_owner_that_answers_again_is_renewed_before_less_is_left_than_usual() {
-    let (mut keeper, now) = rested();
-    let at = now + TIMING.renew + Duration::from_millis(50);
-    let first = grants(&keeper.on(at, Event::Lease(at + Duration::from_secs(2))));
+    let (mut ownership, now) = rested();
+    let at = now + TIMING.renew_interval + Duration::from_millis(50);
+    let first = grants(&ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2))));
     for order in &first {
         let ending = if order.owner.id == "t1" {
-            Ending::Silent
+            CallOutcome::Silent
         } else {
-            Ending::Done(None)
+            CallOutcome::Done(None)
         };
-        keeper.on(at, Event::Granted(order.from, ending));
+        ownership.on(at, Event::GrantEnded(order.from, ending));
     }
     let again = at + Duration::from_millis(200);
-    let asked = grants(&keeper.on(again, Event::Lease(again + Duration::from_secs(2))));
+    let asked = grants(&ownership.on(again, Event::LeaseExtended(again + Duration::from_secs(2))));
     assert_eq!(asked.len(), 3, "it is asked at once");
-    assert!(asked.iter().all(|order| order.hold < TIMING.hold));
+    assert!(
+        asked
+            .iter()
+            .all(|order| order.grant_duration < TIMING.grant_duration)
+    );
     for order in &asked {
-        keeper.on(again, Event::Granted(order.from, Ending::Done(None)));
+        ownership.on(
+            again,
+            Event::GrantEnded(order.from, CallOutcome::Done(None)),
+        );
     }
-    let shorter = TIMING.hold.saturating_sub(asked[0].hold);
-    let due = again + TIMING.renew.saturating_sub(shorter);
-    let renewed = grants(&keeper.on(due, Event::Lease(due + Duration::from_secs(2))));
+    let shorter = TIMING
+        .grant_duration
+        .saturating_sub(asked[0].grant_duration);
+    let due = again + TIMING.renew_interval.saturating_sub(shorter);
+    let renewed = grants(&ownership.on(due, Event::LeaseExtended(due + Duration::from_secs(2))));
     let its = renewed.iter().filter(|order| order.owner.id == "t1");
-    assert!(its.clone().all(|order| order.hold == TIMING.hold));
+    assert!(
+        its.clone()
+            .all(|order| order.grant_duration == TIMING.grant_duration)
+    );
     assert_eq!(its.count(), 3, "renewed early, and in full");
 }
 
 /// A keeper whose owners have answered for so long that no earlier manager's grant holds any more, at
 /// the moment at which they have just been renewed.
-fn rested() -> (Keeper, Duration) {
-    let (mut keeper, _, now) = keeper();
+fn rested() -> (ServiceOwnership, Duration) {
+    let (mut ownership, _, now) = ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
     loop {
         at += step;
-        let effects = keeper.on(at, Event::Lease(at + Duration::from_secs(2)));
+        let effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         let renewed = !grants(&effects).is_empty();
-        settled(&mut keeper, at, effects);
-        if renewed && at > now + TIMING.hold_alone + TIMING.hold {
-            return (keeper, at);
+        settled(&mut ownership, at, effects);
+        if renewed && at > now + TIMING.outage_duration + TIMING.grant_duration {
+            return (ownership, at);
         }
     }
 }
@@ -371,37 +402,37 @@
 /// Busy keys move to the target that looks best, and that may just have been cut off.
 #[test]
 fn a_new_owner_that_never_answers_holds_keys_up_for_a_second() {
-    let (mut keeper, now) = rested();
+    let (mut ownership, now) = rested();
     // The first target leaves; its ranges go to others, of which the second turns dark.
     let mut targets: Vec<Target> = (1..=3).map(target).collect();
     targets[0].leaving = true;
     let step = Duration::from_millis(50);
     let mut first: Option<Duration> = None;
     let mut at = now;
-    let mut effects = keeper.on(at, Event::Targets(targets));
+    let mut effects = ownership.on(at, Event::Targets(targets));
     loop {
         at += step;
-        effects.extend(keeper.on(at, Event::Lease(at + Duration::from_secs(2))));
+        effects.extend(ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2))));
         let mut next = 0;
         while let Some(effect) = effects.get(next).cloned() {
             next += 1;
             let event = match effect {
                 Effect::Grant(order) if order.owner.id == "t2" && order.from != 20 => {
                     first.get_or_insert(at);
-                    Event::Granted(order.from, Ending::Silent)
+                    Event::GrantEnded(order.from, CallOutcome::Silent)
                 }
-                Effect::Grant(order) => Event::Granted(order.from, Ending::Done(None)),
+                Effect::Grant(order) => Event::GrantEnded(order.from, CallOutcome::Done(None)),
                 Effect::Release(order) if order.owner.id == "t2" => {
-                    Event::Released(order.from, Ending::Silent)
+                    Event::ReleaseEnded(order.from, CallOutcome::Silent)
                 }
-                Effect::Release(order) => Event::Released(order.from, Ending::Done(None)),
+                Effect::Release(order) => Event::ReleaseEnded(order.from, CallOutcome::Done(None)),
                 Effect::Commit(_) => Event::Committed,
-                Effect::Deposed | Effect::Note(_) => continue,
+                Effect::Deposed | Effect::Log(_) => continue,
             };
-            effects.extend(keeper.on(at, event));
+            effects.extend(ownership.on(at, event));
         }
         let lost = effects.iter().any(
-            |effect| matches!(effect, Effect::Note(note) if note.starts_with("event=range-lost")),
+            |effect| matches!(effect, Effect::Log(note) if note.starts_with("event=range-lost")),
         );
         if lost {
             break;
--- a/engine/tests/misdirected.rs
+++ b/engine/tests/misdirected.rs
@@ -11,7 +11,7 @@
 
 use bramleypier_engine::{
     catalogue::{Target, TargetId},
-    owner::record::{Fence, Life, Part, Point, Record},
+    owner::record::{Fence, Incarnation, KeyRange, Record, ShardKey},
     place::{
         budget::Allowance,
         desk::{Ask, Desk, Effect, End, Ended, Event, Ticket, View},
@@ -67,14 +67,14 @@
             number
         }
     };
-    let mut record = Record::first(OWNERS * KEYS - 1);
-    let part = |number: u64| Part {
+    let mut record = Record::unowned(OWNERS * KEYS - 1);
+    let part = |number: u64| KeyRange {
         from: number * KEYS,
         to: number * KEYS + KEYS - 1,
         fence: if owner(number) == number { 5 } else { 7 },
-        owner: Some(Life::of(&target(owner(number)))),
+        owner: Some(Incarnation::of(&target(owner(number)))),
     };
-    record.parts = (0..OWNERS).map(part).collect();
+    record.ranges = (0..OWNERS).map(part).collect();
     Event::View(Rc::new(View {
         targets: [("keyed".to_owned(), (0..OWNERS).map(target).collect())].into(),
         records: [("keyed".to_owned(), Rc::new(record))].into(),
@@ -124,7 +124,7 @@
         }
     }
 
-    fn request(&mut self, now: u64, ticket: Ticket, point: Point, seen: &mut Seen) {
+    fn request(&mut self, now: u64, ticket: Ticket, point: ShardKey, seen: &mut Seen) {
         let ask = Ask {
             ticket,
             service: "keyed".to_owned(),
--- a/engine/tests/ownership.rs
+++ b/engine/tests/ownership.rs
@@ -1,6 +1,6 @@
 //! Random histories of managers, targets and a store: no key ever has two holders.
 //!
-//! The real decisions of [`keeper`] run on three VMs against a small model of targets (fences,
+//! The real decisions of [`ownership`] run on three VMs against a small model of targets (fences,
 //! holds, new lives, grants applied late) and of the store (compare-and-swap, a lease, lost
 //! answers, outages for some). Rules left out on purpose show that the check would notice.
 
--- a/engine/tests/ownership_world/calls.rs
+++ b/engine/tests/ownership_world/calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bramleypier_engine::owner::{
-    keeper::{Ending, Order},
+    ownership::{CallOutcome, OwnershipCommand},
     record::Record,
 };
 use rand::Rng;
@@ -12,10 +12,10 @@
 
 impl World {
     pub(super) fn answer(&mut self, vm: usize, delay: Duration, heard: Heard) {
-        let Some(keeper) = &self.vms[vm].keeper else {
+        let Some(ownership) = &self.vms[vm].ownership else {
             return;
         };
-        let term = keeper.term();
+        let term = ownership.term();
         let at = self.now + delay;
         self.vms[vm].heard.push((at, term, heard));
     }
@@ -25,35 +25,39 @@
     }
 
     /// How a call ends that doesn't arrive: on a cut path, or where nobody listens.
-    fn unreached(&self, vm: usize, order: &Order) -> Option<(Duration, Ending)> {
+    fn unreached(&self, vm: usize, order: &OwnershipCommand) -> Option<(Duration, CallOutcome)> {
         if !self.targets.is_open(vm, &order.owner) {
-            return Some((TIMEOUT, Ending::Unsent));
+            return Some((TIMEOUT, CallOutcome::Unsent));
         }
         let listens = self.targets.listens(&order.owner);
-        (!listens).then_some((TICK, Ending::Gone))
+        (!listens).then_some((TICK, CallOutcome::Gone))
     }
 
-    pub(super) fn grant(&mut self, vm: usize, order: &Order) -> (Duration, Ending) {
+    pub(super) fn grant(&mut self, vm: usize, order: &OwnershipCommand) -> (Duration, CallOutcome) {
         if let Some(failed) = self.unreached(vm, order) {
             return failed;
         }
         if self.is_unanswered() {
             let late = self.random.random_range(0..4) * Duration::from_millis(900);
             self.targets.grant_late(self.now, late, order);
-            return (TIMEOUT, Ending::Silent);
+            return (TIMEOUT, CallOutcome::Silent);
         }
         (TICK, self.targets.grant(self.now, order))
     }
 
-    pub(super) fn release(&mut self, vm: usize, order: &Order) -> (Duration, Ending) {
+    pub(super) fn release(
+        &mut self,
+        vm: usize,
+        order: &OwnershipCommand,
+    ) -> (Duration, CallOutcome) {
         if let Some(failed) = self.unreached(vm, order) {
             return failed;
         }
         self.targets.release(order);
         if self.is_unanswered() {
-            return (TIMEOUT, Ending::Silent);
+            return (TIMEOUT, CallOutcome::Silent);
         }
-        (TICK * 2, Ending::Done(None))
+        (TICK * 2, CallOutcome::Done(None))
     }
 
     pub(super) fn commit(&mut self, vm: usize, record: Record) {
@@ -70,7 +74,7 @@
         }
         let own = self.record.1 == record;
         if self.record.0 != expected && !own {
-            self.vms[vm].keeper = None;
+            self.vms[vm].ownership = None;
             return;
         }
         if !own {
--- a/engine/tests/ownership_world/mod.rs
+++ b/engine/tests/ownership_world/mod.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use bramleypier_engine::owner::{
-    keeper::{Effect, Ending, Event, Keeper, Timing},
-    record::{Point, Record},
+    ownership::{CallOutcome, Effect, Event, ServiceOwnership, Timing},
+    record::{Record, ShardKey},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -22,10 +22,10 @@
 
 pub const TIMING: Timing = Timing {
     lease: LEASE,
-    hold: Duration::from_secs(2),
-    hold_alone: Duration::from_secs(3),
-    renew: Duration::from_millis(600),
-    horizon: Duration::from_secs(5),
+    grant_duration: Duration::from_secs(2),
+    outage_duration: Duration::from_secs(3),
+    renew_interval: Duration::from_millis(600),
+    latest_expiry: Duration::from_secs(5),
 };
 
 /// A rule that is left out.
@@ -72,7 +72,7 @@
     Unanswered(u8),
     WritesLost(u8),
     Load {
-        key: Point,
+        key: ShardKey,
         count: u32,
     },
     Heal,
@@ -82,9 +82,9 @@
 #[derive(Clone, Debug)]
 enum Heard {
     Called {
-        from: Point,
+        from: ShardKey,
         grant: bool,
-        ending: Ending,
+        ending: CallOutcome,
     },
     Committed(bool),
 }
@@ -92,7 +92,7 @@
 struct Vm {
     frozen: u32,
     store: bool,
-    keeper: Option<Keeper>,
+    ownership: Option<ServiceOwnership>,
     revision: u64,
     /// Until when the VM knows that it has the lease.
     lease: Duration,
@@ -126,7 +126,7 @@
         let vm = |start| Vm {
             frozen: 0,
             store: true,
-            keeper: None,
+            ownership: None,
             revision: 0,
             lease: Duration::ZERO,
             start,
@@ -140,7 +140,7 @@
             random: StdRng::seed_from_u64(seed),
             vms: (0..3).map(vm).collect(),
             targets: Targets::new(),
-            record: (1, Record::first(LAST)),
+            record: (1, Record::unowned(LAST)),
             lease: None,
             unanswered: 0,
             writes_lost: 0,
@@ -179,7 +179,7 @@
     }
 
     /// Keys that no target holds.
-    pub fn unheld(&self) -> Vec<Point> {
+    pub fn unheld(&self) -> Vec<ShardKey> {
         (0..=LAST)
             .filter(|key| self.targets.holders(*key, self.now).is_empty())
             .collect()
@@ -190,7 +190,7 @@
         let own = &mut self.vms[vm];
         self.ended.push(own.start.to_string());
         own.earlier = None;
-        own.keeper = None;
+        own.ownership = None;
         own.heard.clear();
         own.start = start;
         own.lease = Duration::ZERO;
@@ -201,7 +201,7 @@
     fn resign(&mut self, vm: usize) {
         let own = &mut self.vms[vm];
         let now = self.now;
-        let record = own.keeper.as_mut().and_then(|it| it.resign(now));
+        let record = own.ownership.as_mut().and_then(|it| it.resign(now));
         let stands = self.record.0 == own.revision && own.store;
         if let Some(record) = record.filter(|_| stands) {
             self.record = (self.record.0 + 1, record);
@@ -216,12 +216,12 @@
     fn look_for_earlier(&mut self, vm: usize) {
         let own = &mut self.vms[vm];
         let ended = |start: &mut String| self.ended.contains(start);
-        if own.keeper.is_some() && own.earlier.take_if(ended).is_some() {
-            self.feed(vm, Event::EarlierStopped);
+        if own.ownership.is_some() && own.earlier.take_if(ended).is_some() {
+            self.feed(vm, Event::PredecessorStopped);
         }
     }
 
-    fn load(&mut self, key: Point, count: u32) {
+    fn load(&mut self, key: ShardKey, count: u32) {
         for vm in 0..self.vms.len() {
             self.feed(vm, Event::Load(vec![(key, count)]));
         }
@@ -270,7 +270,7 @@
             .partition(|(at, ..)| *at <= now);
         self.vms[vm].heard = later;
         for (_, term, heard) in due {
-            let current = self.vms[vm].keeper.as_ref().map(Keeper::term);
+            let current = self.vms[vm].ownership.as_ref().map(ServiceOwnership::term);
             if current != Some(term) {
                 continue;
             }
@@ -280,14 +280,14 @@
                     grant: true,
                     ending,
                 } => {
-                    self.feed(vm, Event::Granted(from, ending));
+                    self.feed(vm, Event::GrantEnded(from, ending));
                 }
                 Heard::Called {
                     from,
                     grant: false,
                     ending,
                 } => {
-                    self.feed(vm, Event::Released(from, ending));
+                    self.feed(vm, Event::ReleaseEnded(from, ending));
                 }
                 Heard::Committed(true) => self.feed(vm, Event::Committed),
                 Heard::Committed(false) => self.feed(vm, Event::CommitFailed),
@@ -304,7 +304,7 @@
         if !self.vms[vm].store {
             return;
         }
-        if mine && self.vms[vm].keeper.is_some() {
+        if mine && self.vms[vm].ownership.is_some() {
             self.lease = Some((vm, start, now + LEASE));
             self.vms[vm].lease = now + LEASE;
             let known = if self.flaw == Flaw::RenewsForEver {
@@ -312,7 +312,7 @@
             } else {
                 now + LEASE
             };
-            self.feed(vm, Event::Lease(known));
+            self.feed(vm, Event::LeaseExtended(known));
             return;
         }
         if self.lease.is_some() || self.random.random_range(0..10) > 0 {
@@ -321,36 +321,40 @@
         self.lease = Some((vm, start, now + LEASE));
         let mut timing = TIMING;
         if self.flaw == Flaw::NoWaitForEarlier {
-            timing.horizon = Duration::ZERO;
+            timing.latest_expiry = Duration::ZERO;
         }
         let (revision, record) = self.record.clone();
         self.vms[vm].earlier = Some(record.manager.clone());
-        let (mut keeper, effects) = Keeper::take_over(&start.to_string(), record, timing, now);
+        let (mut ownership, effects) =
+            ServiceOwnership::take_over(&start.to_string(), record, timing, now);
         if self.flaw == Flaw::NoWaitForEarlier {
             // It still renews as long itself: only the waiting is left out.
-            let _ = keeper.on(now, Event::Lease(now + LEASE + TIMING.horizon));
+            let _ = ownership.on(
+                now,
+                Event::LeaseExtended(now + LEASE + TIMING.latest_expiry),
+            );
         }
-        self.vms[vm].keeper = Some(keeper);
+        self.vms[vm].ownership = Some(ownership);
         self.vms[vm].revision = revision;
         self.vms[vm].heard.clear();
         self.apply(vm, effects);
         if self.flaw != Flaw::NoWaitForEarlier {
-            self.feed(vm, Event::Lease(now + LEASE));
+            self.feed(vm, Event::LeaseExtended(now + LEASE));
         }
     }
 
     fn feed(&mut self, vm: usize, event: Event) {
         let now = self.now;
         let event = match event {
-            Event::Lease(until) if self.flaw == Flaw::NoWaitForEarlier => {
-                Event::Lease(until + TIMING.horizon)
+            Event::LeaseExtended(until) if self.flaw == Flaw::NoWaitForEarlier => {
+                Event::LeaseExtended(until + TIMING.latest_expiry)
             }
             other => other,
         };
-        let Some(keeper) = &mut self.vms[vm].keeper else {
+        let Some(ownership) = &mut self.vms[vm].ownership else {
             return;
         };
-        let effects = keeper.on(now, event);
+        let effects = ownership.on(now, event);
         self.apply(vm, effects);
     }
 
@@ -385,8 +389,8 @@
                     );
                 }
                 Effect::Commit(record) => self.commit(vm, record),
-                Effect::Note(_) => {}
-                Effect::Deposed => self.vms[vm].keeper = None,
+                Effect::Log(_) => {}
+                Effect::Deposed => self.vms[vm].ownership = None,
             }
         }
     }
--- a/engine/tests/ownership_world/targets.rs
+++ b/engine/tests/ownership_world/targets.rs
@@ -5,13 +5,13 @@
 use bramleypier_engine::{
     catalogue::Target,
     owner::{
-        keeper::{Ending, Order},
-        record::{Fence, Life, Point},
+        ownership::{CallOutcome, OwnershipCommand},
+        record::{Fence, Incarnation, ShardKey},
     },
 };
 
 /// The last key.
-pub const LAST: Point = 15;
+pub const LAST: ShardKey = 15;
 /// How much slower than true a target's clock runs.
 const SLOW: f64 = 1.02;
 /// The time of one step.
@@ -23,14 +23,14 @@
     down_for: u32,
     announced: bool,
     /// The highest fence seen, and the end of the hold, by key.
-    holds: HashMap<Point, (Fence, Duration)>,
+    holds: HashMap<ShardKey, (Fence, Duration)>,
 }
 
 /// A grant that is applied later; its hold counts from its arrival.
 struct Late {
     at: Duration,
     arrived: Duration,
-    order: Order,
+    order: OwnershipCommand,
 }
 
 pub struct Targets {
@@ -121,52 +121,52 @@
         }
     }
 
-    fn place(&self, life: &Life) -> Option<usize> {
+    fn place(&self, life: &Incarnation) -> Option<usize> {
         self.all
             .iter()
             .position(|own| own.target.address == life.address)
     }
 
-    pub fn is_open(&self, vm: usize, life: &Life) -> bool {
+    pub fn is_open(&self, vm: usize, life: &Incarnation) -> bool {
         self.place(life)
             .is_some_and(|target| !self.cut.contains(&(vm, target)))
     }
 
-    pub fn listens(&self, life: &Life) -> bool {
+    pub fn listens(&self, life: &Incarnation) -> bool {
         self.place(life).is_some_and(|target| self.all[target].up)
     }
 
-    fn apply(&mut self, arrived: Duration, order: &Order) -> Ending {
+    fn apply(&mut self, arrived: Duration, order: &OwnershipCommand) -> CallOutcome {
         let Some(target) = self.place(&order.owner) else {
-            return Ending::Gone;
+            return CallOutcome::Gone;
         };
         let own = &mut self.all[target];
         if !own.up {
-            return Ending::Gone;
+            return CallOutcome::Gone;
         }
-        let higher = |key: Point| {
+        let higher = |key: ShardKey| {
             own.holds
                 .get(&key)
                 .is_some_and(|(seen, _)| *seen > order.fence)
         };
         if (order.from..=order.to).any(higher) {
-            return Ending::Fenced;
+            return CallOutcome::Fenced;
         }
-        let until = arrived + order.hold.mul_f64(SLOW);
+        let until = arrived + order.grant_duration.mul_f64(SLOW);
         for key in order.from..=order.to {
             // Nothing says that a shorter grant ends a longer one.
             let before = own.holds.get(&key).map_or(until, |(_, before)| *before);
             own.holds.insert(key, (order.fence, until.max(before)));
         }
-        Ending::Done(None)
+        CallOutcome::Done(None)
     }
 
-    pub fn grant(&mut self, now: Duration, order: &Order) -> Ending {
+    pub fn grant(&mut self, now: Duration, order: &OwnershipCommand) -> CallOutcome {
         // It arrives within the step.
         self.apply(now + TICK, order)
     }
 
-    pub fn grant_late(&mut self, now: Duration, late: Duration, order: &Order) {
+    pub fn grant_late(&mut self, now: Duration, late: Duration, order: &OwnershipCommand) {
         self.late.push(Late {
             at: now + TICK + late,
             arrived: now + TICK,
@@ -174,7 +174,7 @@
         });
     }
 
-    pub fn release(&mut self, order: &Order) {
+    pub fn release(&mut self, order: &OwnershipCommand) {
         let Some(target) = self.place(&order.owner) else {
             return;
         };
@@ -187,7 +187,7 @@
     }
 
     /// The targets that hold a key.
-    pub fn holders(&self, key: Point, now: Duration) -> Vec<String> {
+    pub fn holders(&self, key: ShardKey, now: Duration) -> Vec<String> {
         let holds = |own: &&Own| own.holds.get(&key).is_some_and(|(_, until)| now < *until);
         let holders = self.all.iter().filter(|own| own.up).filter(holds);
         holders.map(|own| own.target.id.clone()).collect()
--- a/engine/tests/rate_world/mod.rs
+++ b/engine/tests/rate_world/mod.rs
@@ -4,7 +4,7 @@
 
 use bramleypier_engine::{
     catalogue::{self, Target},
-    owner::record::{Life, Part, Point, Record},
+    owner::record::{Incarnation, KeyRange, Record, ShardKey},
     peer::Board,
     place::{
         budget::Allowance,
@@ -59,12 +59,12 @@
 impl Scene {
     pub fn view(&self) -> Event {
         let targets: Vec<Target> = (0..self.targets).map(target).collect();
-        let mut record = Record::first(99);
-        record.parts = vec![Part {
+        let mut record = Record::unowned(99);
+        record.ranges = vec![KeyRange {
             from: 0,
             to: 99,
             fence: 5,
-            owner: Some(Life::of(&targets[0])),
+            owner: Some(Incarnation::of(&targets[0])),
         }];
         let records = self.keyed.then(|| ("s".to_owned(), Rc::new(record)));
         Event::View(Rc::new(View {
@@ -89,7 +89,7 @@
     }
 }
 
-pub fn ask(ticket: Ticket, now: Duration, point: Option<Point>) -> Ask {
+pub fn ask(ticket: Ticket, now: Duration, point: Option<ShardKey>) -> Ask {
     Ask {
         ticket,
         service: "s".to_owned(),
--- a/engine/tests/record.rs
+++ b/engine/tests/record.rs
@@ -1,12 +1,12 @@
 //! Records survive being stored, and unsound bytes are refused.
 
-use bramleypier_engine::owner::record::{Life, Part, Record};
+use bramleypier_engine::owner::record::{Incarnation, KeyRange, Record};
 use proptest::prelude::*;
 
-fn life(number: u16) -> Life {
-    Life {
+fn life(number: u16) -> Incarnation {
+    Incarnation {
         id: format!("i-{number:010x}"),
-        born: 1_700_000_000_000 + u64::from(number),
+        start_time: 1_700_000_000_000 + u64::from(number),
         address: ([10, 1, 64, 4], 8000 + number).into(),
     }
 }
@@ -14,7 +14,7 @@
 fn record(widths: &[(u64, u64, Option<u16>)]) -> Record {
     let mut from = 0;
     let parts = widths.iter().map(|(width, fence, owner)| {
-        let part = Part {
+        let part = KeyRange {
             from,
             to: from + width - 1,
             fence: *fence,
@@ -28,7 +28,7 @@
         manager: "vm-1/8d1f".into(),
         resigned: true,
         counter: 40,
-        parts: parts.collect(),
+        ranges: parts.collect(),
         settled: true,
     }
 }
@@ -47,7 +47,7 @@
     #[test]
     fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
         if let Ok(record) = Record::decode(&bytes) {
-            prop_assert!(record.parts.iter().all(|part| part.from <= part.to));
+            prop_assert!(record.ranges.iter().all(|part| part.from <= part.to));
         }
     }
 }
--- a/engine/tests/times.rs
+++ b/engine/tests/times.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use bramleypier_engine::owner::times::Times;
+use bramleypier_engine::owner::service_times::ServiceTimes;
 
 /// A target with two slots that does 17 requests a second turns twelve times slower.
 #[test]
 fn a_target_that_turns_slow_is_known_within_two_seconds() {
-    let mut times = Times::default();
+    let mut times = ServiceTimes::default();
     let mut now = Duration::ZERO;
-    let mut answer = |times: &mut Times, gap: u64, millis: u32| {
+    let mut answer = |times: &mut ServiceTimes, gap: u64, millis: u32| {
         now += Duration::from_millis(gap);
         times.add(now, 7, f64::from(millis) / 1000.0, 1);
     };
