--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -184,8 +184,8 @@
 
 /// Counts a request that no target may get, and whether cold targets of its service were spared meanwhile.
 fn count_refusal(context: &Context, job: &Job, why: Why) {
-    let fleet = context.beliefs.get();
-    let cold = fleet.has_cold(context.clock.now(), &job.service);
+    let fleet = context.shared_fleet.get();
+    let cold = fleet.has_cold_target(context.clock.now(), &job.service);
     let cold = if cold { "yes" } else { "no" };
     let tags = [
         ("service", job.service.as_str()),
@@ -200,7 +200,7 @@
     let Some(point) = job.asked.key.filter(|_| job.keyed) else {
         return "another-target";
     };
-    let fleet = context.beliefs.get();
+    let fleet = context.shared_fleet.get();
     let record = fleet.records.get(&job.service);
     let part = record.and_then(|it| it.record.find(point));
     if part.is_some_and(|part| part.fence == fence) {
@@ -219,7 +219,7 @@
     target: String,
     tried: Tried,
 ) -> Step {
-    let may_repeat = job.route.kind.may_repeat();
+    let may_repeat = job.route.kind.is_idempotent();
     let attempts = usize::try_from(job.route.attempts).unwrap_or(usize::MAX);
     let step = match tried {
         Tried::Answered(response) => {
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -18,10 +18,10 @@
 };
 use crate::{
     catalogue::{Config, Found, Route},
-    fleet::Beliefs,
+    fleet::SharedFleet,
+    health::Health,
     owner::tally::Tally,
     place::task,
-    pulse::Pulse,
     report::Report,
 };
 
@@ -32,9 +32,9 @@
 #[derive(Clone)]
 pub struct Context {
     /// What is believed of the fleet.
-    pub beliefs: Beliefs,
+    pub shared_fleet: SharedFleet,
     /// Whether the manager is heard, who relays what is new.
-    pub heard: Pulse,
+    pub manager_health: Health,
     /// How callers are understood.
     pub callers: Rc<dyn CallerProtocol>,
     /// Decides on targets.
@@ -82,8 +82,12 @@
     let asked = context
         .callers
         .read(request.method(), request.uri(), request.headers());
-    let (beliefs, clock) = (&context.beliefs, &context.clock);
-    let Some(config) = context.early.config(beliefs, clock, asked.remaining).await else {
+    let (shared_fleet, clock) = (&context.shared_fleet, &context.clock);
+    let Some(config) = context
+        .early
+        .config(shared_fleet, clock, asked.remaining)
+        .await
+    else {
         let own = Own::not_run("no configuration is known yet", COME_BACK);
         return finish(&context, &asked, None, came, &Trace::default(), Err(own));
     };
@@ -93,7 +97,7 @@
     };
     let limit = config.limits.body_bytes;
     drop(config);
-    if job.route.kind.may_repeat() {
+    if job.route.kind.is_idempotent() {
         let (result, trace) = run(&context, &job, request, limit).await;
         return finish(&context, &asked, Some(&job), came, &trace, result);
     }
@@ -166,7 +170,7 @@
     let Found::Route(route) = config.routes.find(host, request.uri().path()) else {
         return Err(no_route(context, host, config));
     };
-    let service = route.pick(rand::random()).to_owned();
+    let service = route.pick_service(rand::random()).to_owned();
     let keyed = config.services.get(&service).is_some_and(|it| it.keyed);
     if keyed && asked.key.is_none() {
         return Err(Own::new(Failure::Malformed, "the request has no key"));
@@ -192,7 +196,7 @@
 /// A VM without news can't say that there is none: the route may have been added since.
 fn no_route(context: &Context, host: &str, config: &Config) -> Own {
     let cause = format!("no route for host={host} version={}", config.version);
-    if context.beliefs.get().config_followed || context.heard.is_well() {
+    if context.shared_fleet.get().config_followed || context.manager_health.is_healthy() {
         Own::new(Failure::NoRoute, cause)
     } else {
         Own::not_run(format!("{cause}, and no news of newer ones"), COME_BACK)
--- a/engine/src/caller/serve.rs
+++ b/engine/src/caller/serve.rs
@@ -39,9 +39,9 @@
 
 /// Serves callers until the control stops it.
 pub async fn callers(listener: TcpListener, control: Control, context: Context, gate: Gate) {
-    let (beliefs, clock) = (context.beliefs.clone(), context.clock.clone());
+    let (shared_fleet, clock) = (context.shared_fleet.clone(), context.clock.clone());
     let bounds = move || {
-        let fleet = beliefs.get();
+        let fleet = shared_fleet.get();
         bounds(
             fleet
                 .config
--- a/engine/src/caller/startup.rs
+++ b/engine/src/caller/startup.rs
@@ -10,7 +10,7 @@
 use bramleypier_util::clock::Clock;
 use futures_util::StreamExt;
 
-use crate::{catalogue::Config, fleet::Beliefs};
+use crate::{catalogue::Config, fleet::SharedFleet};
 
 /// How long after the start requests wait: some listings of the store under load.
 const START: Duration = Duration::from_millis(500);
@@ -66,11 +66,11 @@
     /// the caller waits.
     pub(super) async fn config(
         &self,
-        beliefs: &Beliefs,
+        shared_fleet: &SharedFleet,
         clock: &Clock,
         patience: Option<Duration>,
     ) -> Option<Rc<Config>> {
-        let known = beliefs.get().config.clone();
+        let known = shared_fleet.get().config.clone();
         let now = clock.now();
         if known.is_some() || !self.may_wait(now) {
             return known;
@@ -79,15 +79,19 @@
         let left = self.until.saturating_sub(now);
         let left = patience.map_or(left, |it| it.min(left));
         // Whoever has waited in vain is refused.
-        clock.timeout(left, first(beliefs)).await.ok().flatten()
+        clock
+            .timeout(left, first(shared_fleet))
+            .await
+            .ok()
+            .flatten()
     }
 }
 
 /// Waits for the first configuration.
-async fn first(beliefs: &Beliefs) -> Option<Rc<Config>> {
-    let mut changes = beliefs.listen();
+async fn first(shared_fleet: &SharedFleet) -> Option<Rc<Config>> {
+    let mut changes = shared_fleet.subscribe();
     loop {
-        if let Some(config) = beliefs.get().config.clone() {
+        if let Some(config) = shared_fleet.get().config.clone() {
             return Some(config);
         }
         changes.next().await?;
--- a/engine/src/catalogue/mod.rs
+++ b/engine/src/catalogue/mod.rs
@@ -11,7 +11,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-pub use self::routes::{Found, Route, Routes, Share};
+pub use self::routes::{Found, Route, Routes, ServiceWeight};
 
 /// The name of a service.
 pub type ServiceId = String;
@@ -22,7 +22,7 @@
 /// The version of a configuration; versions only grow.
 pub type Version = u64;
 /// When a target's life began, in Unix milliseconds by the target's own clock.
-pub type Born = u64;
+pub type StartTime = u64;
 
 /// A target's id, hashed: messages between VMs name targets many times a second.
 pub type TargetHash = u32;
@@ -71,10 +71,10 @@
     /// ```
     /// use bramleypier_engine::catalogue::Kind;
     ///
-    /// assert!(Kind::Download.may_repeat());
-    /// assert!(!Kind::Once.may_repeat());
+    /// assert!(Kind::Download.is_idempotent());
+    /// assert!(!Kind::Once.is_idempotent());
     /// ```
-    pub fn may_repeat(self) -> bool {
+    pub fn is_idempotent(self) -> bool {
         self != Self::Once
     }
 }
@@ -110,7 +110,8 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Warmup {
     /// How long a target is cold.
-    pub span: Duration,
+    #[serde(rename = "span")]
+    pub duration: Duration,
     /// How many requests a second it bears until then; well above that it falls over.
     pub rate: f64,
 }
@@ -122,11 +123,13 @@
     /// Its name.
     pub name: ServiceId,
     /// The most connections that one target accepts from all VMs together.
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// Whether each key has one owner among the targets.
     pub keyed: bool,
     /// How long keys are slow that arrive without a handover.
-    pub warm: Duration,
+    #[serde(rename = "warm")]
+    pub key_warmup: Duration,
     /// What its targets bear while they are cold; none if that has no bound.
     pub warmup: Option<Warmup>,
 }
@@ -151,7 +154,8 @@
     /// The id; a later life may have the same one.
     pub id: TargetId,
     /// When this life began; 0 if the target doesn't say.
-    pub born: Born,
+    #[serde(rename = "born")]
+    pub start_time: StartTime,
     /// The service it belongs to.
     pub service: ServiceId,
     /// Where it answers.
@@ -178,7 +182,7 @@
     ///
     /// let first = Target {
     ///     id: "a".into(),
-    ///     born: 1,
+    ///     start_time: 1,
     ///     service: "s".into(),
     ///     address: "127.0.0.1:1".parse().unwrap(),
     ///     domain: "d".into(),
@@ -186,11 +190,11 @@
     ///     leaving: false,
     ///     cold: Duration::ZERO,
     /// };
-    /// let second = Target { born: 2, ..first.clone() };
-    /// assert!(!first.same_life(&second));
+    /// let second = Target { start_time: 2, ..first.clone() };
+    /// assert!(!first.same_incarnation(&second));
     /// ```
-    pub fn same_life(&self, other: &Self) -> bool {
-        self.id == other.id && self.born == other.born
+    pub fn same_incarnation(&self, other: &Self) -> bool {
+        self.id == other.id && self.start_time == other.start_time
     }
 }
 
@@ -204,7 +208,7 @@
 
     /// Returns the failure domain that an operator evacuates for as long as a key stands in the store; none
     /// if the key is another's.
-    fn evacuated(&self, key: &str) -> Option<DomainId>;
+    fn evacuated_domain(&self, key: &str) -> Option<DomainId>;
 
     /// Decodes a configuration.
     ///
--- a/engine/src/catalogue/routes.rs
+++ b/engine/src/catalogue/routes.rs
@@ -10,7 +10,7 @@
 /// A service's part of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Share {
+pub struct ServiceWeight {
     /// The service.
     pub service: ServiceId,
     /// Its weight among the route's services.
@@ -28,7 +28,8 @@
     /// How often a request may run.
     pub kind: Kind,
     /// The services; never empty.
-    pub shares: Vec<Share>,
+    #[serde(rename = "shares")]
+    pub service_weights: Vec<ServiceWeight>,
     /// The longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// The time within which an answer is worth most.
@@ -49,34 +50,38 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::catalogue::{Kind, Route, Share};
+    /// use bramleypier_engine::catalogue::{Kind, Route, ServiceWeight};
     ///
-    /// let share = |service: &str, weight| Share { service: service.into(), weight };
+    /// let share = |service: &str, weight| ServiceWeight { service: service.into(), weight };
     /// let route = Route {
     ///     name: "r".into(),
     ///     prefix: "/a/".into(),
     ///     kind: Kind::Idempotent,
-    ///     shares: vec![share("x", 90), share("y", 10)],
+    ///     service_weights: vec![share("x", 90), share("y", 10)],
     ///     timeout: Duration::from_secs(1),
     ///     goal: Duration::from_millis(200),
     ///     attempts: 2,
     ///     priority: 0,
     /// };
-    /// assert_eq!(route.pick(0), "x");
-    /// assert_eq!(route.pick(u64::MAX), "y");
+    /// assert_eq!(route.pick_service(0), "x");
+    /// assert_eq!(route.pick_service(u64::MAX), "y");
     /// ```
-    pub fn pick(&self, draw: u64) -> &str {
-        let total: u64 = self.shares.iter().map(|it| u64::from(it.weight)).sum();
+    pub fn pick_service(&self, draw: u64) -> &str {
+        let total: u64 = self
+            .service_weights
+            .iter()
+            .map(|it| u64::from(it.weight))
+            .sum();
         let scaled = u128::from(draw) * u128::from(total.max(1));
         let mut point = u64::try_from(scaled >> 64).unwrap_or(0);
-        for share in &self.shares {
+        for share in &self.service_weights {
             let weight = u64::from(share.weight);
             if point < weight {
                 return &share.service;
             }
             point -= weight;
         }
-        self.shares.first().map_or("", |it| &it.service)
+        self.service_weights.first().map_or("", |it| &it.service)
     }
 }
 
--- a/engine/src/fleet/journal.rs
+++ b/engine/src/fleet/change_log.rs
@@ -16,7 +16,7 @@
 /// How far somebody has followed a VM's journal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Place {
+pub struct LogPosition {
     /// The start of the process whose journal it is.
     pub start: String,
     /// How many of its changes are known.
@@ -34,7 +34,7 @@
         /// By prefix: who takes the changes knows what stood there in the store at this revision.
         followed: IndexMap<String, Revision>,
         /// Where that leads.
-        place: Place,
+        place: LogPosition,
     },
     /// Everything that is known.
     Whole {
@@ -45,7 +45,7 @@
         /// Of a prefix that isn't named, anything may be missing.
         followed: IndexMap<String, Revision>,
         /// Where that leads.
-        place: Place,
+        place: LogPosition,
     },
 }
 
@@ -55,17 +55,17 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::{Place, Relay};
+    /// use bramleypier_engine::fleet::{LogPosition, Relay};
     ///
     /// let relay = Relay::Whole {
     ///     items: vec![],
     ///     followed: [].into(),
-    ///     place: Place::default(),
+    ///     place: LogPosition::default(),
     /// };
-    /// assert_eq!(relay.place().count, 0);
+    /// assert_eq!(relay.position().count, 0);
     /// assert!(relay.followed().is_empty());
     /// ```
-    pub fn place(&self) -> &Place {
+    pub fn position(&self) -> &LogPosition {
         match self {
             Self::Changes { place, .. } | Self::Whole { place, .. } => place,
         }
@@ -75,7 +75,7 @@
     ///
     /// # Example
     ///
-    /// See [`Relay::place`].
+    /// See [`Relay::position`].
     pub fn followed(&self) -> &IndexMap<String, Revision> {
         match self {
             Self::Changes { followed, .. } | Self::Whole { followed, .. } => followed,
@@ -89,29 +89,29 @@
 ///
 /// ```
 /// use bramleypier_engine::{
-///     fleet::{Journal, Relay},
+///     fleet::{ChangeLog, Relay},
 ///     store::Change,
 /// };
 ///
-/// let mut journal = Journal::default();
-/// let place = journal.place("start");
+/// let mut journal = ChangeLog::default();
+/// let place = journal.position("start");
 /// journal.add(&Change::Removed { key: "a".into(), revision: 1 });
 /// let relay = journal.since("start", &place).unwrap();
 /// assert!(matches!(relay, Relay::Changes { changes, .. } if changes.len() == 1));
 /// assert!(journal.since("another start", &place).is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Journal {
+pub struct ChangeLog {
     changes: VecDeque<Rc<Change>>,
     count: u64,
 }
 
-impl Journal {
+impl ChangeLog {
     /// Adds a change.
     ///
     /// # Example
     ///
-    /// See [`Journal`].
+    /// See [`ChangeLog`].
     pub fn add(&mut self, change: &Change) {
         if self.changes.len() >= CHANGES {
             self.changes.pop_front();
@@ -124,9 +124,9 @@
     ///
     /// # Example
     ///
-    /// See [`Journal`].
-    pub fn place(&self, start: &str) -> Place {
-        Place {
+    /// See [`ChangeLog`].
+    pub fn position(&self, start: &str) -> LogPosition {
+        LogPosition {
             start: start.to_owned(),
             count: self.count,
         }
@@ -136,8 +136,8 @@
     ///
     /// # Example
     ///
-    /// See [`Journal`].
-    pub fn since(&self, start: &str, place: &Place) -> Option<Relay> {
+    /// See [`ChangeLog`].
+    pub fn since(&self, start: &str, place: &LogPosition) -> Option<Relay> {
         let lacking = self.count.checked_sub(place.count)?;
         let lacking = usize::try_from(lacking).ok()?;
         if place.start != start || lacking > self.changes.len() {
@@ -155,7 +155,7 @@
         Some(Relay::Changes {
             changes,
             followed: IndexMap::new(),
-            place: self.place(start),
+            place: self.position(start),
         })
     }
 }
--- a/engine/src/fleet/cold.rs
+++ b/engine/src/fleet/cold.rs
@@ -32,9 +32,9 @@
     ///
     /// use bramleypier_engine::fleet::Fleet;
     ///
-    /// assert!(!Fleet::default().has_cold(Duration::ZERO, "s"));
+    /// assert!(!Fleet::default().has_cold_target(Duration::ZERO, "s"));
     /// ```
-    pub fn has_cold(&self, now: Duration, service: &str) -> bool {
+    pub fn has_cold_target(&self, now: Duration, service: &str) -> bool {
         let cold = self.cold.iter().filter(|(_, until)| now < **until);
         let mut targets = cold.filter_map(|(id, _)| self.targets.get(id));
         targets.any(|target| target.service == service)
--- a/engine/src/fleet/entries.rs
+++ b/engine/src/fleet/entries.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use super::{Fleet, Keys, Recorded, Vm};
+use super::{Fleet, Recorded, StoreKeys, Vm};
 use crate::{
     catalogue::Catalogue,
     owner::record::Record,
@@ -14,7 +14,7 @@
         &mut self,
         now: Duration,
         item: &Item,
-        keys: &Keys,
+        keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
@@ -32,7 +32,7 @@
             self.vanished.swap_remove(key);
             return self.put_target(now, item, catalogue);
         }
-        if let Some(domain) = catalogue.evacuated(key) {
+        if let Some(domain) = catalogue.evacuated_domain(key) {
             return self.evacuate(now, domain, *revision);
         }
         if *key == keys.manager() {
@@ -97,7 +97,7 @@
                     "event=target-announced target={} born={} service={} address={} leaving={} \
                      cold_ms={} revision={revision}",
                     target.id,
-                    target.born,
+                    target.start_time,
                     target.service,
                     target.address,
                     target.leaving,
@@ -138,7 +138,7 @@
         &mut self,
         now: Duration,
         key: &str,
-        keys: &Keys,
+        keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
@@ -153,7 +153,7 @@
                 Vec::new()
             };
         }
-        if let Some(domain) = catalogue.evacuated(key) {
+        if let Some(domain) = catalogue.evacuated_domain(key) {
             return self.take_back(now, &domain);
         }
         if key == keys.manager() {
--- a/engine/src/fleet/entry.rs
+++ b/engine/src/fleet/entry.rs
@@ -9,20 +9,20 @@
 
 /// Where the engine keeps its own items in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keys {
+pub struct StoreKeys {
     /// What all keys begin with.
     pub prefix: String,
 }
 
-impl Keys {
+impl StoreKeys {
     /// Returns the key of the manager's entry.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::Keys;
+    /// use bramleypier_engine::fleet::StoreKeys;
     ///
-    /// assert_eq!(Keys { prefix: "b/".into() }.manager(), "b/manager");
+    /// assert_eq!(StoreKeys { prefix: "b/".into() }.manager(), "b/manager");
     /// ```
     pub fn manager(&self) -> String {
         format!("{}manager", self.prefix)
@@ -33,9 +33,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::Keys;
+    /// use bramleypier_engine::fleet::StoreKeys;
     ///
-    /// assert_eq!(Keys { prefix: "b/".into() }.record("s"), "b/owners/s");
+    /// assert_eq!(StoreKeys { prefix: "b/".into() }.record("s"), "b/owners/s");
     /// ```
     pub fn record(&self, service: &str) -> String {
         format!("{}owners/{service}", self.prefix)
@@ -46,9 +46,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::Keys;
+    /// use bramleypier_engine::fleet::StoreKeys;
     ///
-    /// assert_eq!(Keys { prefix: "b/".into() }.vm("a"), "b/vms/a");
+    /// assert_eq!(StoreKeys { prefix: "b/".into() }.vm("a"), "b/vms/a");
     /// ```
     pub fn vm(&self, vm: &str) -> String {
         format!("{}vms/{vm}", self.prefix)
@@ -68,7 +68,8 @@
     /// Its failure domain.
     pub domain: DomainId,
     /// What it can do as the manager, in thousandths of a core.
-    pub power: u32,
+    #[serde(rename = "power")]
+    pub capacity_millicores: u32,
 }
 
 impl Vm {
@@ -84,7 +85,7 @@
     ///     start: "1".into(),
     ///     address: "127.0.0.1:1".parse().unwrap(),
     ///     domain: "d".into(),
-    ///     power: 200,
+    ///     capacity_millicores: 200,
     /// };
     /// assert_eq!(Vm::decode(&vm.encode()), Some(vm));
     /// ```
--- a/engine/src/fleet/evacuation.rs
+++ b/engine/src/fleet/evacuation.rs
@@ -45,7 +45,7 @@
         let targets = self.targets.values().filter(|it| it.domain == domain);
         let cold = targets.filter_map(|it| {
             let warmup = warmups.get(&it.service)?;
-            Some((it.id.clone(), now + warmup.span))
+            Some((it.id.clone(), now + warmup.duration))
         });
         let cold: Vec<_> = cold.collect();
         let note = format!(
--- a/engine/src/fleet/mod.rs
+++ b/engine/src/fleet/mod.rs
@@ -1,24 +1,24 @@
 //! What this VM believes of the fleet: configuration, targets, owners of keys, the manager, VMs.
 //!
-//! [`Fleet`] changes by what the store tells and never goes backwards; [`Beliefs`] shows its newest
+//! [`Fleet`] changes by what the store tells and never goes backwards; [`SharedFleet`] shows its newest
 //! state to the tasks of the process and wakes those that listen.
 
-mod beliefs;
+mod change_log;
 mod cold;
 mod entries;
 mod entry;
 mod evacuation;
-mod journal;
 mod relaying;
+mod shared;
 
 use std::{collections::HashSet, rc::Rc, time::Duration};
 
 use indexmap::IndexMap;
 
 pub use self::{
-    beliefs::Beliefs,
-    entry::{Keys, Vm},
-    journal::{Journal, Place, Relay},
+    change_log::{ChangeLog, LogPosition, Relay},
+    entry::{StoreKeys, Vm},
+    shared::SharedFleet,
 };
 use crate::{
     catalogue::{Catalogue, Config, DomainId, ServiceId, Target, TargetId},
@@ -75,7 +75,7 @@
     /// The VMs.
     pub vms: IndexMap<VmId, Vm>,
     /// Whether the targets have been listed.
-    pub listed: bool,
+    pub targets_listed: bool,
     /// What stands in the store, and what was removed from it.
     known: IndexMap<String, Known>,
     /// Up to which revision removals may be missing from what is known: they were forgotten, or came
@@ -84,7 +84,7 @@
     /// Up to which revision of the store each prefix was followed here.
     followed: IndexMap<String, Revision>,
     /// What was taken in, for other VMs.
-    journal: Journal,
+    journal: ChangeLog,
     /// Targets that vanished in or after trouble of the store, and when they count as gone.
     vanished: IndexMap<String, (Duration, Revision)>,
     /// When the store was last in trouble.
@@ -102,10 +102,10 @@
     /// use bramleypier_engine::fleet::Fleet;
     ///
     /// let mut fleet = Fleet::default();
-    /// fleet.on_trouble(Duration::from_secs(1));
+    /// fleet.on_store_failure(Duration::from_secs(1));
     /// assert!(fleet.expire(Duration::from_secs(9)).is_empty());
     /// ```
-    pub fn on_trouble(&mut self, now: Duration) {
+    pub fn on_store_failure(&mut self, now: Duration) {
         self.trouble = Some(now);
     }
 
@@ -117,7 +117,7 @@
         now: Duration,
         prefix: &str,
         listing: &Listing,
-        keys: &Keys,
+        keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
@@ -132,7 +132,7 @@
             let change = Change::Put(item.clone());
             notes.extend(self.on_change(now, &change, keys, catalogue));
         }
-        self.listed |= catalogue.targets_prefix().starts_with(prefix);
+        self.targets_listed |= catalogue.targets_prefix().starts_with(prefix);
         notes
     }
 
@@ -155,7 +155,7 @@
         prefix: &str,
         items: &[Item],
         upto: Revision,
-        keys: &Keys,
+        keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
@@ -185,7 +185,7 @@
         &mut self,
         now: Duration,
         change: &Change,
-        keys: &Keys,
+        keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
@@ -240,7 +240,7 @@
     ///
     /// # Example
     ///
-    /// See [`Fleet::on_trouble`].
+    /// See [`Fleet::on_store_failure`].
     pub fn expire(&mut self, now: Duration) -> Vec<TargetId> {
         let gone: Vec<(String, Revision)> = self
             .vanished
@@ -319,17 +319,17 @@
     /// assert!(!Fleet::default().is_ready());
     /// ```
     pub fn is_ready(&self) -> bool {
-        self.config.is_some() && self.listed
+        self.config.is_some() && self.targets_listed
     }
 }
 
 /// Returns whether a key is one of those that this engine follows; others may stand in the store too.
-fn is_followed<C>(key: &str, keys: &Keys, catalogue: &C) -> bool
+fn is_followed<C>(key: &str, keys: &StoreKeys, catalogue: &C) -> bool
 where
     C: Catalogue + ?Sized,
 {
     key == catalogue.config_key()
         || key.starts_with(catalogue.targets_prefix())
         || key.starts_with(&keys.prefix)
-        || catalogue.evacuated(key).is_some()
+        || catalogue.evacuated_domain(key).is_some()
 }
--- a/engine/src/fleet/relaying.rs
+++ b/engine/src/fleet/relaying.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::{Fleet, Keys, Known, Place, Relay};
+use super::{Fleet, Known, LogPosition, Relay, StoreKeys};
 use crate::{
     catalogue::Catalogue,
     store::{Change, Item, Revision},
@@ -17,16 +17,16 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::{Fleet, Place, Relay};
+    /// use bramleypier_engine::fleet::{Fleet, LogPosition, Relay};
     ///
     /// let fleet = Fleet::default();
-    /// let relay = fleet.relay("start", &Place::default(), &[].into());
+    /// let relay = fleet.relay("start", &LogPosition::default(), &[].into());
     /// assert!(matches!(relay, Relay::Whole { .. }));
     /// ```
     pub fn relay(
         &self,
         start: &str,
-        place: &Place,
+        place: &LogPosition,
         followed: &IndexMap<String, Revision>,
     ) -> Relay {
         if let Some(Relay::Changes { changes, place, .. }) = self.journal.since(start, place) {
@@ -42,7 +42,7 @@
             return Relay::Changes {
                 changes: self.changes_since(followed),
                 followed: self.settled(),
-                place: self.journal.place(start),
+                place: self.journal.position(start),
             };
         }
         let items = self.known.iter().filter_map(|(key, known)| {
@@ -56,7 +56,7 @@
         Relay::Whole {
             items: items.collect(),
             followed: self.settled(),
-            place: self.journal.place(start),
+            place: self.journal.position(start),
         }
     }
 
@@ -132,7 +132,7 @@
         now: Duration,
         relay: &Relay,
         well: bool,
-        keys: &Keys,
+        keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
@@ -149,7 +149,7 @@
                     self.forgotten = self.forgotten.max(*upto);
                 }
                 let prefix = catalogue.targets_prefix();
-                self.listed |= items.iter().any(|item| item.key.starts_with(prefix));
+                self.targets_listed |= items.iter().any(|item| item.key.starts_with(prefix));
                 for item in items {
                     let change = Change::Put(item.clone());
                     notes.extend(self.on_change(now, &change, keys, catalogue));
--- a/engine/src/fleet/beliefs.rs
+++ b/engine/src/fleet/shared.rs
@@ -8,20 +8,20 @@
 
 /// The newest beliefs, shared by the tasks of a process.
 #[derive(Clone, Debug, Default)]
-pub struct Beliefs {
+pub struct SharedFleet {
     now: Rc<RefCell<Rc<Fleet>>>,
     listeners: Rc<RefCell<Vec<mpsc::UnboundedSender<()>>>>,
 }
 
-impl Beliefs {
+impl SharedFleet {
     /// Returns the newest state.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::Beliefs;
+    /// use bramleypier_engine::fleet::SharedFleet;
     ///
-    /// assert!(Beliefs::default().get().config.is_none());
+    /// assert!(SharedFleet::default().get().config.is_none());
     /// ```
     pub fn get(&self) -> Rc<Fleet> {
         self.now.borrow().clone()
@@ -32,13 +32,13 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::Beliefs;
+    /// use bramleypier_engine::fleet::SharedFleet;
     ///
-    /// let beliefs = Beliefs::default();
-    /// beliefs.change(|fleet| fleet.listed = true);
-    /// assert!(beliefs.get().listed);
+    /// let shared_fleet = SharedFleet::default();
+    /// shared_fleet.update(|fleet| fleet.targets_listed = true);
+    /// assert!(shared_fleet.get().targets_listed);
     /// ```
-    pub fn change<F, R>(&self, change: F) -> R
+    pub fn update<F, R>(&self, change: F) -> R
     where
         F: FnOnce(&mut Fleet) -> R,
     {
@@ -53,14 +53,14 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::fleet::Beliefs;
+    /// use bramleypier_engine::fleet::SharedFleet;
     ///
-    /// let beliefs = Beliefs::default();
-    /// let mut changes = beliefs.listen();
-    /// beliefs.change(|_| ());
+    /// let shared_fleet = SharedFleet::default();
+    /// let mut changes = shared_fleet.subscribe();
+    /// shared_fleet.update(|_| ());
     /// assert!(changes.try_recv().is_ok());
     /// ```
-    pub fn listen(&self) -> mpsc::UnboundedReceiver<()> {
+    pub fn subscribe(&self) -> mpsc::UnboundedReceiver<()> {
         let (sender, receiver) = mpsc::unbounded();
         self.listeners.borrow_mut().push(sender);
         receiver
--- a/engine/src/follow.rs
+++ b/engine/src/follow.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     catalogue::Catalogue,
-    fleet::{Beliefs, Keys},
-    pulse::Pulse,
+    fleet::{SharedFleet, StoreKeys},
+    health::Health,
     report::Report,
     store::{Error, Read, Revision, Store},
 };
@@ -43,13 +43,13 @@
     /// Decodes what is stored.
     pub catalogue: Rc<dyn Catalogue>,
     /// The engine's own keys.
-    pub keys: Rc<Keys>,
+    pub keys: Rc<StoreKeys>,
     /// What is believed.
-    pub beliefs: Beliefs,
+    pub shared_fleet: SharedFleet,
     /// Whether the store answers.
-    pub pulse: Pulse,
+    pub store_health: Health,
     /// Whether the manager is heard, who tells what is new; never on the manager itself.
-    pub heard: Pulse,
+    pub manager_health: Health,
     /// Whether this VM is the manager.
     pub leading: Rc<Cell<bool>>,
     /// The clock.
@@ -120,7 +120,7 @@
                 sight = Sight::Lost;
                 let jitter = rand::rng().random_range(0.7..1.3);
                 follower.context.clock.sleep(pause.mul_f64(jitter)).await;
-                follower.context.pulse.well().await;
+                follower.context.store_health.well().await;
                 follower.wait_to_be_told().await;
                 pause = (pause * 2).min(PAUSE_MOST);
             }
@@ -138,7 +138,7 @@
     }
 
     fn followed(&self, revision: Revision) {
-        self.context.beliefs.change(|fleet| {
+        self.context.shared_fleet.update(|fleet| {
             fleet.on_followed(PREFIX, revision);
             fleet.config_followed = true;
         });
@@ -146,8 +146,8 @@
 
     fn trouble(&self, sight: Sight, error: &Error) {
         let now = self.context.clock.now();
-        self.context.beliefs.change(|fleet| {
-            fleet.on_trouble(now);
+        self.context.shared_fleet.update(|fleet| {
+            fleet.on_store_failure(now);
             fleet.config_followed = false;
         });
         if sight != Sight::Lost {
@@ -158,31 +158,34 @@
     /// Waits for as long as the manager is heard; returns whether it was.
     async fn told(&self) -> bool {
         let context = &self.context;
-        if !context.heard.is_well() {
+        if !context.manager_health.is_healthy() {
             return false;
         }
         context
-            .beliefs
-            .change(|fleet| fleet.config_followed = false);
-        context.heard.ill().await;
+            .shared_fleet
+            .update(|fleet| fleet.config_followed = false);
+        context.manager_health.ill().await;
         true
     }
 
     /// Gives a manager that is known the time to tell: all VMs would ask the store at once otherwise.
     async fn wait_to_be_told(&self) {
         let context = &self.context;
-        if context.leading.get() || context.beliefs.get().manager.is_none() {
+        if context.leading.get() || context.shared_fleet.get().manager.is_none() {
             return;
         }
         // That it doesn't is the answer: this VM asks the store itself.
-        let _ = context.clock.timeout(TELL_WAIT, context.heard.well()).await;
+        let _ = context
+            .clock
+            .timeout(TELL_WAIT, context.manager_health.well())
+            .await;
     }
 
     async fn list(&self, read: Read) -> Result<Asked, Error> {
         let context = &self.context;
         let listing = context.store.list(PREFIX, read).await?;
         let now = context.clock.now();
-        let notes = context.beliefs.change(|fleet| {
+        let notes = context.shared_fleet.update(|fleet| {
             fleet.on_listing(now, PREFIX, &listing, &context.keys, &*context.catalogue)
         });
         context.report.lines(&notes);
@@ -197,23 +200,23 @@
         } else {
             PROBE_WAIT
         };
-        let known = context.beliefs.get().followed().get(PREFIX).copied();
+        let known = context.shared_fleet.get().followed().get(PREFIX).copied();
         let after = known.unwrap_or(0);
         let watch = context.store.watch(PREFIX, after, wait);
         let ended = future::select(
-            Box::pin(context.heard.well()),
-            Box::pin(context.pulse.ill()),
+            Box::pin(context.manager_health.well()),
+            Box::pin(context.store_health.ill()),
         );
         let news = match future::select(watch, ended).await {
             Either::Left((news, _)) => news?,
             Either::Right((Either::Left(_), _)) => return Ok(Asked::Told),
             Either::Right((Either::Right(_), _)) => {
                 let reason = "other calls are not answered".to_owned();
-                return Err(Error::Refused("watch", reason));
+                return Err(Error::NotApplied("watch", reason));
             }
         };
         let now = context.clock.now();
-        let notes = context.beliefs.change(|fleet| {
+        let notes = context.shared_fleet.update(|fleet| {
             let mut notes = Vec::new();
             for change in &news.changes {
                 notes.extend(fleet.on_change(now, change, &context.keys, &*context.catalogue));
@@ -234,15 +237,15 @@
 }
 
 /// Removes targets that stay away after trouble of the store.
-pub async fn expire(beliefs: Beliefs, clock: Clock, report: Report) {
+pub async fn expire_targets(shared_fleet: SharedFleet, clock: Clock, report: Report) {
     const TICK: Duration = Duration::from_millis(250);
     loop {
         clock.sleep(TICK).await;
         let now = clock.now();
-        if beliefs.get().expiry().is_none_or(|at| now < at) {
+        if shared_fleet.get().expiry().is_none_or(|at| now < at) {
             continue;
         }
-        for id in beliefs.change(|fleet| fleet.expire(now)) {
+        for id in shared_fleet.update(|fleet| fleet.expire(now)) {
             report.line(&format!(
                 "event=target-gone target={id} cause=missing-after-trouble"
             ));
--- a/engine/src/pulse.rs
+++ b/engine/src/health.rs
@@ -20,17 +20,17 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_engine::pulse::Pulse;
+/// use bramleypier_engine::health::Health;
 ///
-/// let pulse = Pulse::default();
-/// assert!(pulse.is_well());
-/// pulse.beat(false);
-/// assert!(!pulse.is_well());
-/// pulse.beat(true);
-/// assert_eq!(pulse.failures(), 1);
+/// let health = Health::default();
+/// assert!(health.is_healthy());
+/// health.record_outcome(false);
+/// assert!(!health.is_healthy());
+/// health.record_outcome(true);
+/// assert_eq!(health.failures(), 1);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Pulse {
+pub struct Health {
     well: Rc<Cell<bool>>,
     failures: Rc<Cell<u64>>,
     /// When the latest call was sent that was answered.
@@ -38,7 +38,7 @@
     change: Rc<RefCell<(oneshot::Sender<()>, Signal)>>,
 }
 
-impl Default for Pulse {
+impl Default for Health {
     fn default() -> Self {
         Self {
             well: Rc::new(Cell::new(true)),
@@ -54,13 +54,13 @@
     (sender, receiver.shared())
 }
 
-impl Pulse {
+impl Health {
     /// Takes note of one call's outcome.
     ///
     /// # Example
     ///
-    /// See [`Pulse`].
-    pub fn beat(&self, ok: bool) {
+    /// See [`Health`].
+    pub fn record_outcome(&self, ok: bool) {
         if !ok {
             self.failures.set(self.failures.get() + 1);
         }
@@ -74,8 +74,8 @@
     ///
     /// # Example
     ///
-    /// See [`Pulse`].
-    pub fn is_well(&self) -> bool {
+    /// See [`Health`].
+    pub fn is_healthy(&self) -> bool {
         self.well.get()
     }
 
@@ -83,7 +83,7 @@
     ///
     /// # Example
     ///
-    /// See [`Pulse`].
+    /// See [`Health`].
     pub fn failures(&self) -> u64 {
         self.failures.get()
     }
@@ -95,15 +95,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::pulse::Pulse;
+    /// use bramleypier_engine::health::Health;
     ///
     /// let second = Duration::from_secs(1);
-    /// let pulse = Pulse::default();
-    /// pulse.note_answer(second);
-    /// assert!(pulse.answered_since(second));
-    /// assert!(!pulse.answered_since(2 * second));
+    /// let health = Health::default();
+    /// health.record_answer(second);
+    /// assert!(health.answered_since(second));
+    /// assert!(!health.answered_since(2 * second));
     /// ```
-    pub fn note_answer(&self, sent: Duration) {
+    pub fn record_answer(&self, sent: Duration) {
         self.answered.set(self.answered.get().max(Some(sent)));
     }
 
@@ -111,21 +111,21 @@
     ///
     /// # Example
     ///
-    /// See [`Pulse::note_answer`].
+    /// See [`Health::record_answer`].
     pub fn answered_since(&self, since: Duration) -> bool {
         self.answered.get().is_some_and(|sent| sent >= since)
     }
 
     /// Waits until the store answers, at once if it does.
     pub async fn well(&self) {
-        while !self.is_well() {
+        while !self.is_healthy() {
             self.changed().await;
         }
     }
 
     /// Waits until the store stops answering, at once if it doesn't.
     pub async fn ill(&self) {
-        while self.is_well() {
+        while self.is_healthy() {
             self.changed().await;
         }
     }
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -68,7 +68,7 @@
 pub(super) fn rank(fleet: &Fleet, own: &Vm) -> Duration {
     let rank = |vm: &Vm| {
         let hash = xxhash_rust::xxh3::xxh3_64(vm.start.as_bytes());
-        (Reverse(vm.power), hash)
+        (Reverse(vm.capacity_millicores), hash)
     };
     let mine = rank(own);
     let before = fleet.vms.values().filter(|vm| rank(vm) < mine).count();
--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -20,7 +20,7 @@
 impl Manager {
     /// Bids for the lease when nobody has it, in an order that differs by VM.
     pub(super) fn seek(&mut self, now: Duration) {
-        let fleet = self.context.beliefs.get();
+        let fleet = self.context.shared_fleet.get();
         let vacant = fleet.manager.is_none() && fleet.is_ready() && self.lease.is_none();
         if !vacant || self.bidding || self.stopping.is_some() {
             return;
@@ -50,7 +50,7 @@
     /// Load pattern: all VMs lose power and come back within a second, and the lease outlasts that.
     pub(super) fn clear_earlier(&mut self, now: Duration) {
         let own = &self.context.vm;
-        let fleet = self.context.beliefs.get();
+        let fleet = self.context.shared_fleet.get();
         let earlier = |vm: &Vm| vm.name == own.name && vm.start != own.start;
         if now < self.clear_due || !fleet.manager.as_ref().is_some_and(earlier) {
             return;
@@ -82,7 +82,7 @@
         match result {
             Ok(Some(lease)) => {
                 self.log(&format!("event=manager-elected lease={}", lease.id));
-                self.lease = Some((lease.id, sent + lease.span));
+                self.lease = Some((lease.id, sent + lease.duration));
                 self.context.leading.set(true);
                 self.renew_due = self.now() + self.renew_pause();
                 // What was kept under an earlier lease goes on if nobody has changed it since.
@@ -120,7 +120,7 @@
     pub(super) fn renewed(&mut self, result: Result<Duration, Error>, sent: Duration) {
         match result {
             Ok(span) => {
-                self.context.pulse.note_answer(sent);
+                self.context.store_health.record_answer(sent);
                 let Some((_, until)) = &mut self.lease else {
                     return;
                 };
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -22,8 +22,8 @@
 };
 use crate::{
     catalogue::{Catalogue, ServiceId, TargetHash},
-    fleet::{Beliefs, Keys, Vm},
-    pulse::Pulse,
+    fleet::{SharedFleet, StoreKeys, Vm},
+    health::Health,
     report::Report,
     settings::LeaseLimits,
     store::{Commit, Error, Item, Lease, LeaseId, Revision, Store},
@@ -75,15 +75,15 @@
     /// Connections to targets for grants and releases.
     pub client: Client,
     /// What is believed of the fleet.
-    pub beliefs: Beliefs,
+    pub shared_fleet: SharedFleet,
     /// Decodes what is stored.
     pub catalogue: Rc<dyn Catalogue>,
     /// Whether this VM holds the lease; told here.
     pub leading: Rc<Cell<bool>>,
     /// When the store last answered; told here.
-    pub pulse: Pulse,
+    pub store_health: Health,
     /// Keys in the store.
-    pub keys: Rc<Keys>,
+    pub keys: Rc<StoreKeys>,
     /// The clock.
     pub clock: Clock,
     /// Logs and counters.
@@ -165,7 +165,7 @@
 
 impl Manager {
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
-        let mut changes = self.context.beliefs.listen();
+        let mut changes = self.context.shared_fleet.subscribe();
         loop {
             let clock = self.context.clock.clone();
             let idle = self.kept.is_empty() && self.bid_due.is_none() && self.lease.is_none();
--- a/engine/src/owner/manager/records.rs
+++ b/engine/src/owner/manager/records.rs
@@ -12,7 +12,7 @@
 impl Manager {
     /// Takes over each service with owners that isn't kept yet.
     pub(super) fn take_services(&mut self) {
-        let fleet = self.context.beliefs.get();
+        let fleet = self.context.shared_fleet.get();
         let Some(config) = &fleet.config else {
             return;
         };
@@ -86,7 +86,7 @@
         self.apply(service, effects);
         let until = self.lease.map_or(now, |(_, until)| until);
         self.feed(service, Event::LeaseExtended(until));
-        let fleet = self.context.beliefs.get();
+        let fleet = self.context.shared_fleet.get();
         self.look_for_earlier(&fleet);
         self.show_targets(&fleet, service);
     }
@@ -180,8 +180,8 @@
         });
         let now = self.now();
         let notes = context
-            .beliefs
-            .change(|fleet| fleet.on_change(now, &change, &context.keys, &*context.catalogue));
+            .shared_fleet
+            .update(|fleet| fleet.on_change(now, &change, &context.keys, &*context.catalogue));
         context.report.lines(&notes);
     }
 }
--- a/engine/src/owner/manager/updates.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -32,7 +32,7 @@
             self.feed(service, Event::Tick);
             return;
         };
-        let fleet = self.context.beliefs.get();
+        let fleet = self.context.shared_fleet.get();
         let targets = calls::targets(&fleet, service);
         let times = calls::measured(&self.times, &targets);
         let rates = calls::held(&self.rates, &targets);
@@ -86,7 +86,7 @@
 
     /// Takes a change of beliefs in.
     pub(super) fn look(&mut self) {
-        let fleet = self.context.beliefs.get();
+        let fleet = self.context.shared_fleet.get();
         self.look_for_earlier(&fleet);
         self.yield_to_other(&fleet);
         let services: Vec<_> = self.kept.keys().cloned().collect();
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::packed::Packed;
-use crate::catalogue::{Born, Target, TargetId};
+use crate::catalogue::{StartTime, Target, TargetId};
 
 /// A key's place.
 pub type ShardKey = u64;
@@ -42,7 +42,7 @@
     pub id: TargetId,
     /// When the life began.
     #[serde(rename = "born")]
-    pub start_time: Born,
+    pub start_time: StartTime,
     /// Where it answers.
     pub address: SocketAddr,
 }
@@ -61,7 +61,7 @@
     pub fn of(target: &Target) -> Self {
         Self {
             id: target.id.clone(),
-            start_time: target.born,
+            start_time: target.start_time,
             address: target.address,
         }
     }
@@ -72,7 +72,7 @@
     ///
     /// See [`Incarnation::of`].
     pub fn is_announced_by(&self, target: &Target) -> bool {
-        self.id == target.id && self.start_time == target.born
+        self.id == target.id && self.start_time == target.start_time
     }
 }
 
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -15,9 +15,9 @@
 };
 
 /// The path that tells how a VM stands.
-pub const STATUS: &str = "/status";
+pub const STATUS_PATH: &str = "/status";
 /// The path that tells what a VM did; a stamp may follow as the query.
-pub const TIMELINE: &str = "/timeline";
+pub const TIMELINE_PATH: &str = "/timeline";
 
 /// Who owns the keys of one service, as a VM knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -89,7 +89,7 @@
             start: context.vm.start.clone(),
             domain: context.vm.domain.clone(),
             ready: fleet.is_ready(),
-            store: context.pulse.is_well(),
+            store: context.store_health.is_healthy(),
             manager: fleet.manager.as_ref().map(|vm| vm.name.clone()),
             leading: context.leading.get(),
             version: fleet.config.as_ref().map_or(0, |it| it.version),
@@ -110,8 +110,8 @@
     }
     let uri = request.uri();
     match uri.path() {
-        STATUS => encoded(&Status::of(context, &context.beliefs.get())),
-        TIMELINE => {
+        STATUS_PATH => encoded(&Status::of(context, &context.shared_fleet.get())),
+        TIMELINE_PATH => {
             let since: Option<Stamp> = uri.query().map_or(Some(0), |it| it.parse().ok());
             match since {
                 Some(since) => encoded(&context.report.events_since(&context.vm.name, since)),
--- a/engine/src/peer/board.rs
+++ b/engine/src/peer/board.rs
@@ -68,16 +68,16 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::peer::Board;
+/// use bramleypier_engine::peer::FleetLoad;
 ///
-/// let mut board = Board::default();
-/// board.set(Duration::ZERO, "vm-1", vec![(7, 2)], Vec::new(), Duration::ZERO);
-/// board.set(Duration::ZERO, "vm-2", vec![(7, 1)], Vec::new(), Duration::ZERO);
-/// assert_eq!(board.others(Duration::ZERO, "vm-1"), [(7, 1)]);
-/// assert!(board.others(Duration::from_secs(1), "vm-1").is_empty());
+/// let mut fleet_load = FleetLoad::default();
+/// fleet_load.update(Duration::ZERO, "vm-1", vec![(7, 2)], Vec::new(), Duration::ZERO);
+/// fleet_load.update(Duration::ZERO, "vm-2", vec![(7, 1)], Vec::new(), Duration::ZERO);
+/// assert_eq!(fleet_load.in_flight_elsewhere(Duration::ZERO, "vm-1"), [(7, 1)]);
+/// assert!(fleet_load.in_flight_elsewhere(Duration::from_secs(1), "vm-1").is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct FleetLoad {
     words: HashMap<String, Word>,
     /// The rates that targets have named to any VM.
     rates: Rates,
@@ -85,13 +85,13 @@
     buckets: IndexMap<TargetHash, Bucket>,
 }
 
-impl Board {
+impl FleetLoad {
     /// Takes in what a VM has under way and waiting; `pause` is the time until its next word.
     ///
     /// # Example
     ///
-    /// See [`Board`].
-    pub fn set(
+    /// See [`FleetLoad`].
+    pub fn update(
         &mut self,
         now: Duration,
         start: &str,
@@ -117,14 +117,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::{peer::Board, place::rates::RateNews};
+    /// use bramleypier_engine::{peer::FleetLoad, place::rates::RateNews};
     ///
-    /// let mut board = Board::default();
+    /// let mut fleet_load = FleetLoad::default();
     /// let news = RateNews { target: 7, rate: Some(1.5), age: Duration::ZERO };
-    /// board.hear_rates(Duration::ZERO, &[news]);
-    /// assert_eq!(board.rates(Duration::ZERO), [news]);
+    /// fleet_load.merge_rates(Duration::ZERO, &[news]);
+    /// assert_eq!(fleet_load.rates(Duration::ZERO), [news]);
     /// ```
-    pub fn hear_rates(&mut self, now: Duration, news: &[RateNews]) {
+    pub fn merge_rates(&mut self, now: Duration, news: &[RateNews]) {
         // VMs log what they believe; what changes here they hear with the next word, and forget by themselves.
         let _ = self.rates.merge(now, news);
         let _ = self.rates.expire(now);
@@ -134,7 +134,7 @@
     ///
     /// # Example
     ///
-    /// See [`Board::hear_rates`].
+    /// See [`FleetLoad::merge_rates`].
     pub fn rates(&self, now: Duration) -> Vec<RateNews> {
         self.rates.news(now)
     }
@@ -146,14 +146,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::{peer::Board, place::rates::RateNews};
+    /// use bramleypier_engine::{peer::FleetLoad, place::rates::RateNews};
     ///
-    /// let mut board = Board::default();
+    /// let mut fleet_load = FleetLoad::default();
     /// let news = RateNews { target: 7, rate: Some(1.5), age: Duration::ZERO };
-    /// board.hear_rates(Duration::ZERO, &[news]);
-    /// assert_eq!(board.named(), [(7, 1.5)]);
+    /// fleet_load.merge_rates(Duration::ZERO, &[news]);
+    /// assert_eq!(fleet_load.rate_limits(), [(7, 1.5)]);
     /// ```
-    pub fn named(&self) -> Vec<(TargetHash, Rate)> {
+    pub fn rate_limits(&self) -> Vec<(TargetHash, Rate)> {
         self.rates.named().collect()
     }
 
@@ -161,8 +161,8 @@
     ///
     /// # Example
     ///
-    /// See [`Board`].
-    pub fn others(&self, now: Duration, start: &str) -> Vec<(TargetHash, u32)> {
+    /// See [`FleetLoad`].
+    pub fn in_flight_elsewhere(&self, now: Duration, start: &str) -> Vec<(TargetHash, u32)> {
         let mut sums: HashMap<TargetHash, u32> = HashMap::new();
         for (_, word) in self.live(now).filter(|(other, _)| *other != start) {
             for (target, count) in word.flights.iter().chain(&word.given) {
@@ -180,7 +180,7 @@
     /// use std::time::Duration;
     ///
     /// use bramleypier_engine::{
-    ///     peer::Board,
+    ///     peer::FleetLoad,
     ///     place::share::{Queue, Waited},
     /// };
     ///
@@ -192,14 +192,14 @@
     ///     first: vec![Waited { ticket: 1, priority: 1, age, reach: 5 }],
     ///     late: 0,
     /// };
-    /// let mut board = Board::default();
+    /// let mut fleet_load = FleetLoad::default();
     /// let now = Duration::ZERO;
-    /// board.set(now, "vm-1", vec![(7, 2)], vec![waiting(20)], Duration::ZERO);
-    /// board.set(now, "vm-2", Vec::new(), vec![waiting(30)], Duration::ZERO);
-    /// assert_eq!(board.share(now, "vm-1")[0].fresh, 0, "the other waits longer");
-    /// assert_eq!(board.share(now, "vm-2")[0].fresh, 1);
+    /// fleet_load.update(now, "vm-1", vec![(7, 2)], vec![waiting(20)], Duration::ZERO);
+    /// fleet_load.update(now, "vm-2", Vec::new(), vec![waiting(30)], Duration::ZERO);
+    /// assert_eq!(fleet_load.assign_quotas(now, "vm-1")[0].fresh, 0, "the other waits longer");
+    /// assert_eq!(fleet_load.assign_quotas(now, "vm-2")[0].fresh, 1);
     /// ```
-    pub fn share(&mut self, now: Duration, start: &str) -> Vec<Share> {
+    pub fn assign_quotas(&mut self, now: Duration, start: &str) -> Vec<Share> {
         let rooms = self.rooms(now);
         let lines = self.lines(now, start);
         let shares = lines.into_iter().map(|(target, line)| {
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -6,8 +6,8 @@
 
 pub mod admin;
 mod board;
-pub mod pause;
 pub mod sync;
+pub mod sync_interval;
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,10 +21,10 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-pub use self::board::Board;
+pub use self::board::FleetLoad;
 use crate::{
     catalogue::{ServiceId, TargetHash},
-    fleet::{Place, Relay},
+    fleet::{LogPosition, Relay},
     owner::record::ShardKey,
     place::{
         rates::RateNews,
@@ -69,7 +69,7 @@
     /// What waits there for room at targets.
     pub queues: Vec<Queue>,
     /// How far it has followed the manager's journal.
-    pub place: Place,
+    pub place: LogPosition,
     /// How far it has followed the store itself, by prefix; empty once it follows the journal.
     pub followed: IndexMap<String, Revision>,
     /// Requests by service and key since the last message.
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -14,15 +14,15 @@
 use indexmap::IndexMap;
 
 use super::{
-    Board, Sync, Synced, admin,
-    pause::{self, Lag},
+    FleetLoad, Sync, Synced, admin,
+    sync_interval::{self, Lag},
 };
 use crate::{
     catalogue::Catalogue,
-    fleet::{Beliefs, Keys, Place, Relay, Vm},
+    fleet::{LogPosition, Relay, SharedFleet, StoreKeys, Vm},
+    health::Health,
     owner::{manager, tally::Tally},
     place::{desk, task},
-    pulse::Pulse,
     report::Report,
 };
 
@@ -44,19 +44,19 @@
     /// This start of this VM.
     pub vm: Vm,
     /// What is believed of the fleet.
-    pub beliefs: Beliefs,
+    pub shared_fleet: SharedFleet,
     /// Decodes what is stored.
     pub catalogue: Rc<dyn Catalogue>,
     /// The engine's own keys.
-    pub keys: Rc<Keys>,
+    pub keys: Rc<StoreKeys>,
     /// Whether the store answers this VM.
-    pub pulse: Pulse,
+    pub store_health: Health,
     /// Whether the manager is heard; told here.
-    pub heard: Pulse,
+    pub manager_health: Health,
     /// Whether this VM is the manager.
     pub leading: Rc<Cell<bool>>,
     /// What all VMs have under way, if this is the manager.
-    pub board: Rc<RefCell<Board>>,
+    pub fleet_load: Rc<RefCell<FleetLoad>>,
     /// How far this process lags.
     pub lag: Rc<RefCell<Lag>>,
     /// This VM's requests by key.
@@ -84,7 +84,7 @@
 }
 
 /// Answers a VM that tells this one, the manager, what it has under way.
-pub async fn hear(context: Context, request: Request<Incoming>) -> Response<Body> {
+pub async fn handle_request(context: Context, request: Request<Incoming>) -> Response<Body> {
     if request.uri().path() != super::PATH {
         return admin::answer(&context, &request);
     }
@@ -105,24 +105,26 @@
         self.report.merge(message.stamp);
         let now = self.clock.now();
         let well = self.leading.get()
-            && self.pulse.is_well()
-            && self.pulse.answered_since(now.saturating_sub(ANSWERED_MOST));
-        let mut board = self.board.borrow_mut();
-        board.set(
+            && self.store_health.is_healthy()
+            && self
+                .store_health
+                .answered_since(now.saturating_sub(ANSWERED_MOST));
+        let mut fleet_load = self.fleet_load.borrow_mut();
+        fleet_load.update(
             now,
             &message.start,
             message.flights,
             message.queues,
             message.pause,
         );
-        board.hear_rates(now, &message.rates);
-        let others = board.others(now, &message.start);
-        let shares = board.share(now, &message.start);
-        let rates = board.rates(now);
+        fleet_load.merge_rates(now, &message.rates);
+        let others = fleet_load.in_flight_elsewhere(now, &message.start);
+        let shares = fleet_load.assign_quotas(now, &message.start);
+        let rates = fleet_load.rates(now);
         let load = manager::Message::Load {
             counts: message.counts,
             times: message.times,
-            rates: board.named(),
+            rates: fleet_load.rate_limits(),
         };
         // The manager's task ends with the process only.
         let _ = self.manager.unbounded_send(load);
@@ -133,10 +135,10 @@
         }
         // Who isn't the manager tells what it knows too, however old: a VM that starts while nobody
         // reaches the store could serve nothing otherwise, and no belief goes back by it.
-        let relay = self
-            .beliefs
-            .get()
-            .relay(&self.vm.start, &message.place, &message.followed);
+        let relay =
+            self.shared_fleet
+                .get()
+                .relay(&self.vm.start, &message.place, &message.followed);
         Synced {
             well,
             others,
@@ -170,8 +172,8 @@
     fn take_relay(&self, vm: &Vm, relay: &Relay, well: bool) {
         let now = self.clock.now();
         let notes = self
-            .beliefs
-            .change(|fleet| fleet.on_relay(now, relay, well, &self.keys, &*self.catalogue));
+            .shared_fleet
+            .update(|fleet| fleet.on_relay(now, relay, well, &self.keys, &*self.catalogue));
         if let Relay::Whole {
             items, followed, ..
         } = relay
@@ -188,7 +190,7 @@
 
     /// Takes note of the manager's answer; returns whether this VM can rest on its word.
     fn note_word(&self, synced: &Synced, vm: &Vm, pause: Duration) -> bool {
-        let heard = self.heard.is_well();
+        let heard = self.manager_health.is_healthy();
         let prompt = if heard { PROMPT_MOST } else { PROMPT };
         if !synced.well {
             self.unheard("it doesn't follow the store");
@@ -202,22 +204,22 @@
             self.report
                 .line(&format!("event=manager-heard vm={}", vm.name));
         }
-        self.heard.beat(true);
+        self.manager_health.record_outcome(true);
         true
     }
 
     fn unheard(&self, cause: &str) {
-        if self.heard.is_well() {
+        if self.manager_health.is_healthy() {
             self.report
                 .line(&format!("event=manager-unheard cause=\"{cause}\""));
-            self.heard.beat(false);
+            self.manager_health.record_outcome(false);
         }
     }
 
     /// Builds this VM's message.
-    async fn message(&self, place: Place, pause: Duration) -> Sync {
+    async fn message(&self, place: LogPosition, pause: Duration) -> Sync {
         let state = self.desk.take_state().await;
-        let fleet = self.beliefs.get();
+        let fleet = self.shared_fleet.get();
         let follows = fleet
             .manager
             .as_ref()
@@ -245,15 +247,15 @@
 
 /// Tells the manager for as long as the process lives.
 pub async fn run(context: Context) {
-    let mut place = Place::default();
+    let mut place = LogPosition::default();
     let mut heard_at = Duration::ZERO;
     let mut others = Others::default();
     let mut pause = Duration::ZERO;
     let mut lag = Duration::ZERO;
     let mut follows = None;
-    context.heard.beat(false);
+    context.manager_health.record_outcome(false);
     loop {
-        let manager = context.beliefs.get().manager.clone();
+        let manager = context.shared_fleet.get().manager.clone();
         let start = manager.as_ref().map(|vm| vm.start.clone());
         if start != follows {
             // What the one before lagged says nothing of this one.
@@ -264,7 +266,7 @@
         let answer = match manager {
             Some(vm) if vm.start == context.vm.start => {
                 // The manager follows the store itself.
-                context.heard.beat(false);
+                context.manager_health.record_outcome(false);
                 Some(context.take(message))
             }
             Some(vm) => {
@@ -279,7 +281,10 @@
             }
             None => None,
         };
-        if answer.is_none() && !context.heard.is_well() && !context.pulse.is_well() {
+        if answer.is_none()
+            && !context.manager_health.is_healthy()
+            && !context.store_health.is_healthy()
+        {
             ask_others(&context, &mut others).await;
         }
         if let Some(synced) = &answer {
@@ -290,8 +295,8 @@
                 synced.lag
             };
         }
-        let vms = context.beliefs.get().vms.len();
-        pause = pause::until_next(busy, vms, lag);
+        let vms = context.shared_fleet.get().vms.len();
+        pause = sync_interval::next_interval(busy, vms, lag);
         if let Some(synced) = answer {
             let shares = synced.shares.into_iter();
             context.desk.tell(desk::Event::Word(desk::Word {
@@ -314,12 +319,12 @@
 #[derive(Debug, Default)]
 struct Others {
     next: usize,
-    places: HashMap<SocketAddr, Place>,
+    places: HashMap<SocketAddr, LogPosition>,
 }
 
 /// Asks one other VM for what it knows: neither the store nor the manager answers this one.
 async fn ask_others(context: &Context, others: &mut Others) {
-    let fleet = context.beliefs.get();
+    let fleet = context.shared_fleet.get();
     let known = fleet.vms.values().map(|vm| vm.address);
     let mut addresses: Vec<SocketAddr> = known.chain(context.seeds.iter().copied()).collect();
     addresses.retain(|address| *address != context.vm.address);
@@ -345,12 +350,17 @@
     exchange(context, &vm, &message, place).await;
 }
 
-async fn exchange(context: &Context, vm: &Vm, message: &Sync, place: &mut Place) -> Option<Synced> {
+async fn exchange(
+    context: &Context,
+    vm: &Vm,
+    message: &Sync,
+    place: &mut LogPosition,
+) -> Option<Synced> {
     let sent = context.clock.now();
     let synced = match super::sync(&context.client, vm.address, message).await {
         Ok(synced) => synced,
         Err(error) => {
-            if context.heard.is_well() {
+            if context.manager_health.is_healthy() {
                 context
                     .report
                     .line(&format!("event=sync-failed vm={} {error}", vm.name));
@@ -361,9 +371,9 @@
     let took = context.clock.now().saturating_sub(sent);
     context.report.time("sync", took, &[]);
     context.report.merge(synced.stamp);
-    if synced.relay.place() != place {
+    if synced.relay.position() != place {
         context.take_relay(vm, &synced.relay, synced.well);
-        *place = synced.relay.place().clone();
+        *place = synced.relay.position().clone();
     }
     Some(synced)
 }
--- a/engine/src/peer/pause.rs
+++ b/engine/src/peer/sync_interval.rs
@@ -43,7 +43,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::peer::pause::Lag;
+/// use bramleypier_engine::peer::sync_interval::Lag;
 ///
 /// let ms = Duration::from_millis;
 /// let mut lag = Lag::default();
@@ -99,15 +99,15 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::peer::pause;
+/// use bramleypier_engine::peer::sync_interval;
 ///
 /// let ms = Duration::from_millis;
-/// assert_eq!(pause::until_next(true, 8, Duration::ZERO), ms(40));
-/// assert_eq!(pause::until_next(false, 8, Duration::ZERO), ms(150));
-/// assert_eq!(pause::until_next(true, 48, Duration::ZERO), ms(80), "more VMs, fewer words of each");
-/// assert!(pause::until_next(true, 88, ms(50)) > ms(500), "the manager can't keep up");
+/// assert_eq!(sync_interval::next_interval(true, 8, Duration::ZERO), ms(40));
+/// assert_eq!(sync_interval::next_interval(false, 8, Duration::ZERO), ms(150));
+/// assert_eq!(sync_interval::next_interval(true, 48, Duration::ZERO), ms(80), "more VMs, fewer words of each");
+/// assert!(sync_interval::next_interval(true, 88, ms(50)) > ms(500), "the manager can't keep up");
 /// ```
-pub fn until_next(busy: bool, vms: usize, lag: Duration) -> Duration {
+pub fn next_interval(busy: bool, vms: usize, lag: Duration) -> Duration {
     let period = if busy { PERIOD } else { IDLE_PERIOD };
     let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
     let period = (period * vms / BASELINE_VMS).min(PERIOD_MOST);
--- a/engine/src/place/desk/mod.rs
+++ b/engine/src/place/desk/mod.rs
@@ -252,7 +252,7 @@
                 }
                 let known = self.members.swap_remove(&target.id);
                 let mut member = match known {
-                    Some(mut member) if member.target.same_life(target) => {
+                    Some(mut member) if member.target.same_incarnation(target) => {
                         member.announce(target);
                         member
                     }
--- a/engine/src/place/warmup.rs
+++ b/engine/src/place/warmup.rs
@@ -64,7 +64,7 @@
     ///     place::warmup::{Pace, Tolerance},
     /// };
     ///
-    /// let warmup = Warmup { span: Duration::from_secs(3), rate: 8.0 };
+    /// let warmup = Warmup { duration: Duration::from_secs(3), rate: 8.0 };
     /// let pace = Pace::of(warmup, Tolerance { over: 1.5, slack: 8.0 }).unwrap();
     /// assert_eq!((pace.senders, pace.pause), (2, Duration::from_millis(250)));
     /// assert_eq!(Pace::of(Warmup { rate: 0.5, ..warmup }, Tolerance::default()), None);
--- a/engine/src/process/lifecycle.rs
+++ b/engine/src/process/lifecycle.rs
@@ -19,9 +19,9 @@
 use super::signals;
 use crate::{
     caller::serve::{self, Gate},
-    fleet::Beliefs,
+    fleet::SharedFleet,
     owner::manager,
-    register,
+    registration,
     report::Report,
 };
 
@@ -41,7 +41,7 @@
 pub(super) struct Duties {
     pub(super) clock: Clock,
     pub(super) report: Report,
-    pub(super) beliefs: Beliefs,
+    pub(super) shared_fleet: SharedFleet,
     pub(super) gate: Gate,
     /// How long a stop may take.
     pub(super) grace: Duration,
@@ -49,7 +49,7 @@
     pub(super) callers: Control,
     pub(super) manager: mpsc::UnboundedSender<manager::Message>,
     /// This VM's entry in the store.
-    pub(super) entry: register::Handle,
+    pub(super) entry: registration::Handle,
 }
 
 /// A process in one stage of its life.
@@ -80,8 +80,8 @@
 
     /// Waits until callers can be served; a process that is told to stop before leaves at once.
     pub(super) async fn until_ready(mut self) -> Result<Lifecycle<Ready>, Lifecycle<Leaving>> {
-        let mut changes = self.duties.beliefs.listen();
-        while !self.duties.beliefs.get().is_ready() {
+        let mut changes = self.duties.shared_fleet.subscribe();
+        while !self.duties.shared_fleet.get().is_ready() {
             match future::select(changes.next(), &mut self.stop).await {
                 Either::Left(_) => {}
                 Either::Right(_) => return Err(self.into_stage()),
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -31,16 +31,16 @@
         timeouts::RouteTimeouts,
     },
     catalogue::Catalogue,
-    fleet::{Beliefs, Keys, Vm},
+    fleet::{SharedFleet, StoreKeys, Vm},
     follow,
+    health::Health,
     owner::{manager, tally::Tally},
     peer::sync,
     place::{desk::Desk, task},
-    pulse::Pulse,
-    register,
+    registration,
     report::Report,
     settings::Settings,
-    store::{Counted, Store},
+    store::{CountingStore, Store},
     target::TargetProtocol,
 };
 
@@ -117,11 +117,11 @@
     clock: Clock,
     adapter: Adapter,
     report: Report,
-    beliefs: Beliefs,
-    keys: Rc<Keys>,
+    shared_fleet: SharedFleet,
+    keys: Rc<StoreKeys>,
     vm: Vm,
-    pulse: Pulse,
-    heard: Pulse,
+    store_health: Health,
+    manager_health: Health,
     leading: Rc<Cell<bool>>,
     gate: Gate,
     tally: Tally,
@@ -135,13 +135,13 @@
             start: format!("{}/{:016x}", settings.name, rand::random::<u64>()),
             address: settings.peers,
             domain: settings.domain.clone(),
-            power: settings.power,
+            capacity_millicores: settings.power,
         };
-        let keys = Rc::new(Keys {
+        let keys = Rc::new(StoreKeys {
             prefix: settings.prefix.clone(),
         });
         let peers = Client::new(clock.clone(), PEER_CONNECTIONS);
-        let store = Counted::new(adapter.store.clone(), report.clone());
+        let store = CountingStore::new(adapter.store.clone(), report.clone());
         let adapter = Adapter {
             store: Rc::new(store),
             ..adapter
@@ -151,11 +151,11 @@
             clock,
             adapter,
             report,
-            beliefs: Beliefs::default(),
+            shared_fleet: SharedFleet::default(),
             keys,
             vm,
-            pulse: Pulse::default(),
-            heard: Pulse::default(),
+            store_health: Health::default(),
+            manager_health: Health::default(),
             leading: Rc::default(),
             gate: Gate::default(),
             tally: Tally::default(),
@@ -173,12 +173,12 @@
         self.follow();
         let desk = self.start_desk();
         let manager = self.start_manager();
-        let entry = register::start(register::Context {
+        let entry = registration::start(registration::Context {
             vm: self.vm.clone(),
             store: self.adapter.store.clone(),
             keys: self.keys.clone(),
-            pulse: self.pulse.clone(),
-            heard: self.heard.clone(),
+            store_health: self.store_health.clone(),
+            manager_health: self.manager_health.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         });
@@ -194,7 +194,7 @@
         let starting = Lifecycle::new(Duties {
             clock: self.clock.clone(),
             report: self.report.clone(),
-            beliefs: self.beliefs.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             gate: self.gate.clone(),
             grace: self.settings.grace,
             callers,
@@ -214,15 +214,15 @@
             store: self.adapter.store.clone(),
             catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
-            beliefs: self.beliefs.clone(),
-            pulse: self.pulse.clone(),
-            heard: self.heard.clone(),
+            shared_fleet: self.shared_fleet.clone(),
+            store_health: self.store_health.clone(),
+            manager_health: self.manager_health.clone(),
             leading: self.leading.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         }));
-        spawn(follow::expire(
-            self.beliefs.clone(),
+        spawn(follow::expire_targets(
+            self.shared_fleet.clone(),
             self.clock.clone(),
             self.report.clone(),
         ));
@@ -236,12 +236,12 @@
         )
         .of_vm(&self.settings.name, self.settings.burst_allowance);
         let handle = task::start(desk, self.clock.clone(), self.report.clone());
-        let (beliefs, shown) = (self.beliefs.clone(), handle.clone());
-        let mut changes = beliefs.listen();
+        let (shared_fleet, shown) = (self.shared_fleet.clone(), handle.clone());
+        let mut changes = shared_fleet.subscribe();
         spawn(async move {
             while changes.next().await.is_some() {
                 while changes.try_recv().is_ok() {}
-                shown.show(Rc::new(beliefs.get().view()));
+                shown.show(Rc::new(shared_fleet.get().view()));
             }
         });
         handle
@@ -253,10 +253,10 @@
             store: self.adapter.store.clone(),
             targets: self.adapter.targets.clone(),
             client: Client::new(self.clock.clone(), CONNECTIONS),
-            beliefs: self.beliefs.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             catalogue: self.adapter.catalogue.clone(),
             leading: self.leading.clone(),
-            pulse: self.pulse.clone(),
+            store_health: self.store_health.clone(),
             keys: self.keys.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
@@ -272,8 +272,8 @@
         exchange: &sync::Context,
     ) {
         let context = forward::Context {
-            beliefs: self.beliefs.clone(),
-            heard: self.heard.clone(),
+            shared_fleet: self.shared_fleet.clone(),
+            manager_health: self.manager_health.clone(),
             callers: self.adapter.callers.clone(),
             desk: desk.clone(),
             sender: Sender {
@@ -298,7 +298,7 @@
         let always = Control::default();
         spawn(serve::readiness(listeners.readiness, always.clone(), gate));
         let (shown, exchange) = (self.report.clone(), exchange.clone());
-        let peers = move |request| sync::hear(exchange.clone(), request);
+        let peers = move |request| sync::handle_request(exchange.clone(), request);
         spawn(server::serve(listeners.peers, always.clone(), peers));
         let metrics = move |_| {
             let text = shown.text();
@@ -314,13 +314,13 @@
     ) -> sync::Context {
         sync::Context {
             vm: self.vm.clone(),
-            beliefs: self.beliefs.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
-            pulse: self.pulse.clone(),
-            heard: self.heard.clone(),
+            store_health: self.store_health.clone(),
+            manager_health: self.manager_health.clone(),
             leading: self.leading.clone(),
-            board: Rc::default(),
+            fleet_load: Rc::default(),
             lag: Rc::default(),
             tally: self.tally.clone(),
             desk: desk.clone(),
--- a/engine/src/register.rs
+++ b/engine/src/registration.rs
@@ -6,8 +6,8 @@
 use futures_util::future;
 
 use crate::{
-    fleet::{Keys, Vm},
-    pulse::Pulse,
+    fleet::{StoreKeys, Vm},
+    health::Health,
     report::Report,
     store::{Error, LeaseId, Put, Store, Transaction},
 };
@@ -32,11 +32,11 @@
     /// The platform's store.
     pub store: Rc<dyn Store>,
     /// Keys in the store.
-    pub keys: Rc<Keys>,
+    pub keys: Rc<StoreKeys>,
     /// Whether the store answers; told here.
-    pub pulse: Pulse,
+    pub store_health: Health,
     /// Whether the manager is heard.
-    pub heard: Pulse,
+    pub manager_health: Health,
     /// The clock.
     pub clock: Clock,
     /// Logs and counters.
@@ -101,10 +101,10 @@
                 Some(lease) => self.context.store.renew(lease).await.map(|_| ()),
             };
             let answered = matches!(result, Ok(()) | Err(Error::NoLease(_)));
-            let was_well = self.context.pulse.is_well();
-            self.context.pulse.beat(answered);
+            let was_well = self.context.store_health.is_healthy();
+            self.context.store_health.record_outcome(answered);
             if answered {
-                self.context.pulse.note_answer(sent);
+                self.context.store_health.record_answer(sent);
             }
             if answered && !was_well {
                 self.context.report.line("event=pulse-back");
@@ -130,11 +130,11 @@
     /// Waits until the next call: longer while the manager tells what is new, no longer than that.
     async fn rest(&self, span: Duration) {
         let context = &self.context;
-        if span.is_zero() || !context.heard.is_well() {
+        if span.is_zero() || !context.manager_health.is_healthy() {
             context.clock.sleep(span).await;
             return;
         }
-        let unheard = Box::pin(context.heard.ill());
+        let unheard = Box::pin(context.manager_health.ill());
         future::select(Box::pin(context.clock.sleep(RENEW_TOLD)), unheard).await;
     }
 
--- a/engine/src/store/counted.rs
+++ b/engine/src/store/counting.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, time::Duration};
 
 use super::{
-    Commit, Item, Lease, LeaseId, Listing, News, Read, Reply, Revision, Store, Transaction,
+    Commit, Item, Lease, LeaseId, Listing, Read, Reply, Revision, Store, Transaction, WatchBatch,
 };
 use crate::report::Report;
 
@@ -12,18 +12,18 @@
 
 /// Passes calls on to a store and counts them: the platform's are paid for.
 #[derive(Clone)]
-pub struct Counted {
+pub struct CountingStore {
     store: Rc<dyn Store>,
     report: Report,
 }
 
-impl std::fmt::Debug for Counted {
+impl std::fmt::Debug for CountingStore {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Counted")
+        f.write_str("CountingStore")
     }
 }
 
-impl Counted {
+impl CountingStore {
     /// Counts the calls to a store on a report.
     pub fn new(store: Rc<dyn Store>, report: Report) -> Self {
         Self { store, report }
@@ -34,7 +34,7 @@
     }
 }
 
-impl Store for Counted {
+impl Store for CountingStore {
     fn get<'a>(&'a self, key: &'a str) -> Reply<'a, Option<Item>> {
         self.count("get");
         self.store.get(key)
@@ -45,7 +45,12 @@
         self.store.list(prefix, read)
     }
 
-    fn watch<'a>(&'a self, prefix: &'a str, after: Revision, wait: Duration) -> Reply<'a, News> {
+    fn watch<'a>(
+        &'a self,
+        prefix: &'a str,
+        after: Revision,
+        wait: Duration,
+    ) -> Reply<'a, WatchBatch> {
         self.count("watch");
         self.store.watch(prefix, after, wait)
     }
--- a/engine/src/store/mod.rs
+++ b/engine/src/store/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! An adapter implements [`Store`]; its calls are linearizable unless [`Read::Stale`] is asked for.
 
-mod counted;
+mod counting;
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-pub use self::counted::Counted;
+pub use self::counting::CountingStore;
 
 /// A count of the store's changes; it only grows.
 pub type Revision = u64;
@@ -23,11 +23,11 @@
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
         /// The store did nothing: it refused, or could not be reached.
-        Refused(step: &'static str, reason: String) {
+        NotApplied(step: &'static str, reason: String) {
             display("step={step} peer=store cause={reason}")
         }
         /// The call may have taken effect, or may still.
-        Doubt(step: &'static str, reason: String) {
+        OutcomeUnknown(step: &'static str, reason: String) {
             display("step={step} peer=store cause={reason}; it may have taken effect")
         }
         /// The store no longer has the history that a watch asked for.
@@ -99,7 +99,7 @@
 
 /// What a watch heard.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct WatchBatch {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
     /// Where to go on.
@@ -176,7 +176,7 @@
     /// Its id.
     pub id: LeaseId,
     /// How long it lasts from the arrival of the call.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
 /// The answer of a call to the store.
@@ -191,7 +191,12 @@
     fn list<'a>(&'a self, prefix: &'a str, read: Read) -> Reply<'a, Listing>;
 
     /// Waits until something under a prefix has changed after a revision, or the wait has passed.
-    fn watch<'a>(&'a self, prefix: &'a str, after: Revision, wait: Duration) -> Reply<'a, News>;
+    fn watch<'a>(
+        &'a self,
+        prefix: &'a str,
+        after: Revision,
+        wait: Duration,
+    ) -> Reply<'a, WatchBatch>;
 
     /// Runs a transaction.
     fn commit(&self, transaction: Transaction) -> Reply<'_, Commit>;
--- a/engine/tests/busy_key.rs
+++ b/engine/tests/busy_key.rs
@@ -5,7 +5,7 @@
 use bramleypier_engine::{
     catalogue::{self, Target},
     owner::record::{Incarnation, KeyRange, Record},
-    peer::Board,
+    peer::FleetLoad,
     place::{
         budget::Allowance,
         desk::{Ask, Desk, Effect, End, Ended, Event, Ticket, View, Word},
@@ -39,7 +39,7 @@
 fn owner() -> Target {
     Target {
         id: "t0".to_owned(),
-        born: 1,
+        start_time: 1,
         service: "s".to_owned(),
         address: "127.0.0.1:100".parse().unwrap(),
         domain: "d1".to_owned(),
@@ -79,7 +79,7 @@
 struct Load {
     scene: Scene,
     desks: Vec<Desk>,
-    board: Board,
+    vm_loads: FleetLoad,
     came: HashMap<Ticket, u64>,
     running: Vec<(Sent, u64)>,
     queued: Vec<Sent>,
@@ -101,7 +101,7 @@
         Self {
             scene,
             desks: (0..scene.vms as u64).map(desk).collect(),
-            board: Board::default(),
+            vm_loads: FleetLoad::default(),
             came: HashMap::new(),
             running: Vec::new(),
             queued: Vec::new(),
@@ -162,15 +162,15 @@
     fn exchange(&mut self, now: u64, vm: usize) {
         let state = self.desks[vm].take_state(ms(now));
         let start = format!("vm-{vm}");
-        self.board.set(
+        self.vm_loads.update(
             ms(now),
             &start,
             state.flights,
             state.queues,
             ms(self.scene.period),
         );
-        let others = self.board.others(ms(now), &start);
-        let shares = self.board.share(ms(now), &start);
+        let others = self.vm_loads.in_flight_elsewhere(ms(now), &start);
+        let shares = self.vm_loads.assign_quotas(ms(now), &start);
         let word = Word {
             others: others.into_iter().collect(),
             shares: shares.into_iter().map(|it| (it.target, it)).collect(),
--- a/engine/tests/desk_owners.rs
+++ b/engine/tests/desk_owners.rs
@@ -32,7 +32,7 @@
 fn a_key_whose_owner_has_begun_another_life_has_no_owner() {
     let old = target(0, "d1");
     let mut reborn = old.clone();
-    reborn.born = 2;
+    reborn.start_time = 2;
     let mut desk = desk(vec![reborn], Some(owned_by(&old)));
     assert!(desk.on(ms(0), Event::Ask(keyed(1, ms(0)))).is_empty());
 }
--- a/engine/tests/desk_world/mod.rs
+++ b/engine/tests/desk_world/mod.rs
@@ -30,7 +30,7 @@
 pub fn target(number: u16, domain: &str) -> Target {
     Target {
         id: format!("t{number}"),
-        born: 1,
+        start_time: 1,
         service: "s".to_owned(),
         address: format!("127.0.0.1:{}", 100 + number).parse().unwrap(),
         domain: domain.to_owned(),
--- a/engine/tests/evacuation_news.rs
+++ b/engine/tests/evacuation_news.rs
@@ -6,7 +6,7 @@
 
 use bramleypier_engine::{
     catalogue::Catalogue as _,
-    fleet::{Fleet, Place},
+    fleet::{Fleet, LogPosition},
     store::{Change, Item, Listing, Revision},
 };
 use indexmap::IndexMap;
@@ -74,7 +74,7 @@
     fn evacuated(&self, upto: Revision) -> Vec<String> {
         let mut all = Vec::new();
         for change in self.history.iter().take(usize::try_from(upto).unwrap()) {
-            let Some(domain) = Plain.evacuated(change.key()) else {
+            let Some(domain) = Plain.evacuated_domain(change.key()) else {
                 continue;
             };
             all.retain(|it| *it != domain);
@@ -123,7 +123,7 @@
                 let (fleet, known) = &mut self.vms[*to];
                 let relay = teller
                     .0
-                    .relay("teller", &Place::default(), fleet.followed());
+                    .relay("teller", &LogPosition::default(), fleet.followed());
                 fleet.on_relay(NOW, &relay, true, &keys(), &Plain);
                 *known = teller.1.max(*known);
             }
--- a/engine/tests/fleet.rs
+++ b/engine/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bramleypier_engine::{
-    fleet::{Fleet, Place, Relay, Vm},
+    fleet::{Fleet, LogPosition, Relay, Vm},
     owner::record::Record,
     store::{Change, Item, Listing, Revision},
 };
@@ -74,7 +74,7 @@
     let mut fleet = Fleet::default();
     hear(&mut fleet, NOW, &put("targets/a", b"ready", 5));
     hear(&mut fleet, NOW, &put("targets/b", b"ready", 6));
-    fleet.on_trouble(NOW);
+    fleet.on_store_failure(NOW);
     hear(&mut fleet, NOW + second, &removed("targets/a", 7));
     hear(&mut fleet, NOW + second, &removed("targets/b", 8));
     assert_eq!(fleet.targets.len(), 2);
@@ -100,7 +100,7 @@
     };
     fleet.on_listing(NOW, "targets/", &listing, &keys(), &Plain);
     assert_eq!(fleet.targets.keys().collect::<Vec<_>>(), ["new"]);
-    assert!(fleet.listed);
+    assert!(fleet.targets_listed);
 }
 
 #[test]
@@ -111,7 +111,7 @@
         start: "v/1".into(),
         address: "127.0.0.1:8".parse().unwrap(),
         domain: "d".into(),
-        power: 200,
+        capacity_millicores: 200,
     };
     hear(&mut fleet, NOW, &put("own/manager", vm.encode(), 5));
     hear(&mut fleet, NOW, &put("own/vms/v", vm.encode(), 6));
@@ -148,7 +148,7 @@
     hear(&mut teller, NOW, &put("targets/new", b"ready", 8));
     hear(&mut teller, NOW, &removed("targets/gone", 9));
     teller.on_followed("targets/", 9);
-    let relay = teller.relay("teller/1", &Place::default(), fleet.followed());
+    let relay = teller.relay("teller/1", &LogPosition::default(), fleet.followed());
     let Relay::Changes { changes, .. } = &relay else {
         panic!("{relay:?}");
     };
@@ -158,7 +158,7 @@
     known.sort();
     assert_eq!(known, ["new", "old"]);
     // Who has followed less than the teller may lack anything.
-    let relay = teller.relay("teller/1", &Place::default(), &nothing());
+    let relay = teller.relay("teller/1", &LogPosition::default(), &nothing());
     assert!(matches!(relay, Relay::Whole { .. }));
 }
 
@@ -178,7 +178,7 @@
         );
     }
     teller.on_followed("targets/", 20_100);
-    let relay = teller.relay("teller/1", &Place::default(), fleet.followed());
+    let relay = teller.relay("teller/1", &LogPosition::default(), fleet.followed());
     assert!(matches!(relay, Relay::Whole { .. }), "it lacks the removal");
     fleet.on_relay(NOW, &relay, false, &keys(), &Plain);
     assert!(fleet.targets.is_empty());
@@ -197,7 +197,7 @@
     };
     teller.on_listing(NOW, "targets/", &listing, &keys(), &Plain);
     teller.on_followed("targets/", 9);
-    let relay = teller.relay("teller/1", &Place::default(), fleet.followed());
+    let relay = teller.relay("teller/1", &LogPosition::default(), fleet.followed());
     fleet.on_relay(NOW, &relay, false, &keys(), &Plain);
     assert!(fleet.targets.is_empty(), "{:?}", fleet.targets);
 }
@@ -211,9 +211,9 @@
     for fleet in [&mut teller, &mut fleet] {
         hear(fleet, NOW, &put("targets/a", b"ready", 5));
     }
-    let place = teller.relay("teller/1", &Place::default(), &nothing());
-    let place = place.place().clone();
-    fleet.on_trouble(NOW);
+    let place = teller.relay("teller/1", &LogPosition::default(), &nothing());
+    let place = place.position().clone();
+    fleet.on_store_failure(NOW);
     hear(&mut teller, NOW, &removed("targets/a", 6));
     let relay = teller.relay("teller/1", &place, &nothing());
     let mut doubtful = fleet.clone();
@@ -230,8 +230,8 @@
 #[test]
 fn of_a_key_that_changed_twice_only_the_newest_is_told() {
     let mut teller = Fleet::default();
-    let place = teller.relay("teller/1", &Place::default(), &nothing());
-    let place = place.place().clone();
+    let place = teller.relay("teller/1", &LogPosition::default(), &nothing());
+    let place = place.position().clone();
     hear(&mut teller, NOW, &put("config", b"3", 1));
     hear(&mut teller, NOW, &put("targets/a", b"ready", 2));
     hear(&mut teller, NOW, &put("config", b"4", 3));
@@ -251,7 +251,7 @@
     let mut fleet = Fleet::default();
     hear(&mut fleet, NOW, &put("targets/old", b"ready", 10));
     hear(&mut fleet, NOW, &put("targets/new", b"ready", 30));
-    let relay = teller.relay("teller/1", &Place::default(), &nothing());
+    let relay = teller.relay("teller/1", &LogPosition::default(), &nothing());
     fleet.on_relay(NOW, &relay, false, &keys(), &Plain);
     let mut known: Vec<_> = fleet.targets.keys().collect();
     known.sort();
@@ -265,7 +265,7 @@
     started.on_followed("config", 30);
     let mut fleet = Fleet::default();
     hear(&mut fleet, NOW, &put("targets/a", b"ready", 10));
-    let relay = started.relay("started/1", &Place::default(), &nothing());
+    let relay = started.relay("started/1", &LogPosition::default(), &nothing());
     fleet.on_relay(NOW, &relay, false, &keys(), &Plain);
     assert_eq!(version(&fleet), 8);
     assert_eq!(fleet.targets.len(), 1, "its relay says nothing of targets");
@@ -297,14 +297,14 @@
     let mut source = Fleet::default();
     hear(&mut source, NOW, &put("targets/b", b"ready", 8));
     source.on_followed("", 20);
-    let whole = source.relay("source/1", &Place::default(), &nothing());
+    let whole = source.relay("source/1", &LogPosition::default(), &nothing());
     let mut teller = Fleet::default();
     teller.on_relay(NOW, &whole, true, &keys(), &Plain);
     // This one has followed the store itself until the target was removed, at 15.
     let mut fleet = Fleet::default();
     hear(&mut fleet, NOW, &put("targets/a", b"ready", 5));
     fleet.on_followed("", 10);
-    let relay = teller.relay("teller/1", &Place::default(), fleet.followed());
+    let relay = teller.relay("teller/1", &LogPosition::default(), fleet.followed());
     fleet.on_relay(NOW, &relay, true, &keys(), &Plain);
     assert_eq!(fleet.targets.keys().collect::<Vec<_>>(), ["b"]);
 }
@@ -313,8 +313,8 @@
 fn who_was_told_changes_goes_on_from_where_the_teller_was() {
     let mut teller = Fleet::default();
     teller.on_followed("", 10);
-    let place = teller.relay("teller/1", &Place::default(), &nothing());
-    let place = place.place().clone();
+    let place = teller.relay("teller/1", &LogPosition::default(), &nothing());
+    let place = place.position().clone();
     hear(&mut teller, NOW, &put("targets/a", b"ready", 12));
     teller.on_followed("", 30);
     let relay = teller.relay("teller/1", &place, &nothing());
@@ -331,9 +331,9 @@
     let mut teller = Fleet::default();
     hear(&mut teller, NOW, &put("targets/a", b"ready", 12));
     teller.on_followed("", 12);
-    let place = teller.relay("teller/1", &Place::default(), &nothing());
-    let place = place.place().clone();
-    teller.on_trouble(NOW);
+    let place = teller.relay("teller/1", &LogPosition::default(), &nothing());
+    let place = place.position().clone();
+    teller.on_store_failure(NOW);
     hear(&mut teller, NOW, &removed("targets/a", 20));
     teller.on_followed("", 25);
     let relay = teller.relay("teller/1", &place, &nothing());
@@ -348,7 +348,8 @@
 fn keys_of_others_are_neither_kept_nor_told() {
     let mut fleet = Fleet::default();
     hear(&mut fleet, NOW, &put("elsewhere/x", b"1", 3));
-    let Relay::Whole { items, .. } = fleet.relay("fleet/1", &Place::default(), &nothing()) else {
+    let Relay::Whole { items, .. } = fleet.relay("fleet/1", &LogPosition::default(), &nothing())
+    else {
         panic!("not everything");
     };
     assert!(items.is_empty());
@@ -363,7 +364,7 @@
         steps in prop::collection::vec((0..5_u8, 0..4_u8, any::<bool>()), 1..60)
     ) {
         let (mut teller, mut fleet) = (Fleet::default(), Fleet::default());
-        let mut place = Place::default();
+        let mut place = LogPosition::default();
         for (revision, (target, kind, relayed)) in (1..).zip(steps) {
             let key = format!("targets/{target}");
             let change = match kind {
@@ -377,7 +378,7 @@
             if relayed {
                 let relay = teller.relay("teller/1", &place, &nothing());
                 fleet.on_relay(NOW, &relay, false, &keys(), &Plain);
-                place = relay.place().clone();
+                place = relay.position().clone();
                 let is_whole = matches!(relay, Relay::Whole { .. });
                 prop_assert!(!is_whole || fleet.targets == teller.targets);
             }
--- a/engine/tests/fleet_world/mod.rs
+++ b/engine/tests/fleet_world/mod.rs
@@ -6,7 +6,7 @@
 
 use bramleypier_engine::{
     catalogue::{Catalogue, Config, DomainId, Error, Service, Target, Warmup},
-    fleet::Keys,
+    fleet::StoreKeys,
     store::{Change, Item, Revision},
 };
 
@@ -26,7 +26,7 @@
         "targets/"
     }
 
-    fn evacuated(&self, key: &str) -> Option<DomainId> {
+    fn evacuated_domain(&self, key: &str) -> Option<DomainId> {
         key.strip_prefix("evacuated/").map(str::to_owned)
     }
 
@@ -36,11 +36,11 @@
         let version = version.map_err(|_| Error::Unreadable("config".into(), text.into_owned()))?;
         let service = Service {
             name: "s".into(),
-            connections: 100,
+            max_connections: 100,
             keyed: true,
-            warm: Duration::ZERO,
+            key_warmup: Duration::ZERO,
             warmup: Some(Warmup {
-                span: SPAN,
+                duration: SPAN,
                 rate: 8.0,
             }),
         };
@@ -60,7 +60,7 @@
         };
         Ok(Target {
             id: key.trim_start_matches("targets/").into(),
-            born: 1,
+            start_time: 1,
             service: "s".into(),
             address: "127.0.0.1:9".parse().unwrap(),
             domain: domain.into(),
@@ -71,8 +71,8 @@
     }
 }
 
-pub fn keys() -> Keys {
-    Keys {
+pub fn keys() -> StoreKeys {
+    StoreKeys {
         prefix: "own/".into(),
     }
 }
--- a/engine/tests/keeper.rs
+++ b/engine/tests/keeper.rs
@@ -22,7 +22,7 @@
 fn target(number: u16) -> Target {
     Target {
         id: format!("t{number}"),
-        born: 1,
+        start_time: 1,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 9000 + number).into(),
         domain: "d".to_owned(),
--- a/engine/tests/misdirected.rs
+++ b/engine/tests/misdirected.rs
@@ -48,7 +48,7 @@
 fn target(number: u64) -> Target {
     Target {
         id: format!("t{number}"),
-        born: 1,
+        start_time: 1,
         service: "keyed".to_owned(),
         address: format!("127.0.0.1:{}", 100 + number).parse().unwrap(),
         domain: "d1".to_owned(),
--- a/engine/tests/ownership_world/targets.rs
+++ b/engine/tests/ownership_world/targets.rs
@@ -45,7 +45,7 @@
         let own = |number: usize| Own {
             target: Target {
                 id: format!("t{number}"),
-                born: 1,
+                start_time: 1,
                 service: "s".to_owned(),
                 address: format!("127.0.0.1:{}", 100 + number).parse().unwrap(),
                 domain: "d".to_owned(),
@@ -108,7 +108,7 @@
         for own in &mut self.all {
             if !own.up && own.down_for <= 1 {
                 own.up = true;
-                own.target.born += 1;
+                own.target.start_time += 1;
             }
             own.down_for = own.down_for.saturating_sub(1);
         }
--- a/engine/tests/pause.rs
+++ b/engine/tests/pause.rs
@@ -8,7 +8,7 @@
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
-use bramleypier_engine::peer::pause::{self, Lag};
+use bramleypier_engine::peer::sync_interval::{self, Lag};
 
 const VMS: usize = 88;
 /// What one message costs the manager with a tenth of a core.
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_manager_with_little_processor_keeps_up() {
-    let outcome = play(|lag| pause::until_next(true, VMS, lag));
+    let outcome = play(|lag| sync_interval::next_interval(true, VMS, lag));
     assert!(outcome.worst < CONNECT_TIMEOUT, "{outcome:?}");
     // Each VM is heard once in two seconds at least.
     assert!(outcome.answered >= VMS * 25 / 2, "{outcome:?}");
@@ -94,7 +94,7 @@
     let asked = Duration::from_millis(40);
     for late in [0, 1, 0, 2, 0, 3, 0] {
         lag.add(asked, asked + Duration::from_millis(late));
-        let pause = pause::until_next(true, 8, lag.mean());
+        let pause = sync_interval::next_interval(true, 8, lag.mean());
         assert!(pause <= Duration::from_millis(60), "{pause:?}");
     }
 }
@@ -105,7 +105,7 @@
     let mut lag = Lag::default();
     lag.add(Duration::from_millis(40), Duration::from_secs(5));
     assert_eq!(
-        pause::until_next(true, 8, lag.mean()),
+        sync_interval::next_interval(true, 8, lag.mean()),
         Duration::from_millis(40)
     );
 }
--- a/engine/tests/queue_world/mod.rs
+++ b/engine/tests/queue_world/mod.rs
@@ -6,7 +6,7 @@
 
 use bramleypier_engine::{
     catalogue::{Target, Warmup},
-    peer::Board,
+    peer::FleetLoad,
     place::{
         budget::Allowance,
         desk::{Ask, Desk, Effect, End, Ended, Event, View, Word},
@@ -16,7 +16,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 pub const WARMUP: Warmup = Warmup {
-    span: Duration::from_secs(3),
+    duration: Duration::from_secs(3),
     rate: 8.0,
 };
 pub const TOLERANCE: Tolerance = Tolerance {
@@ -46,7 +46,7 @@
 fn target(number: usize) -> Target {
     Target {
         id: format!("t{number}"),
-        born: 1,
+        start_time: 1,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 9000 + u16::try_from(number).unwrap()).into(),
         domain: "d1".to_owned(),
@@ -142,7 +142,7 @@
 struct World {
     scene: Scene,
     desks: Vec<Desk>,
-    board: Board,
+    fleet_load: FleetLoad,
     /// When each of a target's slots is free, in milliseconds.
     free: HashMap<String, [u64; SLOTS]>,
     running: Vec<Running>,
@@ -161,7 +161,7 @@
     let mut world = World {
         scene,
         desks: desks.collect(),
-        board: Board::default(),
+        fleet_load: FleetLoad::default(),
         free: HashMap::new(),
         running: Vec::new(),
         came: HashMap::new(),
@@ -206,11 +206,14 @@
         let start = format!("vm-{vm}/1");
         let (now, pause) = (ms(at), ms(self.scene.pause));
         let state = self.desks[vm].take_state(now);
-        let board = &mut self.board;
-        board.set(now, &start, state.flights, state.queues, pause);
-        let shares = board.share(now, &start).into_iter();
+        let fleet_load = &mut self.fleet_load;
+        fleet_load.update(now, &start, state.flights, state.queues, pause);
+        let shares = fleet_load.assign_quotas(now, &start).into_iter();
         Word {
-            others: board.others(now, &start).into_iter().collect(),
+            others: fleet_load
+                .in_flight_elsewhere(now, &start)
+                .into_iter()
+                .collect(),
             shares: shares.map(|share| (share.target, share)).collect(),
             pause,
             ..Word::default()
--- a/engine/tests/rate_world/mod.rs
+++ b/engine/tests/rate_world/mod.rs
@@ -5,7 +5,7 @@
 use bramleypier_engine::{
     catalogue::{self, Target},
     owner::record::{Incarnation, KeyRange, Record, ShardKey},
-    peer::Board,
+    peer::FleetLoad,
     place::{
         budget::Allowance,
         desk::{Ask, Desk, Effect, End, Ended, Event, Ticket, View, Word},
@@ -79,7 +79,7 @@
 pub fn target(number: u64) -> Target {
     Target {
         id: format!("t{number}"),
-        born: 1,
+        start_time: 1,
         service: "s".to_owned(),
         address: format!("127.0.0.1:{}", 100 + number).parse().unwrap(),
         domain: "d1".to_owned(),
@@ -151,7 +151,7 @@
 struct World {
     scene: Scene,
     desks: Vec<Desk>,
-    board: Board,
+    fleet_load: FleetLoad,
     came: HashMap<Ticket, u64>,
     free: HashMap<String, [u64; SLOTS]>,
     running: Vec<Running>,
@@ -170,7 +170,7 @@
         Self {
             scene,
             desks: (0..scene.vms).map(desk).collect(),
-            board: Board::default(),
+            fleet_load: FleetLoad::default(),
             came: HashMap::new(),
             free: HashMap::new(),
             running: Vec::new(),
@@ -238,15 +238,18 @@
         let state = self.desks[vm].take_state(ms(now));
         let start = format!("vm-{vm}");
         let (at, pause) = (ms(now), ms(self.scene.pause));
-        let board = &mut self.board;
-        board.set(at, &start, state.flights, state.queues, pause);
-        board.hear_rates(at, &state.rates);
-        let others = board.others(at, &start).into_iter().collect();
-        let shares = board.share(at, &start).into_iter();
+        let fleet_load = &mut self.fleet_load;
+        fleet_load.update(at, &start, state.flights, state.queues, pause);
+        fleet_load.merge_rates(at, &state.rates);
+        let others = fleet_load
+            .in_flight_elsewhere(at, &start)
+            .into_iter()
+            .collect();
+        let shares = fleet_load.assign_quotas(at, &start).into_iter();
         let word = Word {
             others,
             shares: shares.map(|it| (it.target, it)).collect(),
-            rates: board.rates(at),
+            rates: fleet_load.rates(at),
             pause,
         };
         self.on(now, vm, Event::Word(word));
@@ -259,7 +262,7 @@
     for now in (STEP..END).step_by(usize::try_from(STEP).unwrap()) {
         world.end(now);
         if now == scene.replaced {
-            world.board = Board::default();
+            world.fleet_load = FleetLoad::default();
         }
         for vm in 0..scene.vms {
             if scene.heard && now % scene.pause == vm as u64 * STEP % scene.pause {
--- a/engine/tests/repeats.rs
+++ b/engine/tests/repeats.rs
@@ -34,7 +34,7 @@
 fn target(number: u16) -> Target {
     Target {
         id: format!("t{number}"),
-        born: 1,
+        start_time: 1,
         service: "s".to_owned(),
         address: format!("127.0.0.1:{}", 100 + number).parse().unwrap(),
         domain: "d1".to_owned(),
--- a/program/src/operate.rs
+++ b/program/src/operate.rs
@@ -58,7 +58,7 @@
     };
     with_fleet(path, async |mut fleet| {
         let mut answers = Answers::default();
-        let question = format!("{}?{since}", admin::TIMELINE);
+        let question = format!("{}?{since}", admin::TIMELINE_PATH);
         for (address, status) in std::mem::take(&mut fleet.statuses) {
             match fleet.ask::<VmEvents>(address, &question).await {
                 Some(part) => answers.answers.push(part),
@@ -138,7 +138,7 @@
         while let Some((address, name)) = open.get_index(next) {
             let (address, name) = (*address, name.clone());
             next += 1;
-            match fleet.ask::<Status>(address, admin::STATUS).await {
+            match fleet.ask::<Status>(address, admin::STATUS_PATH).await {
                 Some(status) => {
                     for Vm { name, address, .. } in &status.vms {
                         open.entry(*address).or_insert_with(|| name.clone());
