--- a/engine/src/caller/attempt.rs
+++ b/engine/src/caller/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::body;
 use crate::{
-    place::{desk::Ended, task::Permit},
+    placement::{dispatch::CompletionKind, task::Permit},
     target::{Refusal, TargetProtocol},
 };
 
@@ -84,9 +84,9 @@
             Ok(response) => self.read(work, response, permit, started, left).await,
             Err(error) => {
                 let ended = if error.is_refused() {
-                    Ended::Gone
+                    CompletionKind::ConnectRefused
                 } else {
-                    Ended::Unreached
+                    CompletionKind::ConnectFailed
                 };
                 if error.unsent() {
                     permit.finish(ended, None);
@@ -96,7 +96,7 @@
                     drop(permit);
                     return Tried::TimedOut;
                 }
-                permit.finish(Ended::Lost, None);
+                permit.finish(CompletionKind::Lost, None);
                 Tried::Lost(error.to_string())
             }
         }
@@ -117,7 +117,7 @@
         if foreign || reply.refusal.is_none() && !reply.signed {
             // Dropping the body closes the connection, so that nothing of it is used again.
             drop(rest);
-            permit.finish(Ended::Lost, None);
+            permit.finish(CompletionKind::Lost, None);
             let what = if foreign {
                 "another request's answer"
             } else {
@@ -126,7 +126,7 @@
             return Tried::Lost(format!("status={} cause={what}", head.status.as_u16()));
         }
         if reply.refusal != Some(Refusal::NotOwner) {
-            permit.note_rate(reply.rate);
+            permit.report_rate(reply.rate);
         }
         let passed = self.clock.now().saturating_sub(started);
         let reading = body::take(rest, WHOLE_ANSWER);
@@ -134,7 +134,7 @@
         let taken = match self.clock.timeout(span, reading).await {
             Ok(Ok(taken)) => taken,
             Ok(Err(error)) => {
-                permit.finish(Ended::Lost, reply.load);
+                permit.finish(CompletionKind::Lost, reply.load);
                 return Tried::Lost(format!("cause=the answer was cut: {error}"));
             }
             Err(_) => {
@@ -144,8 +144,8 @@
         };
         if let Some(refusal) = reply.refusal {
             let ended = match refusal {
-                Refusal::Busy => Ended::Refused,
-                Refusal::NotOwner => Ended::Unowned,
+                Refusal::Busy => CompletionKind::Refused,
+                Refusal::NotOwner => CompletionKind::Misdirected,
             };
             permit.finish(ended, reply.load);
             return Tried::Refused(refusal, head.status);
@@ -153,9 +153,9 @@
         headers::strip(&mut head.headers);
         let took = self.clock.now().saturating_sub(started);
         let ended = if head.status.is_server_error() {
-            Ended::Failed
+            CompletionKind::Failed
         } else {
-            Ended::Answered(took)
+            CompletionKind::Answered(took)
         };
         let whole = match taken {
             body::Taken::Whole(bytes) => {
--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -15,7 +15,7 @@
 use crate::{
     catalogue::{Kind, TargetId},
     owner::record::Fence,
-    place::desk::{Ask, COME_BACK_LEAST, Why},
+    placement::dispatch::{DispatchRequest, MIN_RETRY_AFTER, RefusalReason},
     target::Refusal,
 };
 
@@ -119,14 +119,14 @@
     here: &Here,
 ) -> Step {
     let repeat = history.arrivals > 0;
-    let ask = Ask {
+    let ask = DispatchRequest {
         ticket: 0,
         service: job.service.clone(),
         point: job.asked.key.filter(|_| job.keyed),
         priority: job.route.priority,
-        came: job.came,
+        received_at: job.came,
         goal: job.goal,
-        until: job.until,
+        deadline: job.until,
         // Only the owner can serve a key, also a second time.
         tried: if job.keyed {
             Vec::new()
@@ -135,16 +135,16 @@
         },
         misdirected: history.misdirected.clone(),
         large: job.route.kind == Kind::Download,
-        repeat,
+        is_retry: repeat,
     };
-    let permit = match context.desk.ask(ask).await {
+    let permit = match context.dispatcher.acquire(ask).await {
         Ok(permit) => permit,
         Err(refused) => {
-            count_refusal(context, job, refused.why);
+            count_refusal(context, job, refused.reason);
             trace
                 .notes
-                .push(format!("{}: {}", refused.why.name(), refused.basis));
-            return history.give_up(Own::not_run(refused.why.name(), refused.retry));
+                .push(format!("{}: {}", refused.reason.name(), refused.basis));
+            return history.give_up(Own::not_run(refused.reason.name(), refused.retry_after));
         }
     };
     let left = job.until.saturating_sub(context.clock.now());
@@ -161,7 +161,7 @@
     let fence = permit.basis.fence;
     trace.targets.push(target.clone());
     trace.notes.push(format!("sent: {}", permit.basis));
-    history.turn = permit.basis.turn;
+    history.turn = permit.basis.completion_interval;
     let tried = context.sender.send(work, body, permit, left).await;
     if !matches!(tried, Tried::Unsent(_)) {
         history.arrivals += 1;
@@ -183,7 +183,7 @@
 }
 
 /// Counts a request that no target may get, and whether cold targets of its service were spared meanwhile.
-fn count_refusal(context: &Context, job: &Job, why: Why) {
+fn count_refusal(context: &Context, job: &Job, why: RefusalReason) {
     let fleet = context.shared_fleet.get();
     let cold = fleet.has_cold_target(context.clock.now(), &job.service);
     let cold = if cold { "yes" } else { "no" };
@@ -277,7 +277,7 @@
         }
     };
     if history.reached.len() >= attempts || !payload.is_left() {
-        let retry = history.turn.max(COME_BACK_LEAST);
+        let retry = history.turn.max(MIN_RETRY_AFTER);
         return history.give_up(Own::not_run("every allowed target refused it", retry));
     }
     step
--- a/engine/src/caller/body.rs
+++ b/engine/src/caller/body.rs
@@ -12,7 +12,7 @@
 use futures_util::future;
 use hyper::body::{Body as HttpBody, Bytes, Frame, Incoming, SizeHint};
 
-use crate::place::{desk::Ended, task::Permit};
+use crate::placement::{dispatch::CompletionKind, task::Permit};
 
 /// What was read of a body.
 pub enum Taken {
@@ -106,9 +106,9 @@
     fn end(&mut self, ok: bool) {
         if let Some((permit, took)) = self.permit.take() {
             let ended = if ok {
-                Ended::Answered(took)
+                CompletionKind::Answered(took)
             } else {
-                Ended::Lost
+                CompletionKind::Lost
             };
             permit.finish(ended, None);
         }
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -21,7 +21,7 @@
     fleet::SharedFleet,
     health::Health,
     owner::tally::Tally,
-    place::task,
+    placement::task,
     report::Report,
 };
 
@@ -38,7 +38,7 @@
     /// How callers are understood.
     pub callers: Rc<dyn CallerProtocol>,
     /// Decides on targets.
-    pub desk: task::Handle,
+    pub dispatcher: task::Handle,
     /// Sends to targets.
     pub sender: Sender,
     /// Requests that come before the first configuration.
--- a/engine/src/fleet/mod.rs
+++ b/engine/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 use crate::{
     catalogue::{Catalogue, Config, DomainId, ServiceId, Target, TargetId},
     owner::record::Record,
-    place::desk,
+    placement::dispatch,
     store::{Change, Item, Listing, Revision},
 };
 
@@ -274,7 +274,7 @@
         self.vanished.values().map(|(at, _)| *at).min()
     }
 
-    /// Returns what the desk needs to know: targets that leave, or that stand in an evacuated failure domain,
+    /// Returns what the dispatcher needs to know: targets that leave, or that stand in an evacuated failure domain,
     /// get no new work.
     ///
     /// # Example
@@ -284,7 +284,7 @@
     ///
     /// assert!(Fleet::default().view().targets.is_empty());
     /// ```
-    pub fn view(&self) -> desk::View {
+    pub fn view(&self) -> dispatch::FleetView {
         let mut targets: IndexMap<ServiceId, Vec<Target>> = IndexMap::new();
         let mut evacuated: HashSet<ServiceId> = HashSet::new();
         for target in self.targets.values().filter(|it| !it.leaving) {
@@ -297,7 +297,7 @@
         }
         evacuated.retain(|service| !targets.contains_key(service));
         let records = self.records.iter();
-        desk::View {
+        dispatch::FleetView {
             targets,
             records: records
                 .map(|(name, it)| (name.clone(), it.record.clone()))
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod health;
 pub mod owner;
 pub mod peer;
-pub mod place;
+pub mod placement;
 pub mod process;
 pub mod registration;
 pub mod report;
--- a/engine/src/owner/ownership/moves.rs
+++ b/engine/src/owner/ownership/moves.rs
@@ -16,7 +16,7 @@
         record::Incarnation,
         redistribution,
     },
-    place::rates,
+    placement::rates,
 };
 
 /// The least time between two rounds of moves for balance: a move takes some 100 ms, and the counts
@@ -74,7 +74,7 @@
             let rate = self.rates.get(&it.id).copied();
             Candidate {
                 incarnation: Incarnation::of(it),
-                capacity: rate.map_or(power, |rate| power.min(rates::sent_at(rate))),
+                capacity: rate.map_or(power, |rate| power.min(rates::effective_rate(rate))),
             }
         });
         let shunned = |life: &Incarnation| self.shunned.get(life).is_some_and(|until| now < *until);
--- a/engine/src/peer/board.rs
+++ b/engine/src/peer/board.rs
@@ -6,10 +6,10 @@
 
 use super::TargetHash;
 use crate::{
-    place::{
-        bucket::Bucket,
-        rates::{RateNews, Rates},
-        share::{self, Queue, Room, Share},
+    placement::{
+        bucket::TokenBucket,
+        quota::{self, Quota, RateCapacity, TargetQueue},
+        rates::{RateReport, Rates},
     },
     target::Rate,
 };
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 struct Word {
     flights: Vec<(TargetHash, u32)>,
-    queues: Vec<Queue>,
+    queues: Vec<TargetQueue>,
     /// What it may have sent since, by the rights that it got.
     given: Vec<(TargetHash, u32)>,
     at: Duration,
@@ -34,19 +34,19 @@
 
 impl Word {
     /// Takes note of rights that the VM gets: what waited is on its way.
-    fn give(&mut self, share: &Share) {
-        let count = share.fresh + share.late;
+    fn give(&mut self, share: &Quota) {
+        let count = share.within_goal + share.past_goal;
         if count > 0 {
             self.given.push((share.target, count));
         }
         let queues = self.queues.iter_mut();
         for queue in queues.filter(|queue| queue.target == share.target) {
-            queue.first.retain(|it| !share.beyond.contains(&it.ticket));
-            let gone = queue.first.len().min(share.fresh as usize);
+            queue.first.retain(|it| !share.demoted.contains(&it.ticket));
+            let gone = queue.first.len().min(share.within_goal as usize);
             queue.first.drain(..gone);
-            let beyond = u32::try_from(share.beyond.len()).unwrap_or(u32::MAX);
-            queue.fresh = queue.fresh.saturating_sub(share.fresh + beyond);
-            queue.late = queue.late.saturating_sub(share.late);
+            let beyond = u32::try_from(share.demoted.len()).unwrap_or(u32::MAX);
+            queue.within_goal = queue.within_goal.saturating_sub(share.within_goal + beyond);
+            queue.past_goal = queue.past_goal.saturating_sub(share.past_goal);
         }
     }
 }
@@ -54,9 +54,9 @@
 /// What waits for one target and what is there, of all VMs.
 #[derive(Debug, Default)]
 struct Line<'a> {
-    own: Option<&'a Queue>,
+    own: Option<&'a TargetQueue>,
     /// Other VMs' queues, with the milliseconds since they told.
-    others: Vec<(&'a Queue, u32)>,
+    others: Vec<(&'a TargetQueue, u32)>,
     /// Requests there, and rights to send that are not used yet.
     flights: u32,
 }
@@ -82,7 +82,7 @@
     /// The rates that targets have named to any VM.
     rates: Rates,
     /// What may go to the targets that are held to one.
-    buckets: IndexMap<TargetHash, Bucket>,
+    buckets: IndexMap<TargetHash, TokenBucket>,
 }
 
 impl FleetLoad {
@@ -96,7 +96,7 @@
         now: Duration,
         start: &str,
         flights: Vec<(TargetHash, u32)>,
-        queues: Vec<Queue>,
+        queues: Vec<TargetQueue>,
         pause: Duration,
     ) {
         self.words.retain(|_, word| now < word.until);
@@ -117,14 +117,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::{peer::FleetLoad, place::rates::RateNews};
+    /// use bramleypier_engine::{peer::FleetLoad, placement::rates::RateReport};
     ///
     /// let mut fleet_load = FleetLoad::default();
-    /// let news = RateNews { target: 7, rate: Some(1.5), age: Duration::ZERO };
+    /// let news = RateReport { target: 7, rate: Some(1.5), age: Duration::ZERO };
     /// fleet_load.merge_rates(Duration::ZERO, &[news]);
     /// assert_eq!(fleet_load.rates(Duration::ZERO), [news]);
     /// ```
-    pub fn merge_rates(&mut self, now: Duration, news: &[RateNews]) {
+    pub fn merge_rates(&mut self, now: Duration, news: &[RateReport]) {
         // VMs log what they believe; what changes here they hear with the next word, and forget by themselves.
         let _ = self.rates.merge(now, news);
         let _ = self.rates.expire(now);
@@ -135,8 +135,8 @@
     /// # Example
     ///
     /// See [`FleetLoad::merge_rates`].
-    pub fn rates(&self, now: Duration) -> Vec<RateNews> {
-        self.rates.news(now)
+    pub fn rates(&self, now: Duration) -> Vec<RateReport> {
+        self.rates.reports(now)
     }
 
     /// Returns the targets that ask to be held to a rate, with the rates.
@@ -146,15 +146,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::{peer::FleetLoad, place::rates::RateNews};
+    /// use bramleypier_engine::{peer::FleetLoad, placement::rates::RateReport};
     ///
     /// let mut fleet_load = FleetLoad::default();
-    /// let news = RateNews { target: 7, rate: Some(1.5), age: Duration::ZERO };
+    /// let news = RateReport { target: 7, rate: Some(1.5), age: Duration::ZERO };
     /// fleet_load.merge_rates(Duration::ZERO, &[news]);
     /// assert_eq!(fleet_load.rate_limits(), [(7, 1.5)]);
     /// ```
     pub fn rate_limits(&self) -> Vec<(TargetHash, Rate)> {
-        self.rates.named().collect()
+        self.rates.active().collect()
     }
 
     /// Returns what all others have under way.
@@ -181,43 +181,43 @@
     ///
     /// use bramleypier_engine::{
     ///     peer::FleetLoad,
-    ///     place::share::{Queue, Waited},
+    ///     placement::quota::{TargetQueue, QueuedRequest},
     /// };
     ///
-    /// let waiting = |age| Queue {
+    /// let waiting = |age| TargetQueue {
     ///     target: 7,
     ///     slots: 2,
     ///     limit: 3,
-    ///     fresh: 1,
-    ///     first: vec![Waited { ticket: 1, priority: 1, age, reach: 5 }],
-    ///     late: 0,
+    ///     within_goal: 1,
+    ///     first: vec![QueuedRequest { ticket: 1, priority: 1, age_ms: age, max_ahead: 5 }],
+    ///     past_goal: 0,
     /// };
     /// let mut fleet_load = FleetLoad::default();
     /// let now = Duration::ZERO;
     /// fleet_load.update(now, "vm-1", vec![(7, 2)], vec![waiting(20)], Duration::ZERO);
     /// fleet_load.update(now, "vm-2", Vec::new(), vec![waiting(30)], Duration::ZERO);
-    /// assert_eq!(fleet_load.assign_quotas(now, "vm-1")[0].fresh, 0, "the other waits longer");
-    /// assert_eq!(fleet_load.assign_quotas(now, "vm-2")[0].fresh, 1);
+    /// assert_eq!(fleet_load.assign_quotas(now, "vm-1")[0].within_goal, 0, "the other waits longer");
+    /// assert_eq!(fleet_load.assign_quotas(now, "vm-2")[0].within_goal, 1);
     /// ```
-    pub fn assign_quotas(&mut self, now: Duration, start: &str) -> Vec<Share> {
+    pub fn assign_quotas(&mut self, now: Duration, start: &str) -> Vec<Quota> {
         let rooms = self.rooms(now);
         let lines = self.lines(now, start);
         let shares = lines.into_iter().map(|(target, line)| {
-            let own = line.own.cloned().unwrap_or(Queue {
+            let own = line.own.cloned().unwrap_or(TargetQueue {
                 target,
-                ..Queue::default()
+                ..TargetQueue::default()
             });
             match rooms.get(&target) {
-                Some(room) => share::within(*room, &own, &line.others, line.flights),
-                None => share::of(&own, &line.others, line.flights),
+                Some(room) => quota::allot_at_rate(*room, &own, &line.others, line.flights),
+                None => quota::allot(&own, &line.others, line.flights),
             }
         });
-        let shares: Vec<Share> = shares
-            .filter(|share| share.busy || share.late > 0 || share.behind > 0)
+        let shares: Vec<Quota> = shares
+            .filter(|share| share.busy || share.past_goal > 0 || share.others_past > 0)
             .collect();
         for share in &shares {
             if let Some(bucket) = self.buckets.get_mut(&share.target) {
-                bucket.take(share.fresh + share.late);
+                bucket.take(share.within_goal + share.past_goal);
             }
         }
         if let Some(word) = self.words.get_mut(start) {
@@ -229,17 +229,23 @@
     }
 
     /// What may go now to each target that is held to a rate.
-    fn rooms(&mut self, now: Duration) -> IndexMap<TargetHash, Room> {
+    fn rooms(&mut self, now: Duration) -> IndexMap<TargetHash, RateCapacity> {
         let rates = &self.rates;
         self.buckets
             .retain(|target, _| rates.rate(*target).is_some());
         let mut rooms = IndexMap::new();
-        for (target, rate) in rates.named() {
+        for (target, rate) in rates.active() {
             let bucket = self.buckets.entry(target);
-            let bucket = bucket.or_insert_with(|| Bucket::new(now));
-            let most = bucket.room(now, rate);
-            let wait = bucket.wait(rate);
-            rooms.insert(target, Room { most, wait });
+            let bucket = bucket.or_insert_with(|| TokenBucket::new(now));
+            let most = bucket.available(now, rate);
+            let wait = bucket.wait_time(rate);
+            rooms.insert(
+                target,
+                RateCapacity {
+                    available: most,
+                    wait,
+                },
+            );
         }
         rooms
     }
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -26,9 +26,9 @@
     catalogue::{ServiceId, TargetHash},
     fleet::{LogPosition, Relay},
     owner::record::ShardKey,
-    place::{
-        rates::RateNews,
-        share::{Queue, Share},
+    placement::{
+        quota::{Quota, TargetQueue},
+        rates::RateReport,
     },
     store::Revision,
 };
@@ -67,7 +67,7 @@
     /// Its requests at each target.
     pub flights: Vec<(TargetHash, u32)>,
     /// What waits there for room at targets.
-    pub queues: Vec<Queue>,
+    pub queues: Vec<TargetQueue>,
     /// How far it has followed the manager's journal.
     pub place: LogPosition,
     /// How far it has followed the store itself, by prefix; empty once it follows the journal.
@@ -77,7 +77,7 @@
     /// Sums and counts of service times without waiting, in seconds, since the last message.
     pub times: Vec<(TargetHash, f64, u32)>,
     /// The rates that targets have named to it, or to others as it was told.
-    pub rates: Vec<RateNews>,
+    pub rates: Vec<RateReport>,
     /// How long it waits at the least until it tells again.
     pub pause: Duration,
     /// When it was sent, for the time line.
@@ -93,9 +93,9 @@
     /// Other VMs' requests at each target.
     pub others: Vec<(TargetHash, u32)>,
     /// What the VM may send to targets for which requests wait.
-    pub shares: Vec<Share>,
+    pub shares: Vec<Quota>,
     /// The rates that targets have named to any VM.
-    pub rates: Vec<RateNews>,
+    pub rates: Vec<RateReport>,
     /// What the VM lacks of what this one knows, however old.
     pub relay: Relay,
     /// How much later than asked for this process wakes up.
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -22,7 +22,7 @@
     fleet::{LogPosition, Relay, SharedFleet, StoreKeys, Vm},
     health::Health,
     owner::{manager, tally::Tally},
-    place::{desk, task},
+    placement::{dispatch, task},
     report::Report,
 };
 
@@ -62,7 +62,7 @@
     /// This VM's requests by key.
     pub tally: Tally,
     /// Decides on targets.
-    pub desk: task::Handle,
+    pub dispatcher: task::Handle,
     /// This VM's manager task.
     pub manager: mpsc::UnboundedSender<manager::Message>,
     /// Other VMs to ask while none is known.
@@ -218,7 +218,7 @@
 
     /// Builds this VM's message.
     async fn message(&self, place: LogPosition, pause: Duration) -> Sync {
-        let state = self.desk.take_state().await;
+        let state = self.dispatcher.take_snapshot().await;
         let fleet = self.shared_fleet.get();
         let follows = fleet
             .manager
@@ -232,12 +232,12 @@
         Sync {
             start: self.vm.start.clone(),
             knows: true,
-            flights: state.flights,
+            flights: state.in_flight,
             queues: state.queues,
             place,
             followed,
             counts: self.tally.take(),
-            times: state.times,
+            times: state.service_times,
             rates: state.rates,
             pause,
             stamp: self.report.stamp(),
@@ -299,12 +299,14 @@
         pause = sync_interval::next_interval(busy, vms, lag);
         if let Some(synced) = answer {
             let shares = synced.shares.into_iter();
-            context.desk.tell(desk::Event::Word(desk::Word {
-                others: synced.others.into_iter().collect(),
-                shares: shares.map(|share| (share.target, share)).collect(),
-                rates: synced.rates,
-                pause,
-            }));
+            context
+                .dispatcher
+                .send(dispatch::Event::Sync(dispatch::SyncUpdate {
+                    others: synced.others.into_iter().collect(),
+                    quotas: shares.map(|share| (share.target, share)).collect(),
+                    rates: synced.rates,
+                    sync_interval: pause,
+                }));
         }
         if context.clock.now() > heard_at + FRESH.max(pause * FRESH_PAUSES) {
             context.unheard("no answer");
--- a/engine/src/place/bucket.rs
+++ b/engine/src/placement/bucket.rs
@@ -23,27 +23,27 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::bucket::Bucket;
+/// use bramleypier_engine::placement::bucket::TokenBucket;
 ///
-/// let mut bucket = Bucket::new(Duration::ZERO);
-/// assert_eq!(bucket.room(Duration::ZERO, 2.0), 0);
-/// assert_eq!(bucket.wait(2.0), Duration::from_millis(500));
-/// assert_eq!(bucket.room(Duration::from_millis(500), 2.0), 1);
+/// let mut bucket = TokenBucket::new(Duration::ZERO);
+/// assert_eq!(bucket.available(Duration::ZERO, 2.0), 0);
+/// assert_eq!(bucket.wait_time(2.0), Duration::from_millis(500));
+/// assert_eq!(bucket.available(Duration::from_millis(500), 2.0), 1);
 /// bucket.take(1);
-/// assert_eq!(bucket.room(Duration::from_secs(60), 2.0), 2);
+/// assert_eq!(bucket.available(Duration::from_secs(60), 2.0), 2);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates an empty one.
     ///
     /// # Example
     ///
-    /// See [`Bucket`].
+    /// See [`TokenBucket`].
     pub fn new(now: Duration) -> Self {
         Self {
             tokens: 0.0,
@@ -55,11 +55,11 @@
     ///
     /// # Example
     ///
-    /// See [`Bucket`].
-    pub fn room(&mut self, now: Duration, rate: Rate) -> u32 {
+    /// See [`TokenBucket`].
+    pub fn available(&mut self, now: Duration, rate: Rate) -> u32 {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
-        let rate = rates::sent_at(rate);
+        let rate = rates::effective_rate(rate);
         let most = BURST + rate * EXCHANGE.as_secs_f64();
         self.tokens = (self.tokens + passed * rate).min(most);
         self.tokens as u32
@@ -69,7 +69,7 @@
     ///
     /// # Example
     ///
-    /// See [`Bucket`].
+    /// See [`TokenBucket`].
     pub fn take(&mut self, count: u32) {
         self.tokens -= f64::from(count);
     }
@@ -78,9 +78,9 @@
     ///
     /// # Example
     ///
-    /// See [`Bucket`].
-    pub fn wait(&self, rate: Rate) -> Duration {
+    /// See [`TokenBucket`].
+    pub fn wait_time(&self, rate: Rate) -> Duration {
         let lacking = (1.0 - self.tokens).max(0.0);
-        Duration::from_secs_f64(lacking / rates::sent_at(rate))
+        Duration::from_secs_f64(lacking / rates::effective_rate(rate))
     }
 }
--- a/engine/src/place/budget.rs
+++ b/engine/src/placement/budget.rs
@@ -44,12 +44,12 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::place::budget::Balance;
+    /// use bramleypier_engine::placement::budget::Balance;
     ///
-    /// assert!(Balance { spent: 2, most: 3, vms: 10 }.has_room());
-    /// assert!(!Balance { spent: 3, most: 3, vms: 10 }.has_room());
+    /// assert!(Balance { spent: 2, most: 3, vms: 10 }.allows_retry());
+    /// assert!(!Balance { spent: 3, most: 3, vms: 10 }.allows_retry());
     /// ```
-    pub fn has_room(&self) -> bool {
+    pub fn allows_retry(&self) -> bool {
         self.spent < self.most
     }
 }
@@ -74,21 +74,21 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::budget::{Allowance, Budget};
+/// use bramleypier_engine::placement::budget::{Allowance, RetryBudget};
 ///
 /// let allowance = Allowance { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
 /// let repeats = |now| {
-///     let mut budget = Budget::new(Duration::ZERO);
+///     let mut budget = RetryBudget::new(Duration::ZERO);
 ///     for _ in 0..100 {
 ///         budget.count(now, allowance);
 ///     }
-///     (0..100).filter(|_| budget.spend(now, allowance, 1).has_room()).count()
+///     (0..100).filter(|_| budget.spend(now, allowance, 1).allows_retry()).count()
 /// };
 /// assert_eq!(repeats(Duration::from_secs(9)), 3);
 /// assert_eq!(repeats(Duration::from_secs(10)), 16);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// When the process started.
     since: Duration,
     /// Slices of the window, the oldest first; that one may have left it in part.
@@ -104,12 +104,12 @@
     repeats: u32,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Creates the budget of a process that started at a time.
     ///
     /// # Example
     ///
-    /// See [`Budget`].
+    /// See [`RetryBudget`].
     pub fn new(since: Duration) -> Self {
         Self {
             since,
@@ -121,7 +121,7 @@
     ///
     /// # Example
     ///
-    /// See [`Budget`].
+    /// See [`RetryBudget`].
     pub fn count(&mut self, now: Duration, allowance: Allowance) {
         self.slice(now, allowance).requests += 1;
     }
@@ -130,10 +130,10 @@
     ///
     /// # Example
     ///
-    /// See [`Budget`].
+    /// See [`RetryBudget`].
     pub fn spend(&mut self, now: Duration, allowance: Allowance, vms: usize) -> Balance {
         let balance = self.balance(now, allowance, vms);
-        if balance.has_room() {
+        if balance.allows_retry() {
             self.slice(now, allowance).repeats += 1;
         }
         balance
--- a/engine/src/place/end.rs
+++ b/engine/src/placement/completion.rs
@@ -1,4 +1,4 @@
-//! How a request at a target ended, as a desk is told.
+//! How a request at a target ended, as a dispatcher is told.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 /// How a request at a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CompletionKind {
     /// It was answered well, in this time.
     Answered(Duration),
     /// It was answered with the target's own failure.
@@ -17,22 +17,22 @@
     /// The target refused it and did not run it.
     Refused,
     /// The target doesn't own the request's key, or is another than was meant, and did not run it.
-    Unowned,
+    Misdirected,
     /// The connection broke, or the answer could not be used.
     Lost,
     /// No connection came about.
-    Unreached,
+    ConnectFailed,
     /// Nobody listens at its address.
-    Gone,
+    ConnectRefused,
     /// The caller left, or the time ran out, after it had been there so long.
-    Given(Duration),
+    Abandoned(Duration),
 }
 
 /// The end of a request at a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct Completion {
     /// How it ended.
-    pub ended: Ended,
+    pub kind: CompletionKind,
     /// When it was sent.
     pub sent: Duration,
     /// How many requests were probably there before it.
@@ -40,5 +40,5 @@
     /// The load that the target reported.
     pub load: Option<LoadReport>,
     /// The request's key and the fence of its owner, where its service has owners.
-    pub owned: Option<(ShardKey, Fence)>,
+    pub ownership: Option<(ShardKey, Fence)>,
 }
--- a/engine/src/place/desk/fit.rs
+++ b/engine/src/placement/dispatch/admission.rs
@@ -6,7 +6,7 @@
 //!   time is refused at once. An idle target that is believed so slow gets single requests, since it may
 //!   long be fast again.
 //! - *Requests wait for a target at several VMs*: none is sent without a share of its room (see
-//!   [`crate::place::share`]).
+//!   [`crate::placement::share`]).
 //! - *A target in need names how many requests a second it takes from all VMs*: none is sent without a right of the
 //!   manager's, who gives no more; where it shares nothing out, a few VMs send by a pace.
 //! - *The line at a target is longer than a goal*: whoever comes then can't be answered within it, and
@@ -15,11 +15,11 @@
 
 use std::time::Duration;
 
-use super::{Ask, Basis, COME_BACK_LEAST, Why};
+use super::{Basis, DispatchRequest, MIN_RETRY_AFTER, RefusalReason};
 use crate::{
     catalogue::TargetId,
     owner::record::Fence,
-    place::{member::Member, share::LATE_QUEUE},
+    placement::{quota::LATE_QUEUE, target_state::Member},
 };
 
 /// What can be done for a request now.
@@ -29,7 +29,7 @@
     /// Let it wait, in a target's line if it waits for room there.
     Wait(Option<Line>),
     /// Refuse it.
-    Refuse(Why, Duration, Basis),
+    Refuse(RefusalReason, Duration, Basis),
 }
 
 /// A right to send to a busy target.
@@ -46,7 +46,7 @@
 pub(super) struct Line {
     pub(super) target: TargetId,
     /// Whether it can still be answered within its goal.
-    pub(super) fresh: bool,
+    pub(super) within_goal: bool,
 }
 
 /// A target that a request could go to.
@@ -76,17 +76,17 @@
 
 impl Place<'_> {
     /// Decides for a request.
-    pub(super) fn fit(&self, now: Duration, ask: &Ask) -> Choice {
-        let left = ask.until.saturating_sub(now);
+    pub(super) fn fit(&self, now: Duration, ask: &DispatchRequest) -> Choice {
+        let left = ask.deadline.saturating_sub(now);
         let basis = self.basis(now, ask);
         if basis.expected > left {
             // With little time left a request is late at a fast target, too.
-            let fresh = left * 2 >= ask.until.saturating_sub(ask.came);
+            let fresh = left * 2 >= ask.deadline.saturating_sub(ask.received_at);
             if fresh && self.member.is_due(now) {
                 return Choice::Send(basis, None);
             }
             let over = basis.expected.saturating_sub(left);
-            return Choice::Refuse(Why::Late, over.max(COME_BACK_LEAST), basis);
+            return Choice::Refuse(RefusalReason::Late, over.max(MIN_RETRY_AFTER), basis);
         }
         let fresh = basis.expected <= ask.goal.saturating_sub(now);
         let keyed = ask.point.is_some();
@@ -105,13 +105,13 @@
         }
     }
 
-    fn basis(&self, now: Duration, ask: &Ask) -> Basis {
+    fn basis(&self, now: Duration, ask: &DispatchRequest) -> Basis {
         Basis {
             target: self.member.target.id.clone(),
             point: ask.point,
             depth: self.member.depth(now),
             expected: Duration::from_secs_f64(self.member.expected(now, self.usual)),
-            turn: self.member.turn(now, self.usual),
+            completion_interval: self.member.turn(now, self.usual),
             age: self.member.told_age(now),
             fence: self.fence,
             rate: self.member.rate(),
@@ -124,7 +124,7 @@
         if self.member.has_pace(now) {
             Choice::Send(basis, None)
         } else {
-            Choice::Refuse(Why::Rate, basis.turn, basis)
+            Choice::Refuse(RefusalReason::Rate, basis.completion_interval, basis)
         }
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Decides for a request that can still be answered within its goal.
-    fn fresh(&self, now: Duration, ask: &Ask, basis: Basis) -> Choice {
+    fn fresh(&self, now: Duration, ask: &DispatchRequest, basis: Basis) -> Choice {
         let Some(share) = self.member.share().filter(|share| share.busy) else {
             let limit = f64::from(self.member.limit(now, self.usual));
             // After a line the others that come may be as many again, and each VM sees the same room.
@@ -164,7 +164,7 @@
         if no_turn {
             return self.late(now, ask, basis);
         }
-        if share.fresh > 0 {
+        if share.within_goal > 0 {
             Choice::Send(basis, Some(Right::Fresh))
         } else {
             self.wait(true)
@@ -172,22 +172,22 @@
     }
 
     /// Decides for a request that can't be answered within its goal any more.
-    fn late(&self, now: Duration, ask: &Ask, basis: Basis) -> Choice {
+    fn late(&self, now: Duration, ask: &DispatchRequest, basis: Basis) -> Choice {
         let share = self.member.share();
-        if share.is_some_and(|share| share.late > 0) {
+        if share.is_some_and(|share| share.past_goal > 0) {
             return Choice::Send(basis, Some(Right::Late));
         }
         let drained = self.drained(&basis);
-        let left = ask.until.saturating_sub(now);
-        let behind = basis.turn * share.map_or(0, |share| share.behind);
+        let left = ask.deadline.saturating_sub(now);
+        let behind = basis.completion_interval * share.map_or(0, |share| share.others_past);
         if self.standing == Standing::New && drained + behind > left {
             let over = (drained + behind).saturating_sub(left);
-            return Choice::Refuse(Why::Late, over.max(COME_BACK_LEAST), basis);
+            return Choice::Refuse(RefusalReason::Late, over.max(MIN_RETRY_AFTER), basis);
         }
-        let goal = ask.goal.saturating_sub(ask.came);
+        let goal = ask.goal.saturating_sub(ask.received_at);
         let busy_since = self.member.busy_since();
         if busy_since.is_some_and(|since| now >= since + goal) {
-            return Choice::Refuse(Why::Goal, drained.max(COME_BACK_LEAST), basis);
+            return Choice::Refuse(RefusalReason::Goal, drained.max(MIN_RETRY_AFTER), basis);
         }
         let held = self.member.rate().is_some();
         let alone = !held && share.is_none() && self.standing == Standing::New && self.before == 0;
@@ -199,8 +199,8 @@
 
     /// How long an answer would take if all that wait now came first.
     fn drained(&self, basis: &Basis) -> Duration {
-        let line = self.member.share().map_or(0, |share| share.line);
-        basis.expected + basis.turn * (line + self.before)
+        let line = self.member.share().map_or(0, |share| share.others_within);
+        basis.expected + basis.completion_interval * (line + self.before)
     }
 
     /// Up to how many requests the target has while late ones may be sent.
@@ -211,7 +211,7 @@
     fn wait(&self, fresh: bool) -> Choice {
         Choice::Wait(Some(Line {
             target: self.member.target.id.clone(),
-            fresh,
+            within_goal: fresh,
         }))
     }
 }
--- a/engine/src/place/desk/choose.rs
+++ b/engine/src/placement/dispatch/choose.rs
@@ -10,16 +10,16 @@
 use rand::{Rng, seq::index};
 
 use super::{
-    Ask, Basis, COME_BACK_UNOWNED, Desk, Why,
-    fit::{Choice, Place, Standing},
+    Basis, COME_BACK_UNOWNED, DispatchRequest, Dispatcher, RefusalReason,
+    admission::{Choice, Place, Standing},
 };
 use crate::{
     catalogue::{Target, TargetId},
     owner::record::{Record, ShardKey},
-    place::{
-        member::{Member, UNKNOWN_TIME},
-        share::Share,
-        unowned,
+    placement::{
+        quota::Quota,
+        refused_keys,
+        target_state::{Member, UNKNOWN_TIME},
     },
 };
 
@@ -29,7 +29,7 @@
 /// seconds, for which no request should be held.
 const OWNER_WAIT_PART: f64 = 0.6;
 /// The least time to come back that is told: a caller is some 10 ms away.
-pub const COME_BACK_LEAST: Duration = Duration::from_millis(20);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
 /// By how much estimates are varied, so that VMs with the same news don't all pick the same target.
 const JITTER: f64 = 0.12;
 /// How much longer a request in another failure domain counts as taking: the way there and back is
@@ -48,10 +48,19 @@
 /// How long a median of service times counts: it changes slowly, and hundreds of targets are in it.
 const USUAL_LIFE: Duration = Duration::from_millis(50);
 
-impl Desk {
-    pub(super) fn choose(&mut self, now: Duration, ask: &Ask, standing: Standing) -> Choice {
+impl Dispatcher {
+    pub(super) fn choose(
+        &mut self,
+        now: Duration,
+        ask: &DispatchRequest,
+        standing: Standing,
+    ) -> Choice {
         if self.view.evacuated.contains(&ask.service) {
-            return Choice::Refuse(Why::Evacuated, COME_BACK_UNOWNED, self.owner_basis(ask));
+            return Choice::Refuse(
+                RefusalReason::Evacuated,
+                COME_BACK_UNOWNED,
+                self.owner_basis(ask),
+            );
         }
         match (ask.point, self.view.records.get(&ask.service)) {
             (Some(point), Some(record)) => {
@@ -66,7 +75,7 @@
     fn choose_owner(
         &self,
         now: Duration,
-        ask: &Ask,
+        ask: &DispatchRequest,
         standing: Standing,
         point: ShardKey,
         record: &Record,
@@ -76,16 +85,18 @@
         };
         match self.unowned.standing(now, &ask.service, part, point) {
             // A move ends within a few hundred milliseconds, a loss doesn't.
-            unowned::Standing::Moving if now < ask.goal.min(ask.until) => {
+            refused_keys::KeyState::Moving if now < ask.goal.min(ask.deadline) => {
                 return Choice::Wait(None);
             }
-            unowned::Standing::Moving | unowned::Standing::Lost => return self.unowned(now, ask),
-            unowned::Standing::Open => {}
+            refused_keys::KeyState::Moving | refused_keys::KeyState::Lost => {
+                return self.unowned(now, ask);
+            }
+            refused_keys::KeyState::Open => {}
         }
         if ask.refused_by(part) {
             // Its owner takes others by now, or another request finds out. To ask once more would be a
             // repeat, perhaps at another service's target.
-            return Choice::Refuse(Why::Moved, COME_BACK_LEAST, self.owner_basis(ask));
+            return Choice::Refuse(RefusalReason::Moved, MIN_RETRY_AFTER, self.owner_basis(ask));
         }
         let member = part.owner.as_ref().and_then(|life| {
             let member = self.members.get(&life.id);
@@ -108,17 +119,21 @@
     }
 
     /// What to do for a request whose key has no owner that can be reached.
-    fn unowned(&self, now: Duration, ask: &Ask) -> Choice {
-        let goal = ask.goal.saturating_sub(ask.came);
-        let patience = ask.came + goal.mul_f64(OWNER_WAIT_PART);
-        if now < patience.min(ask.until) {
+    fn unowned(&self, now: Duration, ask: &DispatchRequest) -> Choice {
+        let goal = ask.goal.saturating_sub(ask.received_at);
+        let patience = ask.received_at + goal.mul_f64(OWNER_WAIT_PART);
+        if now < patience.min(ask.deadline) {
             return Choice::Wait(None);
         }
-        Choice::Refuse(Why::NoOwner, COME_BACK_UNOWNED, self.owner_basis(ask))
+        Choice::Refuse(
+            RefusalReason::NoOwner,
+            COME_BACK_UNOWNED,
+            self.owner_basis(ask),
+        )
     }
 
     /// Tells which owner was known for a request that none could serve.
-    fn owner_basis(&self, ask: &Ask) -> Basis {
+    fn owner_basis(&self, ask: &DispatchRequest) -> Basis {
         let record = self.view.records.get(&ask.service);
         let part = record
             .zip(ask.point)
@@ -131,7 +146,7 @@
         }
     }
 
-    fn choose_any(&mut self, now: Duration, ask: &Ask, standing: Standing) -> Choice {
+    fn choose_any(&mut self, now: Duration, ask: &DispatchRequest, standing: Standing) -> Choice {
         let view = self.view.clone();
         let Some(targets) = view.targets.get(&ask.service) else {
             return self.untargeted(now, ask);
@@ -156,7 +171,7 @@
     ///
     /// Cold ones to which this VM may send are always among them: no more than two others may, so what is not
     /// sent from here is hardly sent at all.
-    fn draw<'a>(&mut self, ask: &Ask, targets: &'a [Target]) -> Vec<&'a Target> {
+    fn draw<'a>(&mut self, ask: &DispatchRequest, targets: &'a [Target]) -> Vec<&'a Target> {
         if ask.large {
             return targets.iter().collect();
         }
@@ -171,7 +186,7 @@
     }
 
     /// The best of some targets that can be reached.
-    fn best<'a, T>(&mut self, now: Duration, ask: &Ask, targets: T) -> Option<TargetId>
+    fn best<'a, T>(&mut self, now: Duration, ask: &DispatchRequest, targets: T) -> Option<TargetId>
     where
         T: Iterator<Item = &'a Target>,
     {
@@ -195,18 +210,20 @@
         best.map(|(target, _)| target.id.clone())
     }
 
-    fn untargeted(&self, now: Duration, ask: &Ask) -> Choice {
+    fn untargeted(&self, now: Duration, ask: &DispatchRequest) -> Choice {
         match self.unowned(now, ask) {
-            Choice::Refuse(_, retry, basis) => Choice::Refuse(Why::NoTarget, retry, basis),
+            Choice::Refuse(_, retry, basis) => {
+                Choice::Refuse(RefusalReason::NoTarget, retry, basis)
+            }
             choice => choice,
         }
     }
 
     /// The service time that is usual for a request, in seconds: as measured, or else by its goal.
-    pub(super) fn usual(&self, ask: &Ask) -> Option<f64> {
+    pub(super) fn usual(&self, ask: &DispatchRequest) -> Option<f64> {
         let measured = self.usual.get(&ask.service).copied();
         measured.or_else(|| {
-            let goal = ask.goal.saturating_sub(ask.came);
+            let goal = ask.goal.saturating_sub(ask.received_at);
             let assumed = goal.div_f64(GOAL_TIMES).max(UNKNOWN_TIME);
             Some(assumed.as_secs_f64())
         })
@@ -248,10 +265,16 @@
     Bad,
 }
 
-fn rank(now: Duration, ask: &Ask, member: &Member, usual: Option<f64>, near: bool) -> Rank {
+fn rank(
+    now: Duration,
+    ask: &DispatchRequest,
+    member: &Member,
+    usual: Option<f64>,
+    near: bool,
+) -> Rank {
     let expected = member.expected(now, usual);
     let in_time = now + Duration::from_secs_f64(expected) <= ask.goal;
-    let taken = |share: &Share| share.busy && share.fresh == 0;
+    let taken = |share: &Quota| share.busy && share.within_goal == 0;
     let tier = if member.is_bad(now) {
         Tier::Bad
     } else if member.is_shared(now, usual, false) && member.share().is_some_and(taken) {
--- a/engine/src/place/desk/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -10,26 +10,29 @@
 //! - *A target that fails fast looks idle*: answers count, not promptness; one that fails often gets
 //!   single requests until it does well.
 
+mod admission;
 mod choose;
-mod fit;
-mod lines;
-mod rated;
+mod queues;
+mod rate_limits;
 
 use std::{rc::Rc, time::Duration};
 
 use indexmap::IndexMap;
 use rand::{SeedableRng, rngs::SmallRng};
 
-pub use self::choose::COME_BACK_LEAST;
-use self::fit::{Choice, Line, Right, Standing};
-pub use super::message::{Ask, Basis, Effect, End, Ended, Event, State, Ticket, View, Why, Word};
+use self::admission::{Choice, Line, Right, Standing};
+pub use self::choose::MIN_RETRY_AFTER;
+pub use super::message::{
+    Basis, Completion, CompletionKind, DispatchRequest, Effect, Event, FleetView, RefusalReason,
+    Snapshot, SyncUpdate, Ticket,
+};
 use super::{
-    budget::{Allowance, Balance, Budget},
-    member::Member,
+    budget::{Allowance, Balance, RetryBudget},
     rates::Rates,
-    sharers::Sharers,
-    unowned::Unowned,
-    warmup::{Limit, Pace, Tolerance},
+    refused_keys::Unowned,
+    target_state::Member,
+    vm_count::Sharers,
+    warmup::{BurstAllowance, Limit, SenderPlan},
 };
 use crate::{
     catalogue::{self, DomainId, ServiceId, Target, TargetId},
@@ -43,7 +46,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    ask: Ask,
+    ask: DispatchRequest,
     counted: bool,
     /// Where it waits, if for room at a target.
     line: Option<Line>,
@@ -53,16 +56,16 @@
 
 /// One VM's decisions on where requests go.
 #[derive(Debug)]
-pub struct Desk {
+pub struct Dispatcher {
     vm: VmId,
     domain: DomainId,
-    tolerance: Tolerance,
+    tolerance: BurstAllowance,
     allowance: Allowance,
     /// When the process started, as its first event tells.
     since: Option<Duration>,
-    view: Rc<View>,
+    view: Rc<FleetView>,
     members: IndexMap<TargetId, Member>,
-    budgets: IndexMap<ServiceId, Budget>,
+    budgets: IndexMap<ServiceId, RetryBudget>,
     /// How many VMs share those.
     sharers: Sharers,
     waiting: Vec<Waiting>,
@@ -81,28 +84,28 @@
     random: SmallRng,
 }
 
-impl Desk {
-    /// Creates the desk of a VM in a failure domain; it knows no target yet.
+impl Dispatcher {
+    /// Creates the dispatcher of a VM in a failure domain; it knows no target yet.
     ///
     /// # Example
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::place::{
+    /// use bramleypier_engine::placement::{
     ///     budget::Allowance,
-    ///     desk::{Desk, Event},
+    ///     dispatch::{Dispatcher, Event},
     /// };
     ///
     /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
-    /// let mut desk = Desk::new("domain-1", allowance, 1);
-    /// assert!(desk.on(Duration::ZERO, Event::Tick).is_empty());
+    /// let mut dispatcher = Dispatcher::new("domain-1", allowance, 1);
+    /// assert!(dispatcher.handle(Duration::ZERO, Event::Tick).is_empty());
     /// ```
     pub fn new(domain: &str, allowance: Allowance, seed: u64) -> Self {
         Self {
             vm: VmId::new(),
             domain: domain.to_owned(),
-            tolerance: Tolerance::default(),
+            tolerance: BurstAllowance::default(),
             allowance,
             since: None,
             view: Rc::default(),
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Tells the desk which VM's it is, and what the platform bears of requests to cold targets.
+    /// Tells the dispatcher which VM's it is, and what the platform bears of requests to cold targets.
     ///
     /// Without that it sends nothing to cold targets whose rate is bounded.
     ///
@@ -129,15 +132,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::place::{budget::Allowance, desk::Desk, warmup::Tolerance};
+    /// use bramleypier_engine::placement::{budget::Allowance, dispatch::Dispatcher, warmup::BurstAllowance};
     ///
     /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
-    /// let tolerance = Tolerance { over: 1.5, slack: 8.0 };
-    /// let desk = Desk::new("domain-1", allowance, 1).of_vm("vm-1", tolerance);
-    /// assert_eq!(desk.waiting(), 0);
+    /// let tolerance = BurstAllowance { over: 1.5, slack: 8.0 };
+    /// let dispatcher = Dispatcher::new("domain-1", allowance, 1).with_vm("vm-1", tolerance);
+    /// assert_eq!(dispatcher.queue_len(), 0);
     /// ```
     #[must_use]
-    pub fn of_vm(mut self, vm: &str, tolerance: Tolerance) -> Self {
+    pub fn with_vm(mut self, vm: &str, tolerance: BurstAllowance) -> Self {
         vm.clone_into(&mut self.vm);
         self.tolerance = tolerance;
         self
@@ -147,14 +150,17 @@
     ///
     /// # Example
     ///
-    /// See [`Desk::new`].
-    pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
+    /// See [`Dispatcher::new`].
+    pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.since.get_or_insert(now);
         self.refresh_usual(now);
         match event {
-            Event::Ask(ask) => self.ask(now, ask, &mut effects),
-            Event::Done { target, end } => {
+            Event::Request(ask) => self.ask(now, ask, &mut effects),
+            Event::Completed {
+                target,
+                completion: end,
+            } => {
                 self.note_owner(now, &target, &end);
                 if let Some(member) = self.members.get_mut(&target) {
                     member.ended(now, end);
@@ -162,17 +168,17 @@
                 self.serve(now, &mut effects);
             }
             Event::Rate(target, rate) => self.hear_rate(now, &target, rate),
-            Event::Left(ticket) => self.waiting.retain(|it| it.ask.ticket != ticket),
+            Event::Cancelled(ticket) => self.waiting.retain(|it| it.ask.ticket != ticket),
             Event::View(view) => {
                 self.look(now, view);
                 self.serve(now, &mut effects);
             }
-            Event::Word(word) => {
+            Event::Sync(word) => {
                 for member in self.members.values_mut() {
                     let hash = catalogue::hash(&member.target.id);
                     let others = word.others.get(&hash).copied().unwrap_or(0);
-                    let share = word.shares.get(&hash).cloned();
-                    member.tell(now, others, share, word.pause);
+                    let share = word.quotas.get(&hash).cloned();
+                    member.tell(now, others, share, word.sync_interval);
                 }
                 self.merge_rates(now, &word.rates);
                 self.note_beyond(&word);
@@ -187,8 +193,8 @@
     ///
     /// # Example
     ///
-    /// See [`Desk::new`].
-    pub fn waiting(&self) -> usize {
+    /// See [`Dispatcher::new`].
+    pub fn queue_len(&self) -> usize {
         self.waiting.len()
     }
 
@@ -197,31 +203,31 @@
     ///
     /// # Example
     ///
-    /// See [`Desk::new`].
-    pub fn take_state(&mut self, now: Duration) -> State {
+    /// See [`Dispatcher::new`].
+    pub fn take_snapshot(&mut self, now: Duration) -> Snapshot {
         let ended = self.rates.expire(now);
         self.note_rates(&ended, "age");
-        let mut state = State {
+        let mut state = Snapshot {
             queues: self.queues(now),
-            rates: self.rates.news(now),
-            ..State::default()
+            rates: self.rates.reports(now),
+            ..Snapshot::default()
         };
         for member in self.members.values_mut() {
             let hash = catalogue::hash(&member.target.id);
             if member.own > 0 {
-                state.flights.push((hash, member.own));
+                state.in_flight.push((hash, member.own));
             }
             let (sum, count) = member.take_samples();
             if count > 0 {
-                state.times.push((hash, sum, count));
+                state.service_times.push((hash, sum, count));
             }
         }
         state
     }
 
     /// Takes note whether a key's owner holds it, unless newer news are known than it was asked by.
-    fn note_owner(&mut self, now: Duration, target: &str, end: &End) {
-        let Some((point, fence)) = end.owned else {
+    fn note_owner(&mut self, now: Duration, target: &str, end: &Completion) {
+        let Some((point, fence)) = end.ownership else {
             return;
         };
         let Some(service) = self.members.get(target).map(|it| &it.target.service) else {
@@ -231,17 +237,20 @@
         let Some(part) = part.filter(|part| part.fence == fence) else {
             return;
         };
-        match end.ended {
-            Ended::Unowned => self.unowned.refused(now, service, part, point),
-            Ended::Answered(_) | Ended::Failed | Ended::Refused => {
+        match end.kind {
+            CompletionKind::Misdirected => self.unowned.refused(now, service, part, point),
+            CompletionKind::Answered(_) | CompletionKind::Failed | CompletionKind::Refused => {
                 self.unowned.taken(service, part, point);
             }
             // These show nothing of the key.
-            Ended::Lost | Ended::Unreached | Ended::Gone | Ended::Given(_) => {}
+            CompletionKind::Lost
+            | CompletionKind::ConnectFailed
+            | CompletionKind::ConnectRefused
+            | CompletionKind::Abandoned(_) => {}
         }
     }
 
-    fn look(&mut self, now: Duration, view: Rc<View>) {
+    fn look(&mut self, now: Duration, view: Rc<FleetView>) {
         let mut members = IndexMap::new();
         self.paced.clear();
         for (service, targets) in &view.targets {
@@ -274,20 +283,20 @@
     }
 
     /// What this VM may send to a target, as far as that is cold.
-    fn cold_limit(&self, view: &View, target: &Target) -> Limit {
+    fn cold_limit(&self, view: &FleetView, target: &Target) -> Limit {
         let Some(warmup) = view.warmups.get(&target.service) else {
             return Limit::Open;
         };
         if !view.cold.contains_key(&target.id) {
             return Limit::Open;
         }
-        let pace = Pace::of(*warmup, self.tolerance);
+        let pace = SenderPlan::of(*warmup, self.tolerance);
         let own = pace.filter(|pace| pace.is_sender(&self.vm, &view.vms, &target.id));
-        own.map_or(Limit::Shut, |pace| Limit::Paced(pace.pause))
+        own.map_or(Limit::Shut, |pace| Limit::Paced(pace.interval))
     }
 
-    fn ask(&mut self, now: Duration, ask: Ask, out: &mut Vec<Effect>) {
-        if !ask.repeat {
+    fn ask(&mut self, now: Duration, ask: DispatchRequest, out: &mut Vec<Effect>) {
+        if !ask.is_retry {
             let allowance = self.allowance;
             self.budget(now, &ask.service).count(now, allowance);
         }
@@ -306,13 +315,13 @@
         if self.waiting.len() >= WAITING_MOST {
             out.push(Effect::Refuse {
                 ticket: waiting.ask.ticket,
-                why: Why::Full,
-                retry: COME_BACK_UNOWNED,
+                reason: RefusalReason::Full,
+                retry_after: COME_BACK_UNOWNED,
                 basis: Basis::default(),
             });
             return;
         }
-        let rank = |it: &Waiting| (it.ask.priority, it.ask.came);
+        let rank = |it: &Waiting| (it.ask.priority, it.ask.received_at);
         let place = self
             .waiting
             .partition_point(|it| rank(it) <= rank(&waiting));
@@ -353,23 +362,23 @@
             Choice::Refuse(why, retry, basis) => {
                 out.push(Effect::Refuse {
                     ticket,
-                    why,
-                    retry,
+                    reason: why,
+                    retry_after: retry,
                     basis,
                 });
                 true
             }
             Choice::Send(mut basis, right) => {
-                if it.ask.repeat && !it.counted {
+                if it.ask.is_retry && !it.counted {
                     let budget = self.spend(now, &it.ask.service);
                     basis.budget = Some(budget);
-                    if !budget.has_room() {
+                    if !budget.allows_retry() {
                         // The caller's own next try draws on no budget: all that it need wait for
                         // is a place.
                         out.push(Effect::Refuse {
                             ticket,
-                            why: Why::Budget,
-                            retry: basis.turn.max(COME_BACK_LEAST),
+                            reason: RefusalReason::Budget,
+                            retry_after: basis.completion_interval.max(MIN_RETRY_AFTER),
                             basis,
                         });
                         return true;
@@ -406,9 +415,9 @@
         self.budget(now, service).spend(now, allowance, vms)
     }
 
-    fn budget(&mut self, now: Duration, service: &str) -> &mut Budget {
+    fn budget(&mut self, now: Duration, service: &str) -> &mut RetryBudget {
         let since = self.since.unwrap_or(now);
         let budget = self.budgets.entry(service.to_owned());
-        budget.or_insert_with(|| Budget::new(since))
+        budget.or_insert_with(|| RetryBudget::new(since))
     }
 }
--- a/engine/src/place/desk/lines.rs
+++ b/engine/src/placement/dispatch/queues.rs
@@ -4,22 +4,22 @@
 
 use indexmap::IndexMap;
 
-use super::{Ask, Desk, Ticket, Word};
+use super::{DispatchRequest, Dispatcher, SyncUpdate, Ticket};
 use crate::{
     catalogue::{self, TargetId},
-    place::{
-        member::Member,
-        share::{Queue, Waited},
+    placement::{
+        quota::{QueuedRequest, TargetQueue},
+        target_state::Member,
     },
 };
 
-impl Desk {
+impl Dispatcher {
     /// Marks the requests that the manager says too many go before.
-    pub(super) fn note_beyond(&mut self, word: &Word) {
+    pub(super) fn note_beyond(&mut self, word: &SyncUpdate) {
         let beyond: Vec<Ticket> = word
-            .shares
+            .quotas
             .values()
-            .flat_map(|share| share.beyond.iter().copied())
+            .flat_map(|share| share.demoted.iter().copied())
             .collect();
         for it in &mut self.waiting {
             it.beyond |= beyond.contains(&it.ask.ticket);
@@ -30,14 +30,14 @@
     pub(super) fn line(&self, target: &str) -> u32 {
         let lines = self.waiting.iter().filter_map(|it| it.line.as_ref());
         let count = lines
-            .filter(|line| line.fresh && line.target == target)
+            .filter(|line| line.within_goal && line.target == target)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
     /// What waits for each target, by rank.
-    pub(super) fn queues(&self, now: Duration) -> Vec<Queue> {
-        let mut queues: IndexMap<&TargetId, Queue> = IndexMap::new();
+    pub(super) fn queues(&self, now: Duration) -> Vec<TargetQueue> {
+        let mut queues: IndexMap<&TargetId, TargetQueue> = IndexMap::new();
         for it in &self.waiting {
             let Some((line, member)) = it
                 .line
@@ -47,28 +47,28 @@
                 continue;
             };
             let usual = self.usual(&it.ask);
-            let queue = queues.entry(&line.target).or_insert_with(|| Queue {
+            let queue = queues.entry(&line.target).or_insert_with(|| TargetQueue {
                 target: catalogue::hash(&line.target),
                 slots: member.slots(),
                 limit: member.limit(now, usual),
-                ..Queue::default()
+                ..TargetQueue::default()
             });
-            if !line.fresh {
-                queue.late += 1;
+            if !line.within_goal {
+                queue.past_goal += 1;
                 continue;
             }
             let Some(reach) = reach(now, &it.ask, member, usual) else {
                 // It is late by the next word, so a right that comes with it would be lost.
                 continue;
             };
-            queue.fresh += 1;
+            queue.within_goal += 1;
             if queue.first.len() < queue.limit as usize {
-                let age = now.saturating_sub(it.ask.came).as_millis();
-                queue.first.push(Waited {
+                let age = now.saturating_sub(it.ask.received_at).as_millis();
+                queue.first.push(QueuedRequest {
                     ticket: it.ask.ticket,
                     priority: it.ask.priority,
-                    age: u32::try_from(age).unwrap_or(u32::MAX),
-                    reach,
+                    age_ms: u32::try_from(age).unwrap_or(u32::MAX),
+                    max_ahead: reach,
                 });
             }
         }
@@ -78,7 +78,7 @@
 
 /// Returns how many others can go before a request that waits, so that it is answered within its goal by a
 /// right that comes with the next word; none if it can't be.
-fn reach(now: Duration, ask: &Ask, member: &Member, usual: Option<f64>) -> Option<u32> {
+fn reach(now: Duration, ask: &DispatchRequest, member: &Member, usual: Option<f64>) -> Option<u32> {
     let expected = Duration::from_secs_f64(member.expected(now, usual));
     let left = ask.goal.checked_sub(now + member.pause() + expected)?;
     let turns = left.as_millis() / member.turn(now, usual).as_millis().max(1);
--- a/engine/src/place/desk/rated.rs
+++ b/engine/src/placement/dispatch/rate_limits.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-use super::{Desk, View};
+use super::{Dispatcher, FleetView};
 use crate::{
     catalogue::{self, TargetHash},
-    place::{
-        rates::{self, RateNews},
+    placement::{
+        rates::{self, RateReport},
         warmup::Limit,
     },
     target::Rate,
 };
 
-impl Desk {
+impl Dispatcher {
     /// Returns what is believed anew since the last call, for the log.
     ///
     /// # Example
@@ -20,17 +20,17 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::place::{
+    /// use bramleypier_engine::placement::{
     ///     budget::Allowance,
-    ///     desk::{Desk, Event},
+    ///     dispatch::{Dispatcher, Event},
     /// };
     ///
     /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
-    /// let mut desk = Desk::new("domain-1", allowance, 1);
-    /// desk.on(Duration::ZERO, Event::Rate("target-1".to_owned(), Some(1.5)));
-    /// assert_eq!(desk.take_notes(), ["event=rate-named target=target-1 rate=1.5 by=answer"]);
+    /// let mut dispatcher = Dispatcher::new("domain-1", allowance, 1);
+    /// dispatcher.handle(Duration::ZERO, Event::Rate("target-1".to_owned(), Some(1.5)));
+    /// assert_eq!(dispatcher.take_log_lines(), ["event=rate-named target=target-1 rate=1.5 by=answer"]);
     /// ```
-    pub fn take_notes(&mut self) -> Vec<String> {
+    pub fn take_log_lines(&mut self) -> Vec<String> {
         std::mem::take(&mut self.notes)
     }
 
@@ -42,7 +42,7 @@
     }
 
     /// Takes in the rates that targets have named to other VMs.
-    pub(super) fn merge_rates(&mut self, now: Duration, news: &[RateNews]) {
+    pub(super) fn merge_rates(&mut self, now: Duration, news: &[RateReport]) {
         let changed = self.rates.merge(now, news);
         self.note_rates(&changed, "manager");
     }
@@ -73,13 +73,13 @@
     }
 
     /// What this VM may send by itself to a target that asks to be held to a rate.
-    pub(super) fn rate_limit(&self, view: &View, target: &str, rate: Option<Rate>) -> Limit {
+    pub(super) fn rate_limit(&self, view: &FleetView, target: &str, rate: Option<Rate>) -> Limit {
         let Some(rate) = rate else {
             return Limit::Open;
         };
         let pace = rates::pace(rate);
         if pace.is_sender(&self.vm, &view.vms, target) {
-            Limit::Paced(pace.pause)
+            Limit::Paced(pace.interval)
         } else {
             Limit::Shut
         }
--- a/engine/src/place/message.rs
+++ b/engine/src/placement/message.rs
@@ -1,4 +1,4 @@
-//! What a desk is told and what it answers.
+//! What a dispatcher is told and what it answers.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -9,11 +9,11 @@
 
 use indexmap::IndexMap;
 
-pub use super::end::{End, Ended};
+pub use super::completion::{Completion, CompletionKind};
 use super::{
     budget::Balance,
-    rates::RateNews,
-    share::{Queue, Share},
+    quota::{Quota, TargetQueue},
+    rates::RateReport,
 };
 use crate::{
     catalogue::{ServiceId, Target, TargetHash, TargetId, Warmup},
@@ -27,7 +27,7 @@
 
 /// A request that asks for a target.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct DispatchRequest {
     /// Its number.
     pub ticket: Ticket,
     /// The service.
@@ -37,11 +37,11 @@
     /// Its rank; 0 is the highest.
     pub priority: u32,
     /// When it came.
-    pub came: Duration,
+    pub received_at: Duration,
     /// When an answer is worth less.
     pub goal: Duration,
     /// When an answer is worth nothing.
-    pub until: Duration,
+    pub deadline: Duration,
     /// Targets that it was sent to already.
     pub tried: Vec<TargetId>,
     /// Owners that said that they don't hold its key, with the fences at which they were asked.
@@ -49,10 +49,10 @@
     /// Whether its answer is large.
     pub large: bool,
     /// Whether it draws on the budget for repeats.
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
-impl Ask {
+impl DispatchRequest {
     /// Returns whether a range's owner has refused the request at its present fence.
     pub(super) fn refused_by(&self, part: &KeyRange) -> bool {
         let Some(owner) = &part.owner else {
@@ -63,59 +63,59 @@
     }
 }
 
-/// What happens to a desk.
+/// What happens to a dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A request asks for a target.
-    Ask(Ask),
+    Request(DispatchRequest),
     /// A request that was sent has ended.
-    Done {
+    Completed {
         /// Its target.
         target: TargetId,
         /// Its end.
-        end: End,
+        completion: Completion,
     },
     /// A target's answer named the rate to which it asks to be held, or none.
     Rate(TargetId, Option<Rate>),
     /// A request that waits was given up by its caller.
-    Left(Ticket),
+    Cancelled(Ticket),
     /// The announced targets, the owners of keys and the number of VMs are these.
-    View(Rc<View>),
+    View(Rc<FleetView>),
     /// The manager has told of other VMs.
-    Word(Word),
+    Sync(SyncUpdate),
     /// Time passed.
     Tick,
 }
 
 /// What the manager tells a VM of the others; targets that are missing have and get nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct SyncUpdate {
     /// Other VMs' requests by target.
     pub others: HashMap<TargetHash, u32>,
     /// What may be sent to busy targets.
-    pub shares: HashMap<TargetHash, Share>,
+    pub quotas: HashMap<TargetHash, Quota>,
     /// The time until the manager's next word.
-    pub pause: Duration,
+    pub sync_interval: Duration,
     /// The rates that targets have named to any VM.
-    pub rates: Vec<RateNews>,
+    pub rates: Vec<RateReport>,
 }
 
-/// What a desk has under way, for other VMs.
+/// What a dispatcher has under way, for other VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct State {
+pub struct Snapshot {
     /// Requests at each target.
-    pub flights: Vec<(TargetHash, u32)>,
+    pub in_flight: Vec<(TargetHash, u32)>,
     /// Sums in seconds and counts of service times without waiting.
-    pub times: Vec<(TargetHash, f64, u32)>,
+    pub service_times: Vec<(TargetHash, f64, u32)>,
     /// What waits for busy targets.
-    pub queues: Vec<Queue>,
+    pub queues: Vec<TargetQueue>,
     /// The rates that targets have named.
-    pub rates: Vec<RateNews>,
+    pub rates: Vec<RateReport>,
 }
 
-/// What a desk is told of the fleet.
+/// What a dispatcher is told of the fleet.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct FleetView {
     /// Targets that may be sent work, by service.
     pub targets: IndexMap<ServiceId, Vec<Target>>,
     /// Owners by service.
@@ -142,7 +142,7 @@
     /// How long an answer would probably have taken.
     pub expected: Duration,
     /// How often the target ends a request while it is busy; zero without a target.
-    pub turn: Duration,
+    pub completion_interval: Duration,
     /// How old the manager's word on other VMs' requests was; none without one.
     pub age: Option<Duration>,
     /// The fence of the target's ownership of the key; 0 where keys have no owners.
@@ -176,7 +176,7 @@
     }
 }
 
-/// What a desk decides.
+/// What a dispatcher decides.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send the request there.
@@ -193,9 +193,9 @@
         /// The request.
         ticket: Ticket,
         /// Why.
-        why: Why,
+        reason: RefusalReason,
         /// When a place is likely free.
-        retry: Duration,
+        retry_after: Duration,
         /// What the decision rests on.
         basis: Basis,
     },
@@ -203,7 +203,7 @@
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Why {
+pub enum RefusalReason {
     /// The service has no target that can be reached.
     NoTarget,
     /// All targets of the service stand in failure domains that operators have evacuated.
@@ -224,15 +224,15 @@
     Full,
 }
 
-impl Why {
+impl RefusalReason {
     /// Returns the reason as logs and callers read it.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_engine::place::desk::Why;
+    /// use bramleypier_engine::placement::dispatch::RefusalReason;
     ///
-    /// assert_eq!(Why::Late.name(), "late");
+    /// assert_eq!(RefusalReason::Late.name(), "late");
     /// ```
     pub fn name(self) -> &'static str {
         match self {
--- a/engine/src/place/mod.rs
+++ b/engine/src/placement/mod.rs
@@ -1,19 +1,19 @@
 //! Which target a request goes to, when, and which requests are refused.
 //!
-//! [`desk`] decides, free of I/O; [`share`] shares the room at busy targets among VMs; [`budget`] bounds what is
+//! [`dispatcher`] decides, free of I/O; [`share`] shares the room at busy targets among VMs; [`budget`] bounds what is
 //! sent a second time, [`sharers`] tells among how many VMs; [`unowned`] tells when to ask an owner again that has
 //! refused a key; [`warmup`] bounds what reaches cold targets; [`rates`] holds what targets in need ask to be held
-//! to, [`bucket`] what goes there; [`task`] owns the desk and answers by messages.
+//! to, [`bucket`] what goes there; [`task`] owns the dispatcher and answers by messages.
 
 pub mod bucket;
 pub mod budget;
-pub mod desk;
-mod end;
-mod member;
+mod completion;
+pub mod dispatch;
 mod message;
+pub mod quota;
 pub mod rates;
-pub mod share;
-pub mod sharers;
+pub mod refused_keys;
+mod target_state;
 pub mod task;
-pub mod unowned;
+pub mod vm_count;
 pub mod warmup;
--- a/engine/src/place/share.rs
+++ b/engine/src/placement/quota.rs
@@ -26,21 +26,23 @@
 /// One request that waits for a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Waited {
+pub struct QueuedRequest {
     /// Its number at its VM.
     pub ticket: Ticket,
     /// How urgent it is; 0 is the most.
     pub priority: u32,
     /// For how many milliseconds it has waited.
-    pub age: u32,
+    #[serde(rename = "age")]
+    pub age_ms: u32,
     /// How many others can go first so that it is still answered within its goal.
-    pub reach: u32,
+    #[serde(rename = "reach")]
+    pub max_ahead: u32,
 }
 
 /// One VM's requests that wait for one target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Queue {
+pub struct TargetQueue {
     /// The target.
     pub target: TargetHash,
     /// How many requests it works on at a time.
@@ -48,29 +50,36 @@
     /// How many may be there at once, those that queue there included.
     pub limit: u32,
     /// How many wait that can still be answered within their goals.
-    pub fresh: u32,
+    #[serde(rename = "fresh")]
+    pub within_goal: u32,
     /// The first of those.
-    pub first: Vec<Waited>,
+    pub first: Vec<QueuedRequest>,
     /// How many others wait.
-    pub late: u32,
+    #[serde(rename = "late")]
+    pub past_goal: u32,
 }
 
 /// What a VM may send to a busy target until it hears again.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Share {
+pub struct Quota {
     /// The target.
     pub target: TargetHash,
     /// How many requests that can still be answered within their goals.
-    pub fresh: u32,
+    #[serde(rename = "fresh")]
+    pub within_goal: u32,
     /// How many others.
-    pub late: u32,
+    #[serde(rename = "late")]
+    pub past_goal: u32,
     /// How many requests wait at other VMs that are answered in time if they go by rank.
-    pub line: u32,
+    #[serde(rename = "line")]
+    pub others_within: u32,
     /// How many others wait there.
-    pub behind: u32,
+    #[serde(rename = "behind")]
+    pub others_past: u32,
     /// The VM's requests that can't be answered in time any more, since too many go first.
-    pub beyond: Vec<Ticket>,
+    #[serde(rename = "beyond")]
+    pub demoted: Vec<Ticket>,
     /// Whether any request waits that can still be answered in time, at whichever VM.
     pub busy: bool,
     /// How long it takes at least until one more may go, where the target is held to a rate.
@@ -85,60 +94,60 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_engine::place::share::{self, Queue, Waited};
+/// use bramleypier_engine::placement::quota::{self, TargetQueue, QueuedRequest};
 ///
-/// let waited = |ticket, age| Waited { ticket, priority: 1, age, reach: 1 };
-/// let queue = |first: Vec<Waited>| Queue {
+/// let waited = |ticket, age| QueuedRequest { ticket, priority: 1, age_ms: age, max_ahead: 1 };
+/// let queue = |first: Vec<QueuedRequest>| TargetQueue {
 ///     target: 7,
 ///     slots: 2,
 ///     limit: 4,
-///     fresh: first.len() as u32,
+///     within_goal: first.len() as u32,
 ///     first,
-///     late: 3,
+///     past_goal: 3,
 /// };
 /// let own = queue(vec![waited(1, 30), waited(2, 5)]);
 /// let other = queue(vec![waited(1, 10)]);
 /// // Two are there, so two more may go: its own oldest and the other VM's.
-/// let share = share::of(&own, &[(&other, 10)], 2);
-/// assert_eq!((share.fresh, share.late, share.line), (1, 0, 1));
+/// let share = quota::allot(&own, &[(&other, 10)], 2);
+/// assert_eq!((share.within_goal, share.past_goal, share.others_within), (1, 0, 1));
 /// // Its second one has two before it, and reaches its goal behind one.
-/// assert_eq!(share.beyond, [2]);
+/// assert_eq!(share.demoted, [2]);
 /// ```
-pub fn of(own: &Queue, others: &[(&Queue, u32)], flights: u32) -> Share {
-    let waiting: u32 = others.iter().map(|(queue, _)| queue.fresh).sum();
+pub fn allot(own: &TargetQueue, others: &[(&TargetQueue, u32)], flights: u32) -> Quota {
+    let waiting: u32 = others.iter().map(|(queue, _)| queue.within_goal).sum();
     let order = by_rank(own, others);
-    let mut share = Share {
+    let mut share = Quota {
         target: own.target,
-        busy: waiting + own.fresh > 0,
-        behind: others.iter().map(|(queue, _)| queue.late).sum(),
-        ..Share::default()
+        busy: waiting + own.within_goal > 0,
+        others_past: others.iter().map(|(queue, _)| queue.past_goal).sum(),
+        ..Quota::default()
     };
     let room = own.limit.saturating_sub(flights);
     let mut kept = 0;
     for (it, is_own) in order {
-        if kept > it.reach {
+        if kept > it.max_ahead {
             if is_own {
-                share.beyond.push(it.ticket);
+                share.demoted.push(it.ticket);
             }
             continue;
         }
         if is_own {
-            share.fresh += u32::from(kept < room);
+            share.within_goal += u32::from(kept < room);
         } else {
-            share.line += 1;
+            share.others_within += 1;
         }
         kept += 1;
     }
     let late_room = (own.slots + LATE_QUEUE).saturating_sub(flights + kept);
-    share.late = late_room.min(own.late);
+    share.past_goal = late_room.min(own.past_goal);
     share
 }
 
 /// What may go to a target that is held to a rate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct RateCapacity {
     /// How many requests may go now.
-    pub most: u32,
+    pub available: u32,
     /// How long it takes at least until one more may.
     pub wait: Duration,
 }
@@ -150,46 +159,53 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::share::{self, Queue, Room, Waited};
+/// use bramleypier_engine::placement::quota::{self, TargetQueue, RateCapacity, QueuedRequest};
 ///
-/// let waited = |ticket, age| Waited { ticket, priority: 1, age, reach: 5 };
-/// let own = Queue {
+/// let waited = |ticket, age| QueuedRequest { ticket, priority: 1, age_ms: age, max_ahead: 5 };
+/// let own = TargetQueue {
 ///     target: 7,
 ///     slots: 2,
 ///     limit: 4,
-///     fresh: 2,
+///     within_goal: 2,
 ///     first: vec![waited(1, 30), waited(2, 5)],
-///     late: 3,
+///     past_goal: 3,
 /// };
-/// let room = Room { most: 1, wait: Duration::ZERO };
-/// let share = share::within(room, &own, &[], 0);
-/// assert_eq!((share.fresh, share.late), (1, 0));
+/// let room = RateCapacity { available: 1, wait: Duration::ZERO };
+/// let share = quota::allot_at_rate(room, &own, &[], 0);
+/// assert_eq!((share.within_goal, share.past_goal), (1, 0));
 /// ```
-pub fn within(room: Room, own: &Queue, others: &[(&Queue, u32)], flights: u32) -> Share {
-    let limit = own.limit.min(flights + room.most);
-    let held = Queue {
+pub fn allot_at_rate(
+    room: RateCapacity,
+    own: &TargetQueue,
+    others: &[(&TargetQueue, u32)],
+    flights: u32,
+) -> Quota {
+    let limit = own.limit.min(flights + room.available);
+    let held = TargetQueue {
         limit,
         ..own.clone()
     };
-    let share = of(&held, others, flights);
-    let late = share.late.min(room.most.saturating_sub(share.fresh));
-    Share {
-        late,
+    let share = allot(&held, others, flights);
+    let late = share
+        .past_goal
+        .min(room.available.saturating_sub(share.within_goal));
+    Quota {
+        past_goal: late,
         wait: room.wait,
         ..share
     }
 }
 
 /// What waits for a target at all VMs, the most urgent and then the oldest first; `true` marks a VM's own.
-fn by_rank(own: &Queue, others: &[(&Queue, u32)]) -> Vec<(Waited, bool)> {
+fn by_rank(own: &TargetQueue, others: &[(&TargetQueue, u32)]) -> Vec<(QueuedRequest, bool)> {
     let own = own.first.iter().map(|it| (*it, true));
     let others = others.iter().flat_map(|(queue, since)| {
         queue.first.iter().map(|it| {
-            let age = it.age.saturating_add(*since);
-            (Waited { age, ..*it }, false)
+            let age = it.age_ms.saturating_add(*since);
+            (QueuedRequest { age_ms: age, ..*it }, false)
         })
     });
-    let mut order: Vec<(Waited, bool)> = own.chain(others).collect();
-    order.sort_by_key(|(it, is_own)| (it.priority, Reverse(it.age), *is_own));
+    let mut order: Vec<(QueuedRequest, bool)> = own.chain(others).collect();
+    order.sort_by_key(|(it, is_own)| (it.priority, Reverse(it.age_ms), *is_own));
     order
 }
--- a/engine/src/place/rates.rs
+++ b/engine/src/placement/rates.rs
@@ -8,7 +8,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::warmup::Pace;
+use super::warmup::SenderPlan;
 use crate::{catalogue::TargetHash, target::Rate};
 
 /// By how much news must be newer than what is known: what goes to another VM and back looks a little younger.
@@ -30,12 +30,12 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_engine::place::rates;
+/// use bramleypier_engine::placement::rates;
 ///
-/// assert_eq!(rates::sent_at(2.0), 2.0);
-/// assert_eq!(rates::sent_at(0.0), 0.25);
+/// assert_eq!(rates::effective_rate(2.0), 2.0);
+/// assert_eq!(rates::effective_rate(0.0), 0.25);
 /// ```
-pub fn sent_at(rate: Rate) -> Rate {
+pub fn effective_rate(rate: Rate) -> Rate {
     rate.max(RATE_LEAST)
 }
 
@@ -47,17 +47,17 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::rates;
+/// use bramleypier_engine::placement::rates;
 ///
 /// let pace = rates::pace(2.0);
 /// assert_eq!(pace.senders, 2);
-/// assert_eq!(pace.pause.as_millis(), 1333);
+/// assert_eq!(pace.interval.as_millis(), 1333);
 /// ```
-pub fn pace(rate: Rate) -> Pace {
-    let used = sent_at(rate) * SENDERS_PART;
-    Pace {
+pub fn pace(rate: Rate) -> SenderPlan {
+    let used = effective_rate(rate) * SENDERS_PART;
+    SenderPlan {
         senders: SENDERS as usize,
-        pause: Duration::from_secs_f64(f64::from(SENDERS) / used),
+        interval: Duration::from_secs_f64(f64::from(SENDERS) / used),
     }
 }
 
@@ -66,18 +66,18 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_engine::place::rates;
+/// use bramleypier_engine::placement::rates;
 ///
 /// assert_eq!(rates::turn(2.0).as_millis(), 500);
 /// ```
 pub fn turn(rate: Rate) -> Duration {
-    Duration::from_secs_f64(sent_at(rate).recip())
+    Duration::from_secs_f64(effective_rate(rate).recip())
 }
 
 /// What one target has said, for other VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct RateNews {
+pub struct RateReport {
     /// The target.
     pub target: TargetHash,
     /// The rate to which it asks to be held; none once it takes whatever comes.
@@ -99,15 +99,15 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::rates::Rates;
+/// use bramleypier_engine::placement::rates::Rates;
 ///
 /// let s = Duration::from_secs;
 /// let (mut here, mut there) = (Rates::default(), Rates::default());
 /// assert!(here.hear(s(1), 7, Some(1.5)));
-/// assert_eq!(there.merge(s(1), &here.news(s(1))), [7]);
+/// assert_eq!(there.merge(s(1), &here.reports(s(1))), [7]);
 /// assert_eq!(there.rate(7), Some(1.5));
 /// there.hear(s(2), 7, None);
-/// here.merge(s(2), &there.news(s(2)));
+/// here.merge(s(2), &there.reports(s(2)));
 /// assert_eq!(here.rate(7), None);
 /// ```
 #[derive(Clone, Debug, Default)]
@@ -136,7 +136,7 @@
     /// # Example
     ///
     /// See [`Rates`].
-    pub fn merge(&mut self, now: Duration, news: &[RateNews]) -> Vec<TargetHash> {
+    pub fn merge(&mut self, now: Duration, news: &[RateReport]) -> Vec<TargetHash> {
         let mut changed = Vec::new();
         for it in news {
             let at = now.saturating_sub(it.age);
@@ -158,7 +158,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::place::rates::Rates;
+    /// use bramleypier_engine::placement::rates::Rates;
     ///
     /// let mut rates = Rates::default();
     /// rates.hear(Duration::ZERO, 7, Some(1.5));
@@ -186,8 +186,8 @@
     /// # Example
     ///
     /// See [`Rates`].
-    pub fn news(&self, now: Duration) -> Vec<RateNews> {
-        let news = self.known.iter().map(|(target, known)| RateNews {
+    pub fn reports(&self, now: Duration) -> Vec<RateReport> {
+        let news = self.known.iter().map(|(target, known)| RateReport {
             target: *target,
             rate: known.rate,
             age: now.saturating_sub(known.at),
@@ -202,15 +202,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::place::rates::Rates;
+    /// use bramleypier_engine::placement::rates::Rates;
     ///
     /// let mut rates = Rates::default();
     /// rates.hear(Duration::ZERO, 7, Some(1.5));
     /// rates.hear(Duration::ZERO, 8, Some(2.0));
     /// rates.hear(Duration::ZERO, 8, None);
-    /// assert_eq!(rates.named().collect::<Vec<_>>(), [(7, 1.5)]);
+    /// assert_eq!(rates.active().collect::<Vec<_>>(), [(7, 1.5)]);
     /// ```
-    pub fn named(&self) -> impl Iterator<Item = (TargetHash, Rate)> {
+    pub fn active(&self) -> impl Iterator<Item = (TargetHash, Rate)> {
         let known = self.known.iter();
         known.filter_map(|(target, known)| Some((*target, known.rate?)))
     }
--- a/engine/src/place/unowned.rs
+++ b/engine/src/placement/refused_keys.rs
@@ -61,7 +61,7 @@
 
 /// How a key stands that its owner has refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum KeyState {
     /// It may be asked for.
     Open,
     /// It is probably on its way to another owner.
@@ -79,18 +79,18 @@
 ///
 /// use bramleypier_engine::{
 ///     owner::record::KeyRange,
-///     place::unowned::{Standing, Unowned},
+///     placement::refused_keys::{KeyState, Unowned},
 /// };
 ///
 /// let ms = Duration::from_millis;
 /// let part = KeyRange { from: 0, to: 9, fence: 5, owner: None };
 /// let mut unowned = Unowned::default();
 /// unowned.refused(ms(0), "s", &part, 7);
-/// assert_eq!(unowned.standing(ms(50), "s", &part, 7), Standing::Moving);
-/// assert_eq!(unowned.standing(ms(50), "s", &part, 8), Standing::Open, "another key");
-/// assert_eq!(unowned.standing(ms(100), "s", &part, 7), Standing::Open, "one may ask");
+/// assert_eq!(unowned.standing(ms(50), "s", &part, 7), KeyState::Moving);
+/// assert_eq!(unowned.standing(ms(50), "s", &part, 8), KeyState::Open, "another key");
+/// assert_eq!(unowned.standing(ms(100), "s", &part, 7), KeyState::Open, "one may ask");
 /// unowned.sent(ms(100), "s", &part, 7);
-/// assert_eq!(unowned.standing(ms(110), "s", &part, 7), Standing::Moving, "and only one");
+/// assert_eq!(unowned.standing(ms(110), "s", &part, 7), KeyState::Moving, "and only one");
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Unowned {
@@ -109,16 +109,16 @@
         service: &str,
         part: &KeyRange,
         point: ShardKey,
-    ) -> Standing {
+    ) -> KeyState {
         let Some(range) = self.range(service, part) else {
-            return Standing::Open;
+            return KeyState::Open;
         };
         let closed = [range.all.as_ref(), range.keys.get(&point)];
         let closed = closed.into_iter().flatten().find(|it| now < it.until);
         match closed {
-            None => Standing::Open,
-            Some(asking) if now < asking.since + MOVE_MOST => Standing::Moving,
-            Some(_) => Standing::Lost,
+            None => KeyState::Open,
+            Some(asking) if now < asking.since + MOVE_MOST => KeyState::Moving,
+            Some(_) => KeyState::Lost,
         }
     }
 
@@ -177,14 +177,14 @@
     ///
     /// use bramleypier_engine::{
     ///     owner::record::KeyRange,
-    ///     place::unowned::{Standing, Unowned},
+    ///     placement::refused_keys::{KeyState, Unowned},
     /// };
     ///
     /// let part = KeyRange { from: 0, to: 9, fence: 5, owner: None };
     /// let mut unowned = Unowned::default();
     /// unowned.refused(Duration::ZERO, "s", &part, 7);
     /// unowned.taken("s", &part, 7);
-    /// assert_eq!(unowned.standing(Duration::ZERO, "s", &part, 7), Standing::Open);
+    /// assert_eq!(unowned.standing(Duration::ZERO, "s", &part, 7), KeyState::Open);
     /// ```
     pub fn taken(&mut self, service: &str, part: &KeyRange, point: ShardKey) {
         let id = (service.to_owned(), part.from);
--- a/engine/src/place/member.rs
+++ b/engine/src/placement/target_state.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 use super::{
-    end::{End, Ended},
+    completion::{Completion, CompletionKind},
+    quota::Quota,
     rates,
-    share::Share,
     warmup::{Gate, Limit},
 };
 use crate::{
@@ -83,7 +83,7 @@
     /// The time from that word to the next.
     pause: Duration,
     /// What may be sent here until the manager's next word, while requests wait for this target.
-    share: Option<Share>,
+    share: Option<Quota>,
     /// Since when requests have waited for it, with short pauses at the most.
     busy_since: Option<Duration>,
     /// When they did so last.
@@ -186,7 +186,7 @@
     /// Takes note of other VMs' requests there, and of this VM's share of the room.
     ///
     /// `pause` is the time until the next such word.
-    pub fn tell(&mut self, now: Duration, others: u32, share: Option<Share>, pause: Duration) {
+    pub fn tell(&mut self, now: Duration, others: u32, share: Option<Quota>, pause: Duration) {
         self.told = Some((others, now));
         self.pause = pause;
         let busy = share.as_ref().is_some_and(|share| share.busy);
@@ -220,7 +220,7 @@
     }
 
     /// Returns this VM's share of the room, if requests wait for this target.
-    pub fn share(&self) -> Option<&Share> {
+    pub fn share(&self) -> Option<&Quota> {
         self.share.as_ref()
     }
 
@@ -228,9 +228,9 @@
     pub fn use_share(&mut self, fresh: bool) {
         if let Some(share) = &mut self.share {
             let room = if fresh {
-                &mut share.fresh
+                &mut share.within_goal
             } else {
-                &mut share.late
+                &mut share.past_goal
             };
             *room = room.saturating_sub(1);
         }
@@ -350,14 +350,14 @@
     }
 
     /// Takes note of a request's end.
-    pub fn ended(&mut self, now: Duration, end: End) {
-        let End {
-            ended,
+    pub fn ended(&mut self, now: Duration, completion: Completion) {
+        let Completion {
+            kind: ended,
             sent,
             depth,
             load,
-            owned,
-        } = end;
+            ownership: owned,
+        } = completion;
         self.own = self.own.saturating_sub(1);
         if let Some(at) = self.sent_at.iter().position(|at| *at == sent) {
             self.sent_at.swap_remove(at);
@@ -366,21 +366,21 @@
             self.report(now, load);
         }
         match ended {
-            Ended::Answered(took) => {
+            CompletionKind::Answered(took) => {
                 self.learn(now, took, depth);
                 self.fail(now, 0.0);
                 self.alone_for = LEFT_ALONE;
             }
-            Ended::Refused => self.fail(now, 0.5),
-            Ended::Failed | Ended::Lost => self.fail(now, 1.0),
-            Ended::Unreached | Ended::Gone => {
+            CompletionKind::Refused => self.fail(now, 0.5),
+            CompletionKind::Failed | CompletionKind::Lost => self.fail(now, 1.0),
+            CompletionKind::ConnectFailed | CompletionKind::ConnectRefused => {
                 self.alone_until = now + self.alone_for;
                 self.alone_for = (self.alone_for * 2).min(LEFT_ALONE_MOST);
             }
             // Without a key only another target refuses so, and goes on to: the address was used again.
             // With one it says nothing of the target's health.
-            Ended::Unowned => self.absent |= owned.is_none(),
-            Ended::Given(waited) => self.outlast(now, waited, depth),
+            CompletionKind::Misdirected => self.absent |= owned.is_none(),
+            CompletionKind::Abandoned(waited) => self.outlast(now, waited, depth),
         }
     }
 
--- a/engine/src/place/task.rs
+++ b/engine/src/placement/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the desk.
+//! The task that owns the dispatcher.
 
 use std::{cell::Cell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -9,7 +9,10 @@
     future::{self, Either},
 };
 
-use super::desk::{Ask, Basis, Desk, Effect, End, Ended, Event, State, Ticket, View, Why};
+use super::dispatch::{
+    Basis, Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+    RefusalReason, Snapshot, Ticket,
+};
 use crate::{
     catalogue::Target,
     report::Report,
@@ -20,20 +23,20 @@
 /// and load reports lose weight with age.
 const TICK: Duration = Duration::from_millis(10);
 
-/// What the desk's task is told.
+/// What the dispatcher's task is told.
 enum Message {
-    Ask(Ask, oneshot::Sender<Result<Permit, Refused>>),
+    Request(DispatchRequest, oneshot::Sender<Result<Permit, Refused>>),
     Event(Event),
-    State(oneshot::Sender<State>),
+    Snapshot(oneshot::Sender<Snapshot>),
 }
 
 /// Why a request got no target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refused {
     /// Why.
-    pub why: Why,
+    pub reason: RefusalReason,
     /// When a place is likely free.
-    pub retry: Duration,
+    pub retry_after: Duration,
     /// What the decision rests on.
     pub basis: Basis,
 }
@@ -48,36 +51,36 @@
     /// When the right was given.
     pub sent: Duration,
     clock: Clock,
-    desk: Option<Handle>,
+    dispatcher: Option<Handle>,
 }
 
 impl Permit {
     /// Tells to which rate the target's answer asks to be held.
-    pub fn note_rate(&self, rate: Option<Rate>) {
+    pub fn report_rate(&self, rate: Option<Rate>) {
         // Most targets never name one, which is worth no message.
         if rate.is_none() && self.basis.rate.is_none() {
             return;
         }
-        if let Some(desk) = &self.desk {
-            desk.tell(Event::Rate(self.target.id.clone(), rate));
+        if let Some(dispatcher) = &self.dispatcher {
+            dispatcher.send(Event::Rate(self.target.id.clone(), rate));
         }
     }
 
     /// Tells how the request ended.
-    pub fn finish(mut self, ended: Ended, load: Option<LoadReport>) {
+    pub fn finish(mut self, ended: CompletionKind, load: Option<LoadReport>) {
         self.tell(ended, load);
     }
 
-    fn tell(&mut self, ended: Ended, load: Option<LoadReport>) {
-        if let Some(desk) = self.desk.take() {
-            desk.tell(Event::Done {
+    fn tell(&mut self, ended: CompletionKind, load: Option<LoadReport>) {
+        if let Some(dispatcher) = self.dispatcher.take() {
+            dispatcher.send(Event::Completed {
                 target: self.target.id.clone(),
-                end: End {
-                    ended,
+                completion: Completion {
+                    kind: ended,
                     sent: self.sent,
                     depth: self.basis.depth,
                     load,
-                    owned: self.basis.point.map(|point| (point, self.basis.fence)),
+                    ownership: self.basis.point.map(|point| (point, self.basis.fence)),
                 },
             });
         }
@@ -87,11 +90,11 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let waited = self.clock.now().saturating_sub(self.sent);
-        self.tell(Ended::Given(waited), None);
+        self.tell(CompletionKind::Abandoned(waited), None);
     }
 }
 
-/// Talks to the desk's task.
+/// Talks to the dispatcher's task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     sender: mpsc::UnboundedSender<Message>,
@@ -106,7 +109,7 @@
 
 /// Takes a request off the queue when whoever asked is gone.
 struct Queued {
-    desk: Handle,
+    dispatcher: Handle,
     ticket: Ticket,
     open: bool,
 }
@@ -114,7 +117,7 @@
 impl Drop for Queued {
     fn drop(&mut self) {
         if self.open {
-            self.desk.tell(Event::Left(self.ticket));
+            self.dispatcher.send(Event::Cancelled(self.ticket));
         }
     }
 }
@@ -125,24 +128,24 @@
     /// # Errors
     ///
     /// [`Refused`] when the request can't be served.
-    pub async fn ask(&self, mut ask: Ask) -> Result<Permit, Refused> {
+    pub async fn acquire(&self, mut ask: DispatchRequest) -> Result<Permit, Refused> {
         let ticket = self.tickets.get() + 1;
         self.tickets.set(ticket);
         ask.ticket = ticket;
         let (sender, receiver) = oneshot::channel();
         let closed = Refused {
-            why: Why::NoTarget,
-            retry: TICK,
+            reason: RefusalReason::NoTarget,
+            retry_after: TICK,
             basis: Basis::default(),
         };
         let mut queued = Queued {
-            desk: self.clone(),
+            dispatcher: self.clone(),
             ticket,
             open: true,
         };
         if self
             .sender
-            .unbounded_send(Message::Ask(ask, sender))
+            .unbounded_send(Message::Request(ask, sender))
             .is_err()
         {
             return Err(closed);
@@ -152,39 +155,39 @@
         answer
     }
 
-    /// Tells the desk what happened.
-    pub fn tell(&self, event: Event) {
+    /// Tells the dispatcher what happened.
+    pub fn send(&self, event: Event) {
         // The task ends with the process only; then nothing is left to be told.
         let _ = self.sender.unbounded_send(Message::Event(event));
     }
 
-    /// Shows the desk another view of the fleet.
-    pub fn show(&self, view: Rc<View>) {
-        self.tell(Event::View(view));
+    /// Shows the dispatcher another view of the fleet.
+    pub fn update_view(&self, view: Rc<FleetView>) {
+        self.send(Event::View(view));
     }
 
     /// Returns what is under way, and the service times measured since the last call.
-    pub async fn take_state(&self) -> State {
+    pub async fn take_snapshot(&self) -> Snapshot {
         let (sender, receiver) = oneshot::channel();
         // The task ends with the process only.
-        let _ = self.sender.unbounded_send(Message::State(sender));
+        let _ = self.sender.unbounded_send(Message::Snapshot(sender));
         receiver.await.unwrap_or_default()
     }
 }
 
 /// Starts the task and returns the way to talk to it.
-pub fn start(desk: Desk, clock: Clock, report: Report) -> Handle {
+pub fn start(dispatcher: Dispatcher, clock: Clock, report: Report) -> Handle {
     let (sender, receiver) = mpsc::unbounded();
     let handle = Handle {
         sender,
         tickets: Rc::default(),
     };
-    compio::runtime::spawn(run(desk, clock, report, receiver, handle.clone())).detach();
+    compio::runtime::spawn(run(dispatcher, clock, report, receiver, handle.clone())).detach();
     handle
 }
 
 async fn run(
-    mut desk: Desk,
+    mut dispatcher: Dispatcher,
     clock: Clock,
     report: Report,
     mut messages: mpsc::UnboundedReceiver<Message>,
@@ -192,7 +195,7 @@
 ) {
     let mut asked: HashMap<Ticket, oneshot::Sender<Result<Permit, Refused>>> = HashMap::new();
     loop {
-        let message = if desk.waiting() == 0 {
+        let message = if dispatcher.queue_len() == 0 {
             messages.next().await
         } else {
             match future::select(messages.next(), Box::pin(clock.sleep(TICK))).await {
@@ -202,25 +205,25 @@
         };
         let event = match message {
             None => return,
-            Some(Message::State(sender)) => {
+            Some(Message::Snapshot(sender)) => {
                 // Whoever asked may be gone with its own task.
-                let _ = sender.send(desk.take_state(clock.now()));
+                let _ = sender.send(dispatcher.take_snapshot(clock.now()));
                 continue;
             }
             Some(Message::Event(event)) => event,
-            Some(Message::Ask(ask, sender)) => {
+            Some(Message::Request(ask, sender)) => {
                 asked.insert(ask.ticket, sender);
-                Event::Ask(ask)
+                Event::Request(ask)
             }
         };
-        if let Event::Left(ticket) = &event {
+        if let Event::Cancelled(ticket) = &event {
             asked.remove(ticket);
         }
         let now = clock.now();
-        for effect in desk.on(now, event) {
+        for effect in dispatcher.handle(now, event) {
             answer(effect, &mut asked, &handle, &clock, now);
         }
-        report.lines(&desk.take_notes());
+        report.lines(&dispatcher.take_log_lines());
     }
 }
 
@@ -234,10 +237,17 @@
     let (ticket, result) = match effect {
         Effect::Refuse {
             ticket,
-            why,
-            retry,
+            reason: why,
+            retry_after: retry,
             basis,
-        } => (ticket, Err(Refused { why, retry, basis })),
+        } => (
+            ticket,
+            Err(Refused {
+                reason: why,
+                retry_after: retry,
+                basis,
+            }),
+        ),
         Effect::Send {
             ticket,
             target,
@@ -248,7 +258,7 @@
                 basis,
                 sent: now,
                 clock: clock.clone(),
-                desk: Some(handle.clone()),
+                dispatcher: Some(handle.clone()),
             };
             (ticket, Ok(permit))
         }
--- a/engine/src/place/sharers.rs
+++ b/engine/src/placement/vm_count.rs
@@ -12,7 +12,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::sharers::Sharers;
+/// use bramleypier_engine::placement::vm_count::Sharers;
 ///
 /// let s = Duration::from_secs;
 /// let mut sharers = Sharers::over(s(10));
--- a/engine/src/place/warmup.rs
+++ b/engine/src/placement/warmup.rs
@@ -24,18 +24,19 @@
 /// By how much the requests that reach a cold target in one second may exceed its rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Tolerance {
+pub struct BurstAllowance {
     /// A factor on the rate.
-    pub over: f64,
+    #[serde(rename = "over")]
+    pub factor: f64,
     /// Requests beyond that.
     pub slack: f64,
 }
 
-impl Default for Tolerance {
+impl Default for BurstAllowance {
     /// What holds where the platform says nothing: the rate itself.
     fn default() -> Self {
         Self {
-            over: 1.0,
+            factor: 1.0,
             slack: 0.0,
         }
     }
@@ -43,14 +44,14 @@
 
 /// How many VMs send to a cold target, and how long each waits from one request to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct SenderPlan {
     /// How many VMs send.
     pub senders: usize,
     /// The pause of each.
-    pub pause: Duration,
+    pub interval: Duration,
 }
 
-impl Pace {
+impl SenderPlan {
     /// Returns the fastest pace that keeps to a target's rate, whichever second is looked at; none if
     /// nothing may be sent.
     ///
@@ -61,16 +62,16 @@
     ///
     /// use bramleypier_engine::{
     ///     catalogue::Warmup,
-    ///     place::warmup::{Pace, Tolerance},
+    ///     placement::warmup::{SenderPlan, BurstAllowance},
     /// };
     ///
     /// let warmup = Warmup { duration: Duration::from_secs(3), rate: 8.0 };
-    /// let pace = Pace::of(warmup, Tolerance { over: 1.5, slack: 8.0 }).unwrap();
-    /// assert_eq!((pace.senders, pace.pause), (2, Duration::from_millis(250)));
-    /// assert_eq!(Pace::of(Warmup { rate: 0.5, ..warmup }, Tolerance::default()), None);
+    /// let pace = SenderPlan::of(warmup, BurstAllowance { factor: 1.5, slack: 8.0 }).unwrap();
+    /// assert_eq!((pace.senders, pace.interval), (2, Duration::from_millis(250)));
+    /// assert_eq!(SenderPlan::of(Warmup { rate: 0.5, ..warmup }, BurstAllowance::default()), None);
     /// ```
-    pub fn of(warmup: Warmup, tolerance: Tolerance) -> Option<Self> {
-        let most = (warmup.rate * tolerance.over + tolerance.slack) / LISTS;
+    pub fn of(warmup: Warmup, tolerance: BurstAllowance) -> Option<Self> {
+        let most = (warmup.rate * tolerance.factor + tolerance.slack) / LISTS;
         // A second may hold one request of each sender more than the rate tells.
         let spare = most - warmup.rate;
         let senders = (1..=SENDERS_MOST)
@@ -83,7 +84,7 @@
         }
         Some(Self {
             senders: senders as usize,
-            pause: Duration::from_secs_f64(f64::from(senders) / rate),
+            interval: Duration::from_secs_f64(f64::from(senders) / rate),
         })
     }
 
@@ -95,10 +96,10 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::place::warmup::Pace;
+    /// use bramleypier_engine::placement::warmup::SenderPlan;
     ///
     /// let vms: Vec<String> = (0..60).map(|it| format!("vm-{it}")).collect();
-    /// let pace = Pace { senders: 2, pause: Duration::from_millis(250) };
+    /// let pace = SenderPlan { senders: 2, interval: Duration::from_millis(250) };
     /// let sends = |vm: &&String| pace.is_sender(vm, &vms, "target-1");
     /// assert_eq!(vms.iter().filter(sends).count(), 2);
     /// ```
@@ -133,7 +134,7 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::place::warmup::{Gate, Limit};
+/// use bramleypier_engine::placement::warmup::{Gate, Limit};
 ///
 /// let ms = Duration::from_millis;
 /// let mut gate = Gate::default();
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -36,7 +36,7 @@
     health::Health,
     owner::{manager, tally::Tally},
     peer::sync,
-    place::{desk::Desk, task},
+    placement::{dispatch::Dispatcher, task},
     registration,
     report::Report,
     settings::Settings,
@@ -171,7 +171,7 @@
         ));
         let callers = Control::default();
         self.follow();
-        let desk = self.start_desk();
+        let dispatcher = self.start_desk();
         let manager = self.start_manager();
         let entry = registration::start(registration::Context {
             vm: self.vm.clone(),
@@ -182,8 +182,8 @@
             clock: self.clock.clone(),
             report: self.report.clone(),
         });
-        let exchange = self.exchange(&desk, &manager);
-        self.serve(listeners, &callers, &desk, &exchange);
+        let exchange = self.exchange(&dispatcher, &manager);
+        self.serve(listeners, &callers, &dispatcher, &exchange);
         spawn(sync::run(exchange));
         spawn(signals::watch_settings(
             reload,
@@ -229,19 +229,19 @@
     }
 
     fn start_desk(&self) -> task::Handle {
-        let desk = Desk::new(
+        let dispatcher = Dispatcher::new(
             &self.settings.domain,
             self.settings.retry_budget,
             rand::random(),
         )
-        .of_vm(&self.settings.name, self.settings.burst_allowance);
-        let handle = task::start(desk, self.clock.clone(), self.report.clone());
+        .with_vm(&self.settings.name, self.settings.burst_allowance);
+        let handle = task::start(dispatcher, self.clock.clone(), self.report.clone());
         let (shared_fleet, shown) = (self.shared_fleet.clone(), handle.clone());
         let mut changes = shared_fleet.subscribe();
         spawn(async move {
             while changes.next().await.is_some() {
                 while changes.try_recv().is_ok() {}
-                shown.show(Rc::new(shared_fleet.get().view()));
+                shown.update_view(Rc::new(shared_fleet.get().view()));
             }
         });
         handle
@@ -268,14 +268,14 @@
         &self,
         listeners: Listeners,
         callers: &Control,
-        desk: &task::Handle,
+        dispatcher: &task::Handle,
         exchange: &sync::Context,
     ) {
         let context = forward::Context {
             shared_fleet: self.shared_fleet.clone(),
             manager_health: self.manager_health.clone(),
             callers: self.adapter.callers.clone(),
-            desk: desk.clone(),
+            dispatcher: dispatcher.clone(),
             sender: Sender {
                 client: Client::new(self.clock.clone(), CONNECTIONS),
                 targets: self.adapter.targets.clone(),
@@ -309,7 +309,7 @@
 
     fn exchange(
         &self,
-        desk: &task::Handle,
+        dispatcher: &task::Handle,
         manager: &mpsc::UnboundedSender<manager::Message>,
     ) -> sync::Context {
         sync::Context {
@@ -323,7 +323,7 @@
             fleet_load: Rc::default(),
             lag: Rc::default(),
             tally: self.tally.clone(),
-            desk: desk.clone(),
+            dispatcher: dispatcher.clone(),
             manager: manager.clone(),
             seeds: self.settings.seeds.clone(),
             client: self.peers.clone(),
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -8,7 +8,7 @@
     catalogue::DomainId,
     fleet::VmId,
     owner::ownership,
-    place::{budget::Allowance, warmup::Tolerance},
+    placement::{budget::Allowance, warmup::BurstAllowance},
 };
 
 /// The settings of one process; an adapter reads them from its file.
@@ -37,7 +37,7 @@
     /// What all VMs together may send again.
     pub retry_budget: Allowance,
     /// What all VMs together may send to a cold target.
-    pub burst_allowance: Tolerance,
+    pub burst_allowance: BurstAllowance,
     /// What the VM can do as the manager, in thousandths of a core.
     pub power: u32,
     /// What the platform sets for leases and holds.
--- a/engine/tests/busy_key.rs
+++ b/engine/tests/busy_key.rs
@@ -6,9 +6,12 @@
     catalogue::{self, Target},
     owner::record::{Incarnation, KeyRange, Record},
     peer::FleetLoad,
-    place::{
+    placement::{
         budget::Allowance,
-        desk::{Ask, Desk, Effect, End, Ended, Event, Ticket, View, Word},
+        dispatch::{
+            Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+            SyncUpdate, Ticket,
+        },
     },
 };
 
@@ -57,11 +60,11 @@
         fence: 5,
         owner: Some(Incarnation::of(&owner())),
     }];
-    Event::View(Rc::new(View {
+    Event::View(Rc::new(FleetView {
         targets: [("s".to_owned(), vec![owner()])].into_iter().collect(),
         records: [("s".to_owned(), Rc::new(record))].into_iter().collect(),
         vms: (0..vms).map(|it| format!("vm-{it}")).collect(),
-        ..View::default()
+        ..FleetView::default()
     }))
 }
 
@@ -78,7 +81,7 @@
 
 struct Load {
     scene: Scene,
-    desks: Vec<Desk>,
+    dispatchers: Vec<Dispatcher>,
     vm_loads: FleetLoad,
     came: HashMap<Ticket, u64>,
     running: Vec<(Sent, u64)>,
@@ -93,14 +96,14 @@
             slack: 60.0,
             window: Duration::from_secs(10),
         };
-        let desk = |seed| {
-            let mut desk = Desk::new("d1", allowance, seed);
-            desk.on(Duration::ZERO, view(scene.vms));
-            desk
+        let dispatcher = |seed| {
+            let mut dispatcher = Dispatcher::new("d1", allowance, seed);
+            dispatcher.handle(Duration::ZERO, view(scene.vms));
+            dispatcher
         };
         Self {
             scene,
-            desks: (0..scene.vms as u64).map(desk).collect(),
+            dispatchers: (0..scene.vms as u64).map(dispatcher).collect(),
             vm_loads: FleetLoad::default(),
             came: HashMap::new(),
             running: Vec::new(),
@@ -110,7 +113,7 @@
     }
 
     fn feed(&mut self, now: u64, vm: usize, event: Event) {
-        for effect in self.desks[vm].on(ms(now), event) {
+        for effect in self.dispatchers[vm].handle(ms(now), event) {
             match effect {
                 Effect::Send { ticket, .. } => self.arrive(now, (vm, ticket, now)),
                 Effect::Refuse { .. } => self.outcome.refused += 1,
@@ -125,20 +128,27 @@
             self.queued.push(sent);
         } else {
             self.outcome.broken += u32::from(now > self.scene.onset);
-            self.end(now, sent, Ended::Lost);
+            self.end(now, sent, CompletionKind::Lost);
         }
     }
 
-    fn end(&mut self, now: u64, (vm, _, at): Sent, ended: Ended) {
-        let end = End {
-            ended,
+    fn end(&mut self, now: u64, (vm, _, at): Sent, ended: CompletionKind) {
+        let end = Completion {
+            kind: ended,
             sent: ms(at),
             depth: 0.0,
             load: None,
-            owned: Some((7, 5)),
+            ownership: Some((7, 5)),
         };
         let target = "t0".to_owned();
-        self.feed(now, vm, Event::Done { target, end });
+        self.feed(
+            now,
+            vm,
+            Event::Completed {
+                target,
+                completion: end,
+            },
+        );
     }
 
     /// Ends what the target has done.
@@ -154,49 +164,49 @@
             } else {
                 self.outcome.late += 1;
             }
-            self.end(now, sent, Ended::Answered(ms(self.scene.service)));
+            self.end(now, sent, CompletionKind::Answered(ms(self.scene.service)));
         }
     }
 
     /// A VM tells the manager, and hears its word.
     fn exchange(&mut self, now: u64, vm: usize) {
-        let state = self.desks[vm].take_state(ms(now));
+        let state = self.dispatchers[vm].take_snapshot(ms(now));
         let start = format!("vm-{vm}");
         self.vm_loads.update(
             ms(now),
             &start,
-            state.flights,
+            state.in_flight,
             state.queues,
             ms(self.scene.period),
         );
         let others = self.vm_loads.in_flight_elsewhere(ms(now), &start);
         let shares = self.vm_loads.assign_quotas(ms(now), &start);
-        let word = Word {
+        let word = SyncUpdate {
             others: others.into_iter().collect(),
-            shares: shares.into_iter().map(|it| (it.target, it)).collect(),
-            pause: ms(self.scene.period),
-            ..Word::default()
+            quotas: shares.into_iter().map(|it| (it.target, it)).collect(),
+            sync_interval: ms(self.scene.period),
+            ..SyncUpdate::default()
         };
-        self.feed(now, vm, Event::Word(word));
+        self.feed(now, vm, Event::Sync(word));
     }
 
     fn ask(&mut self, now: u64, ticket: Ticket) {
         self.came.insert(ticket, now);
-        let ask = Ask {
+        let ask = DispatchRequest {
             ticket,
             service: "s".to_owned(),
             point: Some(7),
             priority: 1,
-            came: ms(now),
+            received_at: ms(now),
             goal: ms(now + self.scene.goal),
-            until: ms(now + self.scene.deadline),
+            deadline: ms(now + self.scene.deadline),
             tried: Vec::new(),
             misdirected: Vec::new(),
             large: false,
-            repeat: false,
+            is_retry: false,
         };
         let vm = catalogue::hash(&ticket.to_string()) as usize % self.scene.vms;
-        self.feed(now, vm, Event::Ask(ask));
+        self.feed(now, vm, Event::Request(ask));
     }
 }
 
@@ -210,7 +220,7 @@
             if now % scene.period == vm as u64 * scene.period / scene.vms as u64 {
                 load.exchange(now, vm);
             }
-            if now % 10 == 0 && load.desks[vm].waiting() > 0 {
+            if now % 10 == 0 && load.dispatchers[vm].queue_len() > 0 {
                 load.feed(now, vm, Event::Tick);
             }
         }
--- a/engine/tests/desk_world/mod.rs
+++ b/engine/tests/desk_world/mod.rs
@@ -1,4 +1,4 @@
-//! One desk in one failure domain: targets, owners, requests, and what was decided.
+//! One dispatcher in one failure domain: targets, owners, requests, and what was decided.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -7,10 +7,13 @@
 use bramleypier_engine::{
     catalogue::{self, Target},
     owner::record::{Incarnation, KeyRange, Record},
-    place::{
+    placement::{
         budget::Allowance,
-        desk::{Ask, Desk, Effect, End, Ended, Event, View, Why, Word},
-        share::Share,
+        dispatch::{
+            Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+            RefusalReason, SyncUpdate,
+        },
+        quota::Quota,
     },
 };
 
@@ -42,47 +45,47 @@
 
 pub fn view(targets: Vec<Target>, records: Option<Record>) -> Event {
     let records = records.into_iter().map(|it| ("s".to_owned(), Rc::new(it)));
-    Event::View(Rc::new(View {
+    Event::View(Rc::new(FleetView {
         targets: [("s".to_owned(), targets)].into_iter().collect(),
         records: records.collect(),
         vms: vec!["vm-1".to_owned(), "vm-2".to_owned()],
-        ..View::default()
+        ..FleetView::default()
     }))
 }
 
-pub fn desk(targets: Vec<Target>, record: Option<Record>) -> Desk {
-    let mut desk = Desk::new("d1", ALLOWANCE, 7);
-    desk.on(Duration::ZERO, view(targets, record));
-    desk
+pub fn dispatcher(targets: Vec<Target>, record: Option<Record>) -> Dispatcher {
+    let mut dispatcher = Dispatcher::new("d1", ALLOWANCE, 7);
+    dispatcher.handle(Duration::ZERO, view(targets, record));
+    dispatcher
 }
 
 /// The manager's word on other VMs' requests, while nothing waits for any target.
 pub fn told(others: HashMap<catalogue::TargetHash, u32>) -> Event {
-    Event::Word(Word {
-        pause: PAUSE,
+    Event::Sync(SyncUpdate {
+        sync_interval: PAUSE,
         others,
-        ..Word::default()
+        ..SyncUpdate::default()
     })
 }
 
 /// The manager's word on one target for which requests wait.
-pub fn shared(others: u32, share: Share) -> Event {
-    Event::Word(Word {
-        pause: PAUSE,
+pub fn shared(others: u32, share: Quota) -> Event {
+    Event::Sync(SyncUpdate {
+        sync_interval: PAUSE,
         others: [(share.target, others)].into(),
-        shares: [(share.target, share)].into(),
-        ..Word::default()
+        quotas: [(share.target, share)].into(),
+        ..SyncUpdate::default()
     })
 }
 
-pub fn busy(fresh: u32, line: u32) -> Share {
-    Share {
+pub fn busy(fresh: u32, line: u32) -> Quota {
+    Quota {
         target: catalogue::hash("t0"),
-        fresh,
-        late: 0,
-        line,
+        within_goal: fresh,
+        past_goal: 0,
+        others_within: line,
         busy: true,
-        ..Share::default()
+        ..Quota::default()
     }
 }
 
@@ -97,24 +100,24 @@
     record
 }
 
-pub fn ask(ticket: u64, now: Duration) -> Ask {
-    Ask {
+pub fn ask(ticket: u64, now: Duration) -> DispatchRequest {
+    DispatchRequest {
         ticket,
         service: "s".to_owned(),
         point: None,
         priority: 1,
-        came: now,
+        received_at: now,
         goal: now + ms(200),
-        until: now + ms(500),
+        deadline: now + ms(500),
         tried: Vec::new(),
         misdirected: Vec::new(),
         large: false,
-        repeat: false,
+        is_retry: false,
     }
 }
 
-pub fn keyed(ticket: u64, now: Duration) -> Ask {
-    Ask {
+pub fn keyed(ticket: u64, now: Duration) -> DispatchRequest {
+    DispatchRequest {
         point: Some(7),
         ..ask(ticket, now)
     }
@@ -128,23 +131,27 @@
     effects.iter().filter_map(send).collect()
 }
 
-pub fn refused(effects: &[Effect]) -> Vec<(u64, Why)> {
+pub fn refused(effects: &[Effect]) -> Vec<(u64, RefusalReason)> {
     let refuse = |effect: &Effect| match effect {
-        Effect::Refuse { ticket, why, .. } => Some((*ticket, *why)),
+        Effect::Refuse {
+            ticket,
+            reason: why,
+            ..
+        } => Some((*ticket, *why)),
         Effect::Send { .. } => None,
     };
     effects.iter().filter_map(refuse).collect()
 }
 
-pub fn done(target: &str, ended: Ended, sent: Duration) -> Event {
-    Event::Done {
+pub fn done(target: &str, ended: CompletionKind, sent: Duration) -> Event {
+    Event::Completed {
         target: target.to_owned(),
-        end: End {
-            ended,
+        completion: Completion {
+            kind: ended,
             sent,
             depth: 0.0,
             load: None,
-            owned: None,
+            ownership: None,
         },
     }
 }
--- a/engine/tests/evacuation.rs
+++ b/engine/tests/evacuation.rs
@@ -12,13 +12,13 @@
         ownership::{CallOutcome, Effect, Event, ServiceOwnership, Timing},
         record::{Incarnation, KeyRange, Record},
     },
-    place::desk::{self, Why},
+    placement::dispatch::{self, RefusalReason},
     store::{Change, Item, Listing},
 };
 use indexmap::IndexMap;
 
 use crate::{
-    desk_world::{ask, desk, ms, refused},
+    desk_world::{ask, dispatcher, ms, refused},
     fleet_world::{Plain, SPAN, keys, put, removed},
 };
 
@@ -107,10 +107,10 @@
     let mut fleet = fleet();
     hear(&mut fleet, 10, &put("evacuated/d1", "{}", 4));
     hear(&mut fleet, 10, &put("evacuated/d2", "{}", 5));
-    let mut desk = desk(Vec::new(), None);
-    desk.on(ms(20), desk::Event::View(fleet.view().into()));
-    let effects = desk.on(ms(20), desk::Event::Ask(ask(1, ms(20))));
-    assert_eq!(refused(&effects), [(1, Why::Evacuated)]);
+    let mut dispatcher = dispatcher(Vec::new(), None);
+    dispatcher.handle(ms(20), dispatch::Event::View(fleet.view().into()));
+    let effects = dispatcher.handle(ms(20), dispatch::Event::Request(ask(1, ms(20))));
+    assert_eq!(refused(&effects), [(1, RefusalReason::Evacuated)]);
 }
 
 /// A restart begins with a listing, which may be old; the watch after it tells the rest.
--- a/engine/tests/misdirected.rs
+++ b/engine/tests/misdirected.rs
@@ -12,9 +12,12 @@
 use bramleypier_engine::{
     catalogue::{Target, TargetId},
     owner::record::{Fence, Incarnation, KeyRange, Record, ShardKey},
-    place::{
+    placement::{
         budget::Allowance,
-        desk::{Ask, Desk, Effect, End, Ended, Event, Ticket, View},
+        dispatch::{
+            Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+            Ticket,
+        },
     },
 };
 
@@ -75,24 +78,24 @@
         owner: Some(Incarnation::of(&target(owner(number)))),
     };
     record.ranges = (0..OWNERS).map(part).collect();
-    Event::View(Rc::new(View {
+    Event::View(Rc::new(FleetView {
         targets: [("keyed".to_owned(), (0..OWNERS).map(target).collect())].into(),
         records: [("keyed".to_owned(), Rc::new(record))].into(),
         vms: (0..VMS).map(|it| format!("vm-{it}")).collect(),
-        ..View::default()
+        ..FleetView::default()
     }))
 }
 
 /// What a request has met.
 #[derive(Clone, Debug)]
 struct Request {
-    ask: Ask,
+    ask: DispatchRequest,
     sent: Vec<(TargetId, Fence)>,
 }
 
-/// One VM: its desk, what it has under way, and the ends that are due.
+/// One VM: its dispatcher, what it has under way, and the ends that are due.
 struct Vm {
-    desk: Desk,
+    dispatcher: Dispatcher,
     requests: HashMap<Ticket, Request>,
     due: Vec<(u64, Event, Ticket)>,
     heard: u64,
@@ -113,11 +116,11 @@
 
 impl Vm {
     fn new(number: u64) -> Self {
-        let mut desk = Desk::new("d1", ALLOWANCE, number);
-        desk.on(Duration::ZERO, view(false));
+        let mut dispatcher = Dispatcher::new("d1", ALLOWANCE, number);
+        dispatcher.handle(Duration::ZERO, view(false));
         let (first, last) = HEARD;
         Self {
-            desk,
+            dispatcher,
             requests: HashMap::new(),
             due: Vec::new(),
             heard: first + (last - first) * number / VMS,
@@ -125,29 +128,29 @@
     }
 
     fn request(&mut self, now: u64, ticket: Ticket, point: ShardKey, seen: &mut Seen) {
-        let ask = Ask {
+        let ask = DispatchRequest {
             ticket,
             service: "keyed".to_owned(),
             point: Some(point),
             priority: 1,
-            came: ms(now),
+            received_at: ms(now),
             goal: ms(now + 1000),
-            until: ms(now + 2500),
+            deadline: ms(now + 2500),
             tried: Vec::new(),
             misdirected: Vec::new(),
             large: false,
-            repeat: false,
+            is_retry: false,
         };
         let request = Request {
             ask: ask.clone(),
             sent: Vec::new(),
         };
         self.requests.insert(ticket, request);
-        self.tell(now, Event::Ask(ask), seen);
+        self.tell(now, Event::Request(ask), seen);
     }
 
     fn tell(&mut self, now: u64, event: Event, seen: &mut Seen) {
-        for effect in self.desk.on(ms(now), event) {
+        for effect in self.dispatcher.handle(ms(now), event) {
             match effect {
                 Effect::Refuse { ticket, .. } => {
                     seen.refused += 1;
@@ -174,19 +177,26 @@
         seen.twice += usize::from(request.sent.contains(&place));
         request.sent.push(place);
         let (ended, at) = if foreign {
-            (Ended::Unowned, now + STEP)
+            (CompletionKind::Misdirected, now + STEP)
         } else {
-            (Ended::Answered(ms(WORK)), now + WORK)
+            (CompletionKind::Answered(ms(WORK)), now + WORK)
         };
-        let end = End {
-            ended,
+        let end = Completion {
+            kind: ended,
             sent: ms(now),
             depth: 0.0,
             load: None,
-            owned: request.ask.point.map(|point| (point, fence)),
+            ownership: request.ask.point.map(|point| (point, fence)),
         };
         let target = to.id.clone();
-        self.due.push((at, Event::Done { target, end }, ticket));
+        self.due.push((
+            at,
+            Event::Completed {
+                target,
+                completion: end,
+            },
+            ticket,
+        ));
     }
 
     fn step(&mut self, now: u64, seen: &mut Seen) {
@@ -199,7 +209,7 @@
         self.due = later;
         let ready: Vec<(u64, Event, Ticket)> = ready;
         for (_, event, ticket) in ready {
-            let again = matches!(&event, Event::Done { end, .. } if end.ended == Ended::Unowned);
+            let again = matches!(&event, Event::Completed { completion: end, .. } if end.kind == CompletionKind::Misdirected);
             self.tell(now, event, seen);
             if again {
                 self.again(now, ticket, seen);
@@ -220,9 +230,9 @@
             return;
         }
         request.ask.misdirected.clone_from(&request.sent);
-        request.ask.repeat = true;
+        request.ask.is_retry = true;
         let ask = request.ask.clone();
-        self.tell(now, Event::Ask(ask), seen);
+        self.tell(now, Event::Request(ask), seen);
     }
 }
 
--- a/engine/tests/named_rates.rs
+++ b/engine/tests/named_rates.rs
@@ -4,9 +4,9 @@
 
 use std::time::Duration;
 
-use bramleypier_engine::place::{
-    desk::{Desk, Effect, Event},
-    warmup::Tolerance,
+use bramleypier_engine::placement::{
+    dispatch::{Dispatcher, Effect, Event},
+    warmup::BurstAllowance,
 };
 use proptest::prelude::*;
 
@@ -132,19 +132,23 @@
 /// A target that nobody has sent to for a minute can't have said anything since.
 #[test]
 fn a_rate_that_was_not_named_for_a_minute_holds_no_more() {
-    let mut desk = Desk::new("d1", ALLOWANCE, 1).of_vm("vm-0", Tolerance::default());
-    desk.on(Duration::ZERO, ONE_OF_FOUR.view());
+    let mut dispatcher =
+        Dispatcher::new("d1", ALLOWANCE, 1).with_vm("vm-0", BurstAllowance::default());
+    dispatcher.handle(Duration::ZERO, ONE_OF_FOUR.view());
     for number in 0..4 {
-        desk.on(ms(1), Event::Rate(format!("t{number}"), Some(0.0)));
+        dispatcher.handle(ms(1), Event::Rate(format!("t{number}"), Some(0.0)));
     }
-    assert_eq!(desk.take_notes().len(), 4);
+    assert_eq!(dispatcher.take_log_lines().len(), 4);
     let now = Duration::from_secs(61);
-    desk.take_state(now);
-    assert_eq!(desk.take_notes()[0], "event=rate-lifted target=t0 by=age");
+    dispatcher.take_snapshot(now);
+    assert_eq!(
+        dispatcher.take_log_lines()[0],
+        "event=rate-lifted target=t0 by=age"
+    );
     let answered = Event::Rate("t0".to_owned(), None);
-    assert!(desk.on(now, answered).is_empty());
+    assert!(dispatcher.handle(now, answered).is_empty());
     for ticket in 0..4 {
-        let effects = desk.on(now, Event::Ask(ask(ticket, now, None)));
+        let effects = dispatcher.handle(now, Event::Request(ask(ticket, now, None)));
         assert!(matches!(effects[..], [Effect::Send { .. }]), "{effects:?}");
     }
 }
--- a/engine/tests/queue_world/mod.rs
+++ b/engine/tests/queue_world/mod.rs
@@ -7,10 +7,13 @@
 use bramleypier_engine::{
     catalogue::{Target, Warmup},
     peer::FleetLoad,
-    place::{
+    placement::{
         budget::Allowance,
-        desk::{Ask, Desk, Effect, End, Ended, Event, View, Word},
-        warmup::Tolerance,
+        dispatch::{
+            Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+            SyncUpdate,
+        },
+        warmup::BurstAllowance,
     },
 };
 use rand::{Rng, SeedableRng, rngs::SmallRng};
@@ -19,8 +22,8 @@
     duration: Duration::from_secs(3),
     rate: 8.0,
 };
-pub const TOLERANCE: Tolerance = Tolerance {
-    over: 1.5,
+pub const TOLERANCE: BurstAllowance = BurstAllowance {
+    factor: 1.5,
     slack: 8.0,
 };
 /// How long the load lasts, in milliseconds.
@@ -79,12 +82,12 @@
     fn view(&self, cold: bool) -> Event {
         let targets: Vec<Target> = (0..self.targets).map(target).collect();
         let until = |number: usize| (format!("t{number}"), ms(LENGTH));
-        Event::View(Rc::new(View {
+        Event::View(Rc::new(FleetView {
             targets: [("s".to_owned(), targets)].into(),
             vms: names(self.vms),
             cold: (0..self.cold).filter(|_| cold).map(until).collect(),
             warmups: [("s".to_owned(), WARMUP)].into(),
-            ..View::default()
+            ..FleetView::default()
         }))
     }
 
@@ -136,12 +139,12 @@
     sent: u64,
     came: u64,
     depth: f64,
-    ended: Ended,
+    ended: CompletionKind,
 }
 
 struct World {
     scene: Scene,
-    desks: Vec<Desk>,
+    dispatchers: Vec<Dispatcher>,
     fleet_load: FleetLoad,
     /// When each of a target's slots is free, in milliseconds.
     free: HashMap<String, [u64; SLOTS]>,
@@ -153,14 +156,14 @@
 /// Plays a load; figures of the first second are part of them.
 pub fn play(scene: Scene, seed: u64) -> Seen {
     let mut random = SmallRng::seed_from_u64(seed);
-    let desks = names(scene.vms).into_iter().zip(0..).map(|(name, number)| {
-        let mut desk = Desk::new("d1", ALLOWANCE, number).of_vm(&name, TOLERANCE);
-        desk.on(Duration::ZERO, scene.view(scene.heard == 0));
-        desk
+    let dispatchers = names(scene.vms).into_iter().zip(0..).map(|(name, number)| {
+        let mut dispatcher = Dispatcher::new("d1", ALLOWANCE, number).with_vm(&name, TOLERANCE);
+        dispatcher.handle(Duration::ZERO, scene.view(scene.heard == 0));
+        dispatcher
     });
     let mut world = World {
         scene,
-        desks: desks.collect(),
+        dispatchers: dispatchers.collect(),
         fleet_load: FleetLoad::default(),
         free: HashMap::new(),
         running: Vec::new(),
@@ -192,31 +195,31 @@
     fn turn(&mut self, at: u64, vm: usize, hears: u64) {
         if at % self.scene.pause == vm as u64 % self.scene.pause {
             let word = self.exchange(at, vm);
-            self.on(at, vm, Event::Word(word));
+            self.on(at, vm, Event::Sync(word));
         }
         if self.scene.heard > 0 && hears == at {
             self.on(at, vm, self.scene.view(true));
         }
-        if at.is_multiple_of(10) && self.desks[vm].waiting() > 0 {
+        if at.is_multiple_of(10) && self.dispatchers[vm].queue_len() > 0 {
             self.on(at, vm, Event::Tick);
         }
     }
 
-    fn exchange(&mut self, at: u64, vm: usize) -> Word {
+    fn exchange(&mut self, at: u64, vm: usize) -> SyncUpdate {
         let start = format!("vm-{vm}/1");
         let (now, pause) = (ms(at), ms(self.scene.pause));
-        let state = self.desks[vm].take_state(now);
+        let state = self.dispatchers[vm].take_snapshot(now);
         let fleet_load = &mut self.fleet_load;
-        fleet_load.update(now, &start, state.flights, state.queues, pause);
+        fleet_load.update(now, &start, state.in_flight, state.queues, pause);
         let shares = fleet_load.assign_quotas(now, &start).into_iter();
-        Word {
+        SyncUpdate {
             others: fleet_load
                 .in_flight_elsewhere(now, &start)
                 .into_iter()
                 .collect(),
-            shares: shares.map(|share| (share.target, share)).collect(),
-            pause,
-            ..Word::default()
+            quotas: shares.map(|share| (share.target, share)).collect(),
+            sync_interval: pause,
+            ..SyncUpdate::default()
         }
     }
 
@@ -225,41 +228,48 @@
         let (over, open): (Vec<_>, Vec<_>) = all.into_iter().partition(|it| it.ends <= at);
         self.running = open;
         for it in over {
-            let in_time = it.ended != Ended::Lost && at <= it.came + self.scene.goal;
+            let in_time = it.ended != CompletionKind::Lost && at <= it.came + self.scene.goal;
             self.seen.in_time += usize::from(in_time);
-            let end = End {
-                ended: it.ended,
+            let end = Completion {
+                kind: it.ended,
                 sent: ms(it.sent),
                 depth: it.depth,
                 load: None,
-                owned: None,
+                ownership: None,
             };
             let target = it.target;
-            self.on(at, it.vm, Event::Done { target, end });
+            self.on(
+                at,
+                it.vm,
+                Event::Completed {
+                    target,
+                    completion: end,
+                },
+            );
         }
     }
 
     fn ask(&mut self, at: u64, vm: usize, ticket: u64) {
         self.seen.asked += 1;
         self.came.insert(ticket, at);
-        let ask = Ask {
+        let ask = DispatchRequest {
             ticket,
             service: "s".to_owned(),
             point: None,
             priority: 1,
-            came: ms(at),
+            received_at: ms(at),
             goal: ms(at + self.scene.goal),
-            until: ms(at + self.scene.goal * 3),
+            deadline: ms(at + self.scene.goal * 3),
             tried: Vec::new(),
             misdirected: Vec::new(),
             large: false,
-            repeat: false,
+            is_retry: false,
         };
-        self.on(at, vm, Event::Ask(ask));
+        self.on(at, vm, Event::Request(ask));
     }
 
     fn on(&mut self, at: u64, vm: usize, event: Event) {
-        for effect in self.desks[vm].on(ms(at), event) {
+        for effect in self.dispatchers[vm].handle(ms(at), event) {
             match effect {
                 Effect::Send {
                     ticket,
@@ -279,10 +289,10 @@
         let slot = slots.iter_mut().min().unwrap();
         let (ends, ended) = if there < SLOTS + QUEUE {
             *slot = at.max(*slot) + self.scene.work * factor;
-            (*slot, Ended::Answered(ms(*slot - at)))
+            (*slot, CompletionKind::Answered(ms(*slot - at)))
         } else {
             self.seen.lost += 1;
-            (at + 1, Ended::Lost)
+            (at + 1, CompletionKind::Lost)
         };
         let arrived = self.seen.arrived.entry(target.clone()).or_default();
         arrived.push(at);
--- a/engine/tests/rate_world/mod.rs
+++ b/engine/tests/rate_world/mod.rs
@@ -6,10 +6,13 @@
     catalogue::{self, Target},
     owner::record::{Incarnation, KeyRange, Record, ShardKey},
     peer::FleetLoad,
-    place::{
+    placement::{
         budget::Allowance,
-        desk::{Ask, Desk, Effect, End, Ended, Event, Ticket, View, Word},
-        warmup::Tolerance,
+        dispatch::{
+            Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+            SyncUpdate, Ticket,
+        },
+        warmup::BurstAllowance,
     },
 };
 
@@ -67,11 +70,11 @@
             owner: Some(Incarnation::of(&targets[0])),
         }];
         let records = self.keyed.then(|| ("s".to_owned(), Rc::new(record)));
-        Event::View(Rc::new(View {
+        Event::View(Rc::new(FleetView {
             targets: [("s".to_owned(), targets)].into(),
             records: records.into_iter().collect(),
             vms: (0..self.vms).map(|it| format!("vm-{it}")).collect(),
-            ..View::default()
+            ..FleetView::default()
         }))
     }
 }
@@ -89,19 +92,19 @@
     }
 }
 
-pub fn ask(ticket: Ticket, now: Duration, point: Option<ShardKey>) -> Ask {
-    Ask {
+pub fn ask(ticket: Ticket, now: Duration, point: Option<ShardKey>) -> DispatchRequest {
+    DispatchRequest {
         ticket,
         service: "s".to_owned(),
         point,
         priority: 1,
-        came: now,
+        received_at: now,
         goal: now + ms(GOAL),
-        until: now + ms(DEADLINE),
+        deadline: now + ms(DEADLINE),
         tried: Vec::new(),
         misdirected: Vec::new(),
         large: false,
-        repeat: false,
+        is_retry: false,
     }
 }
 
@@ -150,7 +153,7 @@
 
 struct World {
     scene: Scene,
-    desks: Vec<Desk>,
+    dispatchers: Vec<Dispatcher>,
     fleet_load: FleetLoad,
     came: HashMap<Ticket, u64>,
     free: HashMap<String, [u64; SLOTS]>,
@@ -160,16 +163,16 @@
 
 impl World {
     fn new(scene: Scene) -> Self {
-        let desk = |number: usize| {
+        let dispatcher = |number: usize| {
             let name = format!("vm-{number}");
-            let mut desk =
-                Desk::new("d1", ALLOWANCE, number as u64).of_vm(&name, Tolerance::default());
-            desk.on(Duration::ZERO, scene.view());
-            desk
+            let mut dispatcher = Dispatcher::new("d1", ALLOWANCE, number as u64)
+                .with_vm(&name, BurstAllowance::default());
+            dispatcher.handle(Duration::ZERO, scene.view());
+            dispatcher
         };
         Self {
             scene,
-            desks: (0..scene.vms).map(desk).collect(),
+            dispatchers: (0..scene.vms).map(dispatcher).collect(),
             fleet_load: FleetLoad::default(),
             came: HashMap::new(),
             free: HashMap::new(),
@@ -179,7 +182,7 @@
     }
 
     fn on(&mut self, now: u64, vm: usize, event: Event) {
-        for effect in self.desks[vm].on(ms(now), event) {
+        for effect in self.dispatchers[vm].handle(ms(now), event) {
             match effect {
                 Effect::Send { target, .. } => self.send(now, vm, target.id),
                 Effect::Refuse { ticket, .. } => {
@@ -214,15 +217,22 @@
             let needy = it.target == "t0" && (NAMED..LIFTED).contains(&now);
             let rate = needy.then_some(self.scene.rate);
             self.on(now, it.vm, Event::Rate(it.target.clone(), rate));
-            let end = End {
-                ended: Ended::Answered(ms(now - it.sent)),
+            let end = Completion {
+                kind: CompletionKind::Answered(ms(now - it.sent)),
                 sent: ms(it.sent),
                 depth: 0.0,
                 load: None,
-                owned: self.scene.keyed.then_some((7, 5)),
+                ownership: self.scene.keyed.then_some((7, 5)),
             };
             let target = it.target;
-            self.on(now, it.vm, Event::Done { target, end });
+            self.on(
+                now,
+                it.vm,
+                Event::Completed {
+                    target,
+                    completion: end,
+                },
+            );
         }
     }
 
@@ -230,29 +240,29 @@
         self.came.insert(ticket, now);
         let ask = ask(ticket, ms(now), self.scene.keyed.then_some(7));
         let vm = catalogue::hash(&ticket.to_string()) as usize % self.scene.vms;
-        self.on(now, vm, Event::Ask(ask));
+        self.on(now, vm, Event::Request(ask));
     }
 
     /// A VM tells the manager, and hears its word.
     fn exchange(&mut self, now: u64, vm: usize) {
-        let state = self.desks[vm].take_state(ms(now));
+        let state = self.dispatchers[vm].take_snapshot(ms(now));
         let start = format!("vm-{vm}");
         let (at, pause) = (ms(now), ms(self.scene.pause));
         let fleet_load = &mut self.fleet_load;
-        fleet_load.update(at, &start, state.flights, state.queues, pause);
+        fleet_load.update(at, &start, state.in_flight, state.queues, pause);
         fleet_load.merge_rates(at, &state.rates);
         let others = fleet_load
             .in_flight_elsewhere(at, &start)
             .into_iter()
             .collect();
         let shares = fleet_load.assign_quotas(at, &start).into_iter();
-        let word = Word {
+        let word = SyncUpdate {
             others,
-            shares: shares.map(|it| (it.target, it)).collect(),
+            quotas: shares.map(|it| (it.target, it)).collect(),
             rates: fleet_load.rates(at),
-            pause,
+            sync_interval: pause,
         };
-        self.on(now, vm, Event::Word(word));
+        self.on(now, vm, Event::Sync(word));
     }
 }
 
@@ -268,7 +278,7 @@
             if scene.heard && now % scene.pause == vm as u64 * STEP % scene.pause {
                 world.exchange(now, vm);
             }
-            if now % 10 == 0 && world.desks[vm].waiting() > 0 {
+            if now % 10 == 0 && world.dispatchers[vm].queue_len() > 0 {
                 world.on(now, vm, Event::Tick);
             }
         }
--- a/engine/tests/repeats.rs
+++ b/engine/tests/repeats.rs
@@ -4,9 +4,11 @@
 
 use bramleypier_engine::{
     catalogue::Target,
-    place::{
-        budget::{Allowance, Budget},
-        desk::{Ask, Desk, Effect, End, Ended, Event, View},
+    placement::{
+        budget::{Allowance, RetryBudget},
+        dispatch::{
+            Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
+        },
     },
 };
 
@@ -45,10 +47,10 @@
 }
 
 fn view(listed: Range<usize>) -> Event {
-    Event::View(Rc::new(View {
+    Event::View(Rc::new(FleetView {
         targets: [("s".to_owned(), (0..TARGETS).map(target).collect())].into(),
         vms: listed.map(|it| format!("vm-{it}")).collect(),
-        ..View::default()
+        ..FleetView::default()
     }))
 }
 
@@ -56,23 +58,23 @@
 struct Under {
     due: u64,
     sent: u64,
-    ask: Ask,
+    ask: DispatchRequest,
     target: String,
 }
 
 /// What a process of a VM knows: nothing of it outlasts the process.
 struct Process {
-    desk: Desk,
+    dispatcher: Dispatcher,
     under: VecDeque<Under>,
 }
 
 impl Process {
     fn start(now: u64, number: usize) -> Self {
         let seed = now + number as u64;
-        let mut desk = Desk::new("d1", ALLOWANCE, seed);
-        desk.on(ms(now), view(0..VMS));
+        let mut dispatcher = Dispatcher::new("d1", ALLOWANCE, seed);
+        dispatcher.handle(ms(now), view(0..VMS));
         Self {
-            desk,
+            dispatcher,
             under: VecDeque::new(),
         }
     }
@@ -88,54 +90,62 @@
     fn end(&mut self, now: u64, it: Under, seen: &mut Seen) {
         let failing = it.sent >= FAILING;
         let ended = if failing {
-            Ended::Refused
+            CompletionKind::Refused
         } else {
-            Ended::Answered(ms(WORK))
+            CompletionKind::Answered(ms(WORK))
         };
-        let end = End {
-            ended,
+        let end = Completion {
+            kind: ended,
             sent: ms(it.sent),
             depth: 0.0,
             load: None,
-            owned: None,
+            ownership: None,
         };
         let target = it.target.clone();
-        self.tell(now, Event::Done { target, end }, None, seen);
-        if failing && !it.ask.repeat {
-            let again = Ask {
+        self.tell(
+            now,
+            Event::Completed {
+                target,
+                completion: end,
+            },
+            None,
+            seen,
+        );
+        if failing && !it.ask.is_retry {
+            let again = DispatchRequest {
                 tried: vec![it.target],
-                repeat: true,
+                is_retry: true,
                 ..it.ask
             };
-            self.tell(now, Event::Ask(again.clone()), Some(&again), seen);
+            self.tell(now, Event::Request(again.clone()), Some(&again), seen);
         }
     }
 
     fn request(&mut self, now: u64, ticket: u64, seen: &mut Seen) {
-        let ask = Ask {
+        let ask = DispatchRequest {
             ticket,
             service: "s".to_owned(),
             point: None,
             priority: 1,
-            came: ms(now),
+            received_at: ms(now),
             goal: ms(now + 600),
-            until: ms(now + 1500),
+            deadline: ms(now + 1500),
             tried: Vec::new(),
             misdirected: Vec::new(),
             large: false,
-            repeat: false,
+            is_retry: false,
         };
         seen.requests.push(now);
-        self.tell(now, Event::Ask(ask.clone()), Some(&ask), seen);
+        self.tell(now, Event::Request(ask.clone()), Some(&ask), seen);
     }
 
-    fn tell(&mut self, now: u64, event: Event, ask: Option<&Ask>, seen: &mut Seen) {
-        for effect in self.desk.on(ms(now), event) {
+    fn tell(&mut self, now: u64, event: Event, ask: Option<&DispatchRequest>, seen: &mut Seen) {
+        for effect in self.dispatcher.handle(ms(now), event) {
             let Effect::Send { target, .. } = effect else {
                 continue;
             };
             let ask = ask.expect("targets have room, so nothing waits");
-            if ask.repeat {
+            if ask.is_retry {
                 seen.repeats.push(now);
             }
             let takes = if now >= FAILING { REFUSAL } else { WORK };
@@ -194,7 +204,7 @@
         }
         for (_, listed) in lists.iter().filter(|it| it.0 == now) {
             for vm in &mut vms {
-                vm.desk.on(ms(now), view(listed.clone()));
+                vm.dispatcher.handle(ms(now), view(listed.clone()));
             }
         }
         for vm in &mut vms {
@@ -241,10 +251,10 @@
 /// Repeats of the end of a slice were forgotten up to a second before they had left the window.
 #[test]
 fn a_repeat_counts_until_it_has_left_the_window() {
-    let mut budget = Budget::new(ms(0));
+    let mut budget = RetryBudget::new(ms(0));
     let mut seen = Seen::default();
     for now in (19_950..40_000).step_by(50) {
-        while budget.spend(ms(now), ALLOWANCE, 1).has_room() {
+        while budget.spend(ms(now), ALLOWANCE, 1).allows_retry() {
             seen.repeats.push(now);
         }
     }
--- a/engine/tests/warmup.rs
+++ b/engine/tests/warmup.rs
@@ -4,7 +4,7 @@
 
 use bramleypier_engine::{
     catalogue::Warmup,
-    place::warmup::{Pace, Tolerance},
+    placement::warmup::{BurstAllowance, SenderPlan},
 };
 use proptest::prelude::*;
 
@@ -107,8 +107,8 @@
         target in "[a-z]{4}",
     ) {
         let warmup = Warmup { rate, ..WARMUP };
-        let tolerance = Tolerance { over, slack };
-        let Some(pace) = Pace::of(warmup, tolerance) else {
+        let tolerance = BurstAllowance { factor: over, slack };
+        let Some(pace) = SenderPlan::of(warmup, tolerance) else {
             return Ok(());
         };
         let before = names(vms);
@@ -118,7 +118,7 @@
         };
         let senders = before.iter().filter(sends).count();
         // In any second a VM sends one more than fit into it.
-        let each = (1.0 / pace.pause.as_secs_f64()).floor() + 1.0;
+        let each = (1.0 / pace.interval.as_secs_f64()).floor() + 1.0;
         let most = rate * over + slack;
         #[allow(clippy::cast_precision_loss, reason = "a handful of VMs")]
         let sum = senders as f64 * each;
@@ -128,7 +128,7 @@
     /// Everybody knows the same senders, in whichever order VMs are listed.
     #[test]
     fn as_many_vms_send_as_the_pace_tells(vms in 1_usize..200, target in "[a-z]{4}") {
-        let pace = Pace::of(WARMUP, TOLERANCE).unwrap();
+        let pace = SenderPlan::of(WARMUP, TOLERANCE).unwrap();
         let mut listed = names(vms);
         let senders: Vec<String> = listed
             .iter()
