--- a/engine/src/caller/mod.rs
+++ b/engine/src/caller/mod.rs
@@ -19,7 +19,7 @@
 
 use hyper::{HeaderMap, Method, StatusCode, Uri};
 
-use crate::owner::record::ShardKey;
+use crate::owner::record::RequestKey;
 
 /// What a caller's request says beside method, path and body.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// How long the caller waits; none if it doesn't say.
     pub remaining: Option<Duration>,
     /// The key.
-    pub key: Option<ShardKey>,
+    pub key: Option<RequestKey>,
 }
 
 /// How callers are understood and answered; implemented once for each dialect.
--- a/engine/src/owner/balance.rs
+++ b/engine/src/owner/balance.rs
@@ -19,7 +19,7 @@
 
 use super::{
     load::Load,
-    record::{Incarnation, KeyRange, Record, ShardKey},
+    record::{Incarnation, KeyRange, Record, RequestKey},
 };
 
 /// Up to which utilisation a target is left alone: below it, few requests wait.
@@ -47,9 +47,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The first key.
-    pub from: ShardKey,
+    pub from: RequestKey,
     /// The last key.
-    pub to: ShardKey,
+    pub to: RequestKey,
     /// The new owner.
     pub owner: Incarnation,
 }
@@ -102,7 +102,7 @@
         .map(|it| (it.incarnation.clone(), 0.0))
         .collect();
     let keys: u64 = record.ranges.iter().map(KeyRange::width).sum();
-    let total = load.rate(0, ShardKey::MAX).max(1.0);
+    let total = load.rate(0, RequestKey::MAX).max(1.0);
     for part in &record.ranges {
         let Some(sum) = part.owner.as_ref().and_then(|life| filled.get_mut(life)) else {
             continue;
@@ -113,7 +113,7 @@
 }
 
 /// The weight of a range: mostly its load, a little its keys, which may become busy.
-fn weigh(from: ShardKey, to: ShardKey, keys: u64, total: f64, load: &Load) -> f64 {
+fn weigh(from: RequestKey, to: RequestKey, keys: u64, total: f64, load: &Load) -> f64 {
     const KEYS_PART: f64 = 0.2;
     let width = (to - from + 1) as f64 / keys.max(1) as f64;
     load.rate(from, to) / total + KEYS_PART * width
@@ -127,7 +127,7 @@
     filled: &mut IndexMap<Incarnation, f64>,
     moves: &mut Vec<Move>,
 ) {
-    let total = load.rate(0, ShardKey::MAX).max(1.0);
+    let total = load.rate(0, RequestKey::MAX).max(1.0);
     let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
     let whole: f64 = weigh(part.from, part.to, keys, total, load);
     let all: f64 = filled.values().sum::<f64>() + whole;
@@ -168,7 +168,7 @@
 }
 
 /// The last key of a prefix of `part` that weighs about `room`, by bisection.
-fn reach(part: &KeyRange, room: f64, keys: u64, total: f64, load: &Load) -> ShardKey {
+fn reach(part: &KeyRange, room: f64, keys: u64, total: f64, load: &Load) -> RequestKey {
     let (mut low, mut high) = (part.from, part.to);
     while low < high {
         let middle = low + (high - low) / 2;
@@ -230,8 +230,8 @@
 /// A run of keys with its rate.
 #[derive(Clone, Copy)]
 struct Run {
-    from: ShardKey,
-    to: ShardKey,
+    from: RequestKey,
+    to: RequestKey,
     rate: f64,
 }
 
@@ -261,7 +261,7 @@
     }
 
     /// Returns whether some of a range moves already, or has moved lately.
-    fn is_taken(&self, from: ShardKey, to: ShardKey) -> bool {
+    fn is_taken(&self, from: RequestKey, to: RequestKey) -> bool {
         let mut taken = self.moves.iter().chain(self.resting);
         taken.any(|it| it.from <= to && from <= it.to)
     }
--- a/engine/src/owner/events.rs
+++ b/engine/src/owner/events.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::record::{Fence, Incarnation, Record, ShardKey};
+use super::record::{Fence, Incarnation, Record, RequestKey};
 use crate::catalogue::Target;
 
 /// Spans by which a keeper works.
@@ -26,9 +26,9 @@
     /// To which life of a target.
     pub owner: Incarnation,
     /// The first key.
-    pub from: ShardKey,
+    pub from: RequestKey,
     /// The last key.
-    pub to: ShardKey,
+    pub to: RequestKey,
     /// The fence.
     pub fence: Fence,
     /// How long a grant holds; zero for a release.
@@ -60,9 +60,9 @@
     /// These lives of targets are announced.
     Targets(Vec<Target>),
     /// A grant ended.
-    GrantEnded(ShardKey, CallOutcome),
+    GrantEnded(RequestKey, CallOutcome),
     /// A release ended.
-    ReleaseEnded(ShardKey, CallOutcome),
+    ReleaseEnded(RequestKey, CallOutcome),
     /// A commit ended: the record stands at this revision.
     Committed,
     /// A commit failed and did not take effect; it is to be made again.
@@ -74,7 +74,7 @@
     /// The manager before this one has stopped; its last grants may be under way.
     PredecessorStopped,
     /// Requests ran on these keys.
-    Load(Vec<(ShardKey, u32)>),
+    Load(Vec<(RequestKey, u32)>),
     /// Time passed.
     Tick,
 }
--- a/engine/src/owner/load.rs
+++ b/engine/src/owner/load.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use super::record::ShardKey;
+use super::record::RequestKey;
 
 /// The times in which a key's two counts lose half their weight.
 ///
@@ -51,7 +51,7 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Load {
-    counts: BTreeMap<ShardKey, Counts>,
+    counts: BTreeMap<RequestKey, Counts>,
     /// When the first request was counted.
     since: Option<Duration>,
     at: Duration,
@@ -65,7 +65,7 @@
     /// See [`Load`].
     pub fn add<I>(&mut self, now: Duration, counts: I)
     where
-        I: IntoIterator<Item = (ShardKey, u32)>,
+        I: IntoIterator<Item = (RequestKey, u32)>,
     {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         if passed > 0.0 {
@@ -116,7 +116,7 @@
     /// # Example
     ///
     /// See [`Load`].
-    pub fn rate(&self, from: ShardKey, to: ShardKey) -> f64 {
+    pub fn rate(&self, from: RequestKey, to: RequestKey) -> f64 {
         let range = self.counts.range(from..=to);
         let spans = self.spans();
         // A sum of nothing is negative zero, which reads oddly in logs.
@@ -167,7 +167,7 @@
     /// let keys: Vec<_> = load.key_rates(0, 9).into_iter().map(|(key, _)| key).collect();
     /// assert_eq!(keys, [3, 7]);
     /// ```
-    pub fn key_rates(&self, from: ShardKey, to: ShardKey) -> Vec<(ShardKey, f64)> {
+    pub fn key_rates(&self, from: RequestKey, to: RequestKey) -> Vec<(RequestKey, f64)> {
         let spans = self.spans();
         let range = self.counts.range(from..=to);
         range
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -17,7 +17,7 @@
 use super::{
     calls,
     ownership::{CallOutcome, Effect, Event, OwnershipCommand, ServiceOwnership, Timing},
-    record::{Record, ShardKey, Term},
+    record::{Record, RequestKey, Term},
     service_times::ServiceTimes,
 };
 use crate::{
@@ -41,7 +41,7 @@
     /// What a VM counted since its last word.
     Load {
         /// Requests by service and key.
-        counts: Vec<(ServiceId, Vec<(ShardKey, u32)>)>,
+        counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
         /// Sums in seconds and counts of service times without waiting, by target.
         times: Vec<(TargetHash, f64, u32)>,
         /// The rates that targets ask to be held to, as all VMs know.
@@ -52,7 +52,7 @@
     /// This start of a VM's process tells this VM, so it knows that it isn't the manager.
     SyncReceived(String),
     /// A call to a target ended.
-    Called(ServiceId, Term, ShardKey, bool, CallOutcome),
+    Called(ServiceId, Term, RequestKey, bool, CallOutcome),
     /// A commit of a record ended.
     Committed(ServiceId, Term, Result<Commit, Error>),
     /// A service's record was read.
@@ -133,7 +133,7 @@
     /// When what is due was last looked at.
     ticked: Duration,
     /// Requests by service and key that keepers weren't told of yet.
-    counts: IndexMap<ServiceId, Vec<(ShardKey, u32)>>,
+    counts: IndexMap<ServiceId, Vec<(RequestKey, u32)>>,
     stopping: Option<oneshot::Sender<()>>,
 }
 
@@ -253,7 +253,7 @@
         &mut self,
         service: &str,
         term: Term,
-        from: ShardKey,
+        from: RequestKey,
         grant: bool,
         ending: CallOutcome,
     ) {
--- a/engine/src/owner/manager/updates.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -6,13 +6,13 @@
 use crate::{
     catalogue::{ServiceId, TargetHash},
     fleet::Fleet,
-    owner::{calls, ownership::Event, record::ShardKey},
+    owner::{calls, ownership::Event, record::RequestKey},
 };
 
 impl Manager {
     pub(super) fn loaded(
         &mut self,
-        counts: Vec<(ServiceId, Vec<(ShardKey, u32)>)>,
+        counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
         times: &[(TargetHash, f64, u32)],
     ) {
         let now = self.now();
--- a/engine/src/owner/ownership/call_outcomes.rs
+++ b/engine/src/owner/ownership/call_outcomes.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use super::{AGAIN, CallOutcome, Effect, ServiceOwnership};
-use crate::owner::{range_state::Phase, record::ShardKey};
+use crate::owner::{range_state::Phase, record::RequestKey};
 
 /// How many grants in a row may go unanswered until only releases are tried.
 ///
@@ -20,7 +20,7 @@
     pub(super) fn granted(
         &mut self,
         now: Duration,
-        from: ShardKey,
+        from: RequestKey,
         ending: &CallOutcome,
         out: &mut Vec<Effect>,
     ) {
@@ -64,7 +64,7 @@
     pub(super) fn released(
         &mut self,
         now: Duration,
-        from: ShardKey,
+        from: RequestKey,
         ending: CallOutcome,
         out: &mut Vec<Effect>,
     ) {
@@ -107,7 +107,7 @@
     }
 
     /// The owner of a range has ended, and with it the hold of each range that it owned.
-    fn bury_all(&mut self, now: Duration, from: ShardKey, out: &mut Vec<Effect>) {
+    fn bury_all(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
         let owner = self.record.find(from).and_then(|part| part.owner.clone());
         let its = self.record.ranges.iter().filter(|part| part.owner == owner);
         // What a call is under way for is settled by that call's end.
@@ -115,14 +115,14 @@
             let live = self.live.get(&part.from);
             live.is_some_and(|live| !live.busy && !matches!(live.phase, Phase::Free(_)))
         });
-        let lost: Vec<ShardKey> = idle.map(|part| part.from).collect();
+        let lost: Vec<RequestKey> = idle.map(|part| part.from).collect();
         for from in lost {
             self.bury(now, from, out);
         }
     }
 
     /// A range's owner has ended. Its next life could be granted the range by an earlier manager.
-    fn bury(&mut self, now: Duration, from: ShardKey, out: &mut Vec<Effect>) {
+    fn bury(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
         if self.earlier.is_over(now) {
             return self.lose(now, from, "its life ended", out);
         }
@@ -141,7 +141,13 @@
     }
 
     /// Frees a range whose owner can't hold it any more.
-    pub(super) fn lose(&mut self, now: Duration, from: ShardKey, why: &str, out: &mut Vec<Effect>) {
+    pub(super) fn lose(
+        &mut self,
+        now: Duration,
+        from: RequestKey,
+        why: &str,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(live) = self.live.get_mut(&from) else {
             return;
         };
--- a/engine/src/owner/ownership/commit.rs
+++ b/engine/src/owner/ownership/commit.rs
@@ -8,7 +8,7 @@
 use crate::owner::{
     balance::{self, Candidate, Move},
     range_state::{Live, Phase, lasting},
-    record::{Fence, Incarnation, KeyRange, Record, ShardKey},
+    record::{Fence, Incarnation, KeyRange, Record, RequestKey},
 };
 
 /// The longest pause between two tries of a commit: each call to a store that is down is paid for.
@@ -185,7 +185,7 @@
 }
 
 /// Joins neighbours that are alike in owner and fence and that nothing is under way for.
-fn join(record: &mut Record, live: &mut IndexMap<ShardKey, Live>) {
+fn join(record: &mut Record, live: &mut IndexMap<RequestKey, Live>) {
     let calm = |live: Option<&Live>| live.is_some_and(|it| it.phase == Phase::Held && !it.busy);
     let mut ranges: Vec<KeyRange> = Vec::new();
     for part in record.ranges.drain(..) {
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -32,7 +32,7 @@
 use super::{
     load::Load,
     range_state::{Live, Phase, shrunk},
-    record::{Incarnation, Record, ShardKey, Term},
+    record::{Incarnation, Record, RequestKey, Term},
 };
 use crate::{
     catalogue::{Target, TargetId},
@@ -92,7 +92,7 @@
     lease: Duration,
     /// Managers of earlier terms.
     earlier: Earlier,
-    live: IndexMap<ShardKey, Live>,
+    live: IndexMap<RequestKey, Live>,
     targets: IndexMap<TargetId, Target>,
     shunned: IndexMap<Incarnation, Duration>,
     /// Until when targets bear few requests: they are cold.
@@ -269,7 +269,7 @@
     }
 
     fn free_lapsed(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let lapsed: Vec<ShardKey> = self
+        let lapsed: Vec<RequestKey> = self
             .live
             .iter()
             .filter(|(_, live)| !live.busy && !matches!(live.phase, Phase::Free(_)))
--- a/engine/src/owner/packed.rs
+++ b/engine/src/owner/packed.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
-use super::record::{Error, Fence, Incarnation, KeyRange, Record, ShardKey, Term};
+use super::record::{Error, Fence, Incarnation, KeyRange, Record, RequestKey, Term};
 
 /// A range; it begins where the one before it ends.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
@@ -59,7 +59,7 @@
     /// [`Error::InvalidRange`] when a range has no width, goes beyond the last number, or names no owner
     /// of the table.
     pub(super) fn unpack(self) -> Result<Record, Error> {
-        let mut from: ShardKey = 0;
+        let mut from: RequestKey = 0;
         let mut ranges = Vec::with_capacity(self.ranges.len());
         for (place, part) in self.ranges.iter().enumerate() {
             let last = part.width.checked_sub(1);
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -9,7 +9,7 @@
 use crate::catalogue::{StartTime, Target, TargetId};
 
 /// A key's place.
-pub type ShardKey = u64;
+pub type RequestKey = u64;
 /// A fencing token; a target refuses a grant below one that it has seen.
 pub type Fence = u64;
 /// A manager's turn; each takeover adds one.
@@ -80,9 +80,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRange {
     /// The first key.
-    pub from: ShardKey,
+    pub from: RequestKey,
     /// The last key.
-    pub to: ShardKey,
+    pub to: RequestKey,
     /// The fence of the owner's grant.
     pub fence: Fence,
     /// The owner; none while nobody may be granted the range.
@@ -132,7 +132,7 @@
     ///
     /// assert_eq!(Record::unowned(65_535).parts[0].width(), 65_536);
     /// ```
-    pub fn unowned(last: ShardKey) -> Self {
+    pub fn unowned(last: RequestKey) -> Self {
         let whole = KeyRange {
             from: 0,
             to: last,
@@ -170,7 +170,7 @@
     /// assert_eq!(Record::unowned(9).find(3).unwrap().to, 9);
     /// assert!(Record::unowned(9).find(10).is_none());
     /// ```
-    pub fn find(&self, point: ShardKey) -> Option<&KeyRange> {
+    pub fn find(&self, point: RequestKey) -> Option<&KeyRange> {
         let index = self.ranges.partition_point(|part| part.to < point);
         self.ranges.get(index).filter(|part| part.from <= point)
     }
@@ -189,14 +189,14 @@
     /// let bounds: Vec<_> = record.ranges.iter().map(|part| (part.from, part.to)).collect();
     /// assert_eq!(bounds, [(0, 2), (3, 5), (6, 9)]);
     /// ```
-    pub fn split(&mut self, from: ShardKey, to: ShardKey) {
+    pub fn split(&mut self, from: RequestKey, to: RequestKey) {
         self.cut_before(from);
         if let Some(next) = to.checked_add(1) {
             self.cut_before(next);
         }
     }
 
-    fn cut_before(&mut self, point: ShardKey) {
+    fn cut_before(&mut self, point: RequestKey) {
         let index = self.ranges.partition_point(|part| part.to < point);
         let Some(part) = self.ranges.get_mut(index) else {
             return;
--- a/engine/src/owner/redistribution.rs
+++ b/engine/src/owner/redistribution.rs
@@ -16,7 +16,7 @@
 use super::{
     balance::{Candidate, Move},
     load::Load,
-    record::{Incarnation, Record, ShardKey},
+    record::{Incarnation, Record, RequestKey},
 };
 
 /// From how many requests on the load is taken as known: with fifteen targets, three each.
@@ -59,7 +59,7 @@
 /// assert!(moves[0].from < 20 && moves[0].to == 49);
 /// ```
 pub fn plan(record: &Record, holders: &[Candidate], load: &Load) -> Vec<Move> {
-    let total = load.rate(0, ShardKey::MAX);
+    let total = load.rate(0, RequestKey::MAX);
     let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
     let uneven = excess(record, holders, load) > total * EXCESS;
     if load.request_count() < COUNTED_LEAST || total < capacity * USED_LEAST || !uneven {
@@ -115,11 +115,11 @@
 /// Cuts all keys into one run for each holder, by load and a little by width.
 fn cut(
     holders: &[&Candidate],
-    last: ShardKey,
+    last: RequestKey,
     load: &Load,
     total: f64,
     capacity: f64,
-) -> Vec<(ShardKey, ShardKey, Incarnation)> {
+) -> Vec<(RequestKey, RequestKey, Incarnation)> {
     let keys = last as f64 + 1.0;
     let per_key = total * EVEN_PART / (1.0 - EVEN_PART) / keys;
     let whole = total + per_key * keys;
@@ -139,7 +139,7 @@
                 let (key, rate) = busy.get(next).copied().unwrap_or((last + 1, 0.0));
                 let gap = (key.saturating_sub(point)) as f64 * per_key;
                 if given + gap >= wanted {
-                    let steps = ((wanted - given) / per_key).max(0.0) as ShardKey;
+                    let steps = ((wanted - given) / per_key).max(0.0) as RequestKey;
                     given += steps as f64 * per_key;
                     point = (point + steps).min(last);
                     break;
@@ -171,8 +171,8 @@
 /// The pieces of a run that belong to others.
 fn changed(
     record: &Record,
-    from: ShardKey,
-    to: ShardKey,
+    from: RequestKey,
+    to: RequestKey,
     owner: &Incarnation,
     moves: &mut Vec<Move>,
 ) {
--- a/engine/src/owner/tally.rs
+++ b/engine/src/owner/tally.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
-use super::record::ShardKey;
+use super::record::RequestKey;
 use crate::catalogue::ServiceId;
 
 /// Counts requests by service and key; clones share the counts.
@@ -19,7 +19,7 @@
 /// assert!(tally.take().is_empty());
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Tally(Rc<RefCell<HashMap<ServiceId, HashMap<ShardKey, u32>>>>);
+pub struct Tally(Rc<RefCell<HashMap<ServiceId, HashMap<RequestKey, u32>>>>);
 
 impl Tally {
     /// Counts one request.
@@ -27,7 +27,7 @@
     /// # Example
     ///
     /// See [`Tally`].
-    pub fn count(&self, service: &str, point: ShardKey) {
+    pub fn count(&self, service: &str, point: RequestKey) {
         let mut counts = self.0.borrow_mut();
         if let Some(keys) = counts.get_mut(service) {
             *keys.entry(point).or_default() += 1;
@@ -41,7 +41,7 @@
     /// # Example
     ///
     /// See [`Tally`].
-    pub fn take(&self) -> Vec<(ServiceId, Vec<(ShardKey, u32)>)> {
+    pub fn take(&self) -> Vec<(ServiceId, Vec<(RequestKey, u32)>)> {
         let counts = std::mem::take(&mut *self.0.borrow_mut());
         let list = counts
             .into_iter()
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -25,7 +25,7 @@
 use crate::{
     catalogue::{ServiceId, TargetHash},
     fleet::{LogPosition, Relay},
-    owner::record::ShardKey,
+    owner::record::RequestKey,
     placement::{
         quota::{Quota, TargetQueue},
         rates::RateReport,
@@ -73,7 +73,7 @@
     /// How far it has followed the store itself, by prefix; empty once it follows the journal.
     pub followed: IndexMap<String, Revision>,
     /// Requests by service and key since the last message.
-    pub counts: Vec<(ServiceId, Vec<(ShardKey, u32)>)>,
+    pub counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
     /// Sums and counts of service times without waiting, in seconds, since the last message.
     pub times: Vec<(TargetHash, f64, u32)>,
     /// The rates that targets have named to it, or to others as it was told.
--- a/engine/src/placement/completion.rs
+++ b/engine/src/placement/completion.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    owner::record::{Fence, ShardKey},
+    owner::record::{Fence, RequestKey},
     target::LoadReport,
 };
 
@@ -40,5 +40,5 @@
     /// The load that the target reported.
     pub load: Option<LoadReport>,
     /// The request's key and the fence of its owner, where its service has owners.
-    pub ownership: Option<(ShardKey, Fence)>,
+    pub ownership: Option<(RequestKey, Fence)>,
 }
--- a/engine/src/placement/dispatch/choose.rs
+++ b/engine/src/placement/dispatch/choose.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     catalogue::{Target, TargetId},
-    owner::record::{Record, ShardKey},
+    owner::record::{Record, RequestKey},
     placement::{
         quota::Quota,
         refused_keys,
@@ -77,7 +77,7 @@
         now: Duration,
         ask: &DispatchRequest,
         standing: Standing,
-        point: ShardKey,
+        point: RequestKey,
         record: &Record,
     ) -> Choice {
         let Some(part) = record.find(point) else {
--- a/engine/src/placement/message.rs
+++ b/engine/src/placement/message.rs
@@ -18,7 +18,7 @@
 use crate::{
     catalogue::{ServiceId, Target, TargetHash, TargetId, Warmup},
     fleet::VmId,
-    owner::record::{Fence, KeyRange, Record, ShardKey},
+    owner::record::{Fence, KeyRange, Record, RequestKey},
     target::Rate,
 };
 
@@ -33,7 +33,7 @@
     /// The service.
     pub service: ServiceId,
     /// The key, where the service's keys have owners.
-    pub point: Option<ShardKey>,
+    pub point: Option<RequestKey>,
     /// Its rank; 0 is the highest.
     pub priority: u32,
     /// When it came.
@@ -136,7 +136,7 @@
     /// The target that was looked at, if there was one.
     pub target: TargetId,
     /// The request's key, where its service has owners.
-    pub point: Option<ShardKey>,
+    pub point: Option<RequestKey>,
     /// How many requests were probably there.
     pub depth: f64,
     /// How long an answer would probably have taken.
--- a/engine/src/placement/refused_keys.rs
+++ b/engine/src/placement/refused_keys.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     catalogue::ServiceId,
-    owner::record::{Fence, KeyRange, ShardKey},
+    owner::record::{Fence, KeyRange, RequestKey},
 };
 
 /// How long a key whose owner has refused it counts as moving at first, unless a newer owner is known.
@@ -28,7 +28,7 @@
 const MOVE_MOST: Duration = Duration::from_millis(400);
 
 /// A range of keys, by service and its first key.
-type RangeId = (ServiceId, ShardKey);
+type RangeId = (ServiceId, RequestKey);
 
 /// When something that was refused may be asked for again.
 #[derive(Clone, Copy, Debug)]
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 struct Refused {
     fence: Fence,
-    keys: HashMap<ShardKey, Asking>,
+    keys: HashMap<RequestKey, Asking>,
     /// How many refusals came in a row.
     count: u32,
     all: Option<Asking>,
@@ -108,7 +108,7 @@
         now: Duration,
         service: &str,
         part: &KeyRange,
-        point: ShardKey,
+        point: RequestKey,
     ) -> KeyState {
         let Some(range) = self.range(service, part) else {
             return KeyState::Open;
@@ -127,7 +127,7 @@
     /// # Example
     ///
     /// See [`Unowned`].
-    pub fn sent(&mut self, now: Duration, service: &str, part: &KeyRange, point: ShardKey) {
+    pub fn sent(&mut self, now: Duration, service: &str, part: &KeyRange, point: RequestKey) {
         if self.ranges.is_empty() {
             return;
         }
@@ -148,7 +148,7 @@
     /// # Example
     ///
     /// See [`Unowned`].
-    pub fn refused(&mut self, now: Duration, service: &str, part: &KeyRange, point: ShardKey) {
+    pub fn refused(&mut self, now: Duration, service: &str, part: &KeyRange, point: RequestKey) {
         let fresh = || Refused {
             fence: part.fence,
             keys: HashMap::new(),
@@ -186,7 +186,7 @@
     /// unowned.taken("s", &part, 7);
     /// assert_eq!(unowned.standing(Duration::ZERO, "s", &part, 7), KeyState::Open);
     /// ```
-    pub fn taken(&mut self, service: &str, part: &KeyRange, point: ShardKey) {
+    pub fn taken(&mut self, service: &str, part: &KeyRange, point: RequestKey) {
         let id = (service.to_owned(), part.from);
         let Some(range) = self.ranges.get_mut(&id) else {
             return;
@@ -205,7 +205,7 @@
     /// Forgets ranges that have changed; `find` returns the range of a key as it stands now.
     pub fn keep<'a, F>(&mut self, find: F)
     where
-        F: Fn(&str, ShardKey) -> Option<&'a KeyRange>,
+        F: Fn(&str, RequestKey) -> Option<&'a KeyRange>,
     {
         self.ranges.retain(|(service, from), range| {
             find(service, *from).is_some_and(|part| part.fence == range.fence)
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -8,7 +8,7 @@
     catalogue::TargetId,
     owner::{
         ownership::{CallOutcome, OwnershipCommand},
-        record::ShardKey,
+        record::RequestKey,
     },
 };
 
@@ -64,7 +64,7 @@
 /// How targets are spoken to; implemented once for each dialect.
 pub trait TargetProtocol {
     /// Returns the last key; the first is 0.
-    fn last_point(&self) -> ShardKey;
+    fn last_point(&self) -> RequestKey;
 
     /// Sets the headers of a request that is sent to a target with the time that is left.
     fn set_headers(&self, headers: &mut HeaderMap, target: &TargetId, left: Duration);
--- a/engine/tests/balance.rs
+++ b/engine/tests/balance.rs
@@ -6,12 +6,12 @@
 use bramleypier_engine::owner::{
     balance::{self, Candidate, Move},
     load::Load,
-    record::{Incarnation, KeyRange, Record, ShardKey},
+    record::{Incarnation, KeyRange, Record, RequestKey},
     redistribution,
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-const LAST: ShardKey = 65_535;
+const LAST: RequestKey = 65_535;
 /// The pause between two rounds of moves.
 const ROUND: Duration = Duration::from_millis(400);
 
@@ -83,7 +83,7 @@
 /// Requests at a rate for some seconds, on keys drawn by `key`.
 fn requests<F>(load: &mut Load, from: Duration, seconds: u64, rate: u64, mut key: F)
 where
-    F: FnMut() -> ShardKey,
+    F: FnMut() -> RequestKey,
 {
     for tick in 0..seconds * 25 {
         let now = from + Duration::from_millis(tick * 40);
--- a/engine/tests/keeper.rs
+++ b/engine/tests/keeper.rs
@@ -6,7 +6,7 @@
     catalogue::Target,
     owner::{
         ownership::{CallOutcome, Effect, Event, OwnershipCommand, ServiceOwnership, Timing},
-        record::{Incarnation, KeyRange, Record, ShardKey},
+        record::{Incarnation, KeyRange, Record, RequestKey},
     },
 };
 
@@ -17,7 +17,7 @@
     renew_interval: Duration::from_millis(1300),
     latest_expiry: Duration::from_secs(12),
 };
-const LAST: ShardKey = 99;
+const LAST: RequestKey = 99;
 
 fn target(number: u16) -> Target {
     Target {
@@ -108,12 +108,12 @@
     let soon = now + Duration::from_millis(100);
     assert!(grants(&ownership.on(soon, Event::Tick)).is_empty());
     let effects = ownership.on(soon, Event::ConnectionClosed(target(1).address));
-    let expected: Vec<ShardKey> = granted
+    let expected: Vec<RequestKey> = granted
         .iter()
         .filter(|order| order.owner.id == "t1")
         .map(|order| order.from)
         .collect();
-    let sent: Vec<ShardKey> = grants(&effects).iter().map(|order| order.from).collect();
+    let sent: Vec<RequestKey> = grants(&effects).iter().map(|order| order.from).collect();
     assert_eq!(sent, expected);
 }
 
@@ -182,7 +182,7 @@
     }
 }
 
-fn releases(effects: &[Effect]) -> Vec<ShardKey> {
+fn releases(effects: &[Effect]) -> Vec<RequestKey> {
     let orders = effects.iter().filter_map(|effect| match effect {
         Effect::Release(order) => Some(order.from),
         _ => None,
@@ -262,7 +262,7 @@
     let (mut ownership, _, now) = ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
-    let mut first: Option<(ShardKey, Duration)> = None;
+    let mut first: Option<(RequestKey, Duration)> = None;
     let mut second = None;
     while at < now + Duration::from_secs(6) && second.is_none() {
         at += step;
@@ -290,7 +290,7 @@
 }
 
 /// The bounds of a move that has begun and its new owner, from its line in the log.
-fn begun(effect: &Effect) -> Option<(ShardKey, ShardKey, String)> {
+fn begun(effect: &Effect) -> Option<(RequestKey, RequestKey, String)> {
     let Effect::Log(note) = effect else {
         return None;
     };
--- a/engine/tests/misdirected.rs
+++ b/engine/tests/misdirected.rs
@@ -11,7 +11,7 @@
 
 use bramleypier_engine::{
     catalogue::{Target, TargetId},
-    owner::record::{Fence, Incarnation, KeyRange, Record, ShardKey},
+    owner::record::{Fence, Incarnation, KeyRange, Record, RequestKey},
     placement::{
         budget::Allowance,
         dispatch::{
@@ -127,7 +127,7 @@
         }
     }
 
-    fn request(&mut self, now: u64, ticket: Ticket, point: ShardKey, seen: &mut Seen) {
+    fn request(&mut self, now: u64, ticket: Ticket, point: RequestKey, seen: &mut Seen) {
         let ask = DispatchRequest {
             ticket,
             service: "keyed".to_owned(),
--- a/engine/tests/ownership_world/mod.rs
+++ b/engine/tests/ownership_world/mod.rs
@@ -7,7 +7,7 @@
 
 use bramleypier_engine::owner::{
     ownership::{CallOutcome, Effect, Event, ServiceOwnership, Timing},
-    record::{Record, ShardKey},
+    record::{Record, RequestKey},
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -72,7 +72,7 @@
     Unanswered(u8),
     WritesLost(u8),
     Load {
-        key: ShardKey,
+        key: RequestKey,
         count: u32,
     },
     Heal,
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 enum Heard {
     Called {
-        from: ShardKey,
+        from: RequestKey,
         grant: bool,
         ending: CallOutcome,
     },
@@ -179,7 +179,7 @@
     }
 
     /// Keys that no target holds.
-    pub fn unheld(&self) -> Vec<ShardKey> {
+    pub fn unheld(&self) -> Vec<RequestKey> {
         (0..=LAST)
             .filter(|key| self.targets.holders(*key, self.now).is_empty())
             .collect()
@@ -221,7 +221,7 @@
         }
     }
 
-    fn load(&mut self, key: ShardKey, count: u32) {
+    fn load(&mut self, key: RequestKey, count: u32) {
         for vm in 0..self.vms.len() {
             self.feed(vm, Event::Load(vec![(key, count)]));
         }
--- a/engine/tests/ownership_world/targets.rs
+++ b/engine/tests/ownership_world/targets.rs
@@ -6,12 +6,12 @@
     catalogue::Target,
     owner::{
         ownership::{CallOutcome, OwnershipCommand},
-        record::{Fence, Incarnation, ShardKey},
+        record::{Fence, Incarnation, RequestKey},
     },
 };
 
 /// The last key.
-pub const LAST: ShardKey = 15;
+pub const LAST: RequestKey = 15;
 /// How much slower than true a target's clock runs.
 const SLOW: f64 = 1.02;
 /// The time of one step.
@@ -23,7 +23,7 @@
     down_for: u32,
     announced: bool,
     /// The highest fence seen, and the end of the hold, by key.
-    holds: HashMap<ShardKey, (Fence, Duration)>,
+    holds: HashMap<RequestKey, (Fence, Duration)>,
 }
 
 /// A grant that is applied later; its hold counts from its arrival.
@@ -144,7 +144,7 @@
         if !own.up {
             return CallOutcome::Gone;
         }
-        let higher = |key: ShardKey| {
+        let higher = |key: RequestKey| {
             own.holds
                 .get(&key)
                 .is_some_and(|(seen, _)| *seen > order.fence)
@@ -187,7 +187,7 @@
     }
 
     /// The targets that hold a key.
-    pub fn holders(&self, key: ShardKey, now: Duration) -> Vec<String> {
+    pub fn holders(&self, key: RequestKey, now: Duration) -> Vec<String> {
         let holds = |own: &&Own| own.holds.get(&key).is_some_and(|(_, until)| now < *until);
         let holders = self.all.iter().filter(|own| own.up).filter(holds);
         holders.map(|own| own.target.id.clone()).collect()
--- a/engine/tests/rate_world/mod.rs
+++ b/engine/tests/rate_world/mod.rs
@@ -4,7 +4,7 @@
 
 use bramleypier_engine::{
     catalogue::{self, Target},
-    owner::record::{Incarnation, KeyRange, Record, ShardKey},
+    owner::record::{Incarnation, KeyRange, Record, RequestKey},
     peer::FleetLoad,
     placement::{
         budget::Allowance,
@@ -92,7 +92,7 @@
     }
 }
 
-pub fn ask(ticket: Ticket, now: Duration, point: Option<ShardKey>) -> DispatchRequest {
+pub fn ask(ticket: Ticket, now: Duration, point: Option<RequestKey>) -> DispatchRequest {
     DispatchRequest {
         ticket,
         service: "s".to_owned(),
