--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -130,7 +130,7 @@
     /// ```
     /// use bramleypier_engine::owner::record::Record;
     ///
-    /// assert_eq!(Record::unowned(65_535).parts[0].width(), 65_536);
+    /// assert_eq!(Record::unowned(65_535).ranges[0].width(), 65_536);
     /// ```
     pub fn unowned(last: RequestKey) -> Self {
         let whole = KeyRange {
