--- a/util/src/body.rs
+++ b/util/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of messages: whole, or streamed from another connection with bounded memory.
+//! Bodies of HTTP messages: whole in memory, or streamed from another connection with bounded memory.
 
 use std::{
     error, fmt,
@@ -9,14 +9,14 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body as HttpBody, Bytes, Frame, Incoming, SizeHint};
 
-/// What can go wrong in a body under way.
+/// Why a body could not be read or sent completely.
 pub type Cause = Box<dyn error::Error + Send + Sync>;
 
 /// A body that hyper can send.
 pub enum Body {
-    /// All of it at once.
+    /// The whole body in memory.
     Whole(Full<Bytes>),
-    /// Passed on frame by frame.
+    /// A stream that is forwarded frame by frame.
     Stream(Pin<Box<dyn HttpBody<Data = Bytes, Error = Cause>>>),
 }
 
@@ -35,7 +35,7 @@
         Self::from(Bytes::new())
     }
 
-    /// Passes another body on.
+    /// Creates a body that forwards the frames of another one.
     pub fn stream<B>(body: B) -> Self
     where
         B: HttpBody<Data = Bytes, Error = Cause> + 'static,
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// The body is longer than the limit, or it was cut short.
+/// The body is longer than the limit, or it was truncated.
 pub async fn read(body: Incoming, limit: usize) -> Result<Bytes, Cause> {
     let whole = Limited::new(body, limit).collect().await?;
     Ok(whole.to_bytes())
--- a/util/src/client.rs
+++ b/util/src/client.rs
@@ -1,7 +1,8 @@
-//! An HTTP/1.1 client that knows whether a byte of a request left.
+//! An HTTP/1.1 client with a bounded connection pool per address.
 //!
-//! A connection's task owns the socket; this side talks to it by hyper's channel. Connections are
-//! kept and used again, and their number per address is bounded.
+//! On a failure it reports whether any byte of the request was sent, so that callers know which
+//! requests certainly did not run. Each connection has a task that owns the socket and exchanges
+//! messages with the client through hyper's channel.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,44 +25,44 @@
     body::Body,
     clock::Clock,
     headers, socket,
-    stream::{Stream, Watch},
+    stream::{Stream, StreamObserver},
 };
 
-/// How long a new connection may take.
+/// The timeout for opening a connection.
 ///
-/// Peers are a few milliseconds apart. An opening packet that is lost is sent again after a second
-/// only, so waiting longer gains nothing, and a peer behind a cut never answers.
+/// Peers are a few milliseconds apart. A lost SYN is retransmitted only after one second, so waiting
+/// longer gains nothing, and a peer behind a network partition never responds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// How lately a connection must have been used for its end to tell of the peer's process.
+/// How recently a connection must have been used for its close to indicate that the peer's process ended.
 ///
-/// One that was idle for longer may have met the peer's idle timeout, of which 2 s is the least
-/// that a server can announce and still be of use to a caller of once a second.
-const USED_WITHIN: Duration = Duration::from_millis(1500);
+/// A connection that was idle for longer may have reached the peer's idle timeout. The shortest timeout that
+/// a server can announce and that still lets a client with one request per second reuse its connection is 2 s.
+const RECENT_USE: Duration = Duration::from_millis(1500);
 
 quick_error! {
-    /// Why a request got no answer.
+    /// Why a request got no response.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection came about; nothing was sent.
+        /// No connection could be opened; nothing was sent.
         Connect(peer: SocketAddr, cause: io::Error) {
             display("connect to {peer}: {cause}")
             source(cause)
         }
-        /// Every connection that may be open is in use; nothing was sent.
+        /// The maximum number of connections is in use; nothing was sent.
         Busy(peer: SocketAddr) {
             display("connect to {peer}: all connections are in use")
         }
-        /// The connection failed before a byte of the request left.
+        /// The connection failed before any byte of the request was sent.
         Unsent(peer: SocketAddr, cause: hyper::Error) {
             display("send to {peer}: {cause}; nothing was sent")
             source(cause)
         }
-        /// The connection failed after some of the request may have arrived.
+        /// The connection failed after a part of the request may have arrived.
         Broken(peer: SocketAddr, cause: hyper::Error) {
             display("answer from {peer}: {cause}")
             source(cause)
         }
-        /// The time ran out; `sent` tells whether a byte left.
+        /// The timeout expired; `sent` is false if certainly no byte of the request was sent.
         Timeout(peer: SocketAddr, sent: bool) {
             display("answer from {peer}: timed out, sent={sent}")
         }
@@ -69,12 +70,12 @@
 }
 
 impl Error {
-    /// Returns whether nobody listens at the peer's address.
+    /// Returns whether the connection was refused, as when no process listens at the address.
     pub fn is_refused(&self) -> bool {
         matches!(self, Self::Connect(_, cause) if cause.kind() == io::ErrorKind::ConnectionRefused)
     }
 
-    /// Returns whether it is certain that no byte of the request left.
+    /// Returns whether it is certain that no byte of the request was sent.
     pub fn unsent(&self) -> bool {
         match self {
             Self::Connect(..) | Self::Busy(_) | Self::Unsent(..) => true,
@@ -84,23 +85,27 @@
     }
 }
 
-/// A connection's sending side.
+/// The client's end of a pooled connection.
 struct Connection {
     sender: SendRequest<Body>,
+    /// How many bytes were written to the socket.
     written: Rc<Cell<u64>>,
-    /// When it was last used, once the peer has answered on it and goes on listening.
-    used: Rc<Cell<Option<Duration>>>,
+    /// When it was last used; none before the first response, and after one that announced the close.
+    last_used: Rc<Cell<Option<Duration>>>,
 }
 
-/// Connections by address.
+/// A client with a connection pool for each address; clones share the pools.
 #[derive(Clone)]
 pub struct Client {
     clock: Clock,
+    /// The maximum number of open connections per address.
     limit: usize,
     opened: Rc<Cell<u64>>,
-    connections: Rc<RefCell<IndexMap<SocketAddr, Vec<Connection>>>>,
-    connecting: Rc<RefCell<IndexMap<SocketAddr, usize>>>,
-    /// When peers last closed a connection that was in use.
+    /// Connections for reuse; each can be reused once its last response has been read.
+    pool: Rc<RefCell<IndexMap<SocketAddr, Vec<Connection>>>>,
+    /// The number of open connections, including those being opened.
+    open_counts: Rc<RefCell<IndexMap<SocketAddr, usize>>>,
+    /// When each peer last closed a connection that had been used recently.
     closed: Rc<RefCell<IndexMap<SocketAddr, Duration>>>,
 }
 
@@ -119,80 +124,82 @@
             clock,
             limit,
             opened: Rc::default(),
-            connections: Rc::default(),
-            connecting: Rc::default(),
+            pool: Rc::default(),
+            open_counts: Rc::default(),
             closed: Rc::default(),
         }
     }
 
-    /// Returns how many connections were opened so far.
+    /// Returns how many connections have been opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Returns when the peer last closed a connection on which it had just answered.
+    /// Returns when the peer last closed a connection on which it had recently responded.
     ///
-    /// An orderly end is sent by the system of the peer's VM when its process ends, and by no
-    /// path between. A reset, an announced end and an idle timeout don't count.
+    /// Such a close indicates that the peer's process has ended: the operating system of the peer's
+    /// VM then sends a FIN, which no device on the network path sends by itself. A reset, a close
+    /// that the peer announced and an idle timeout are not counted.
     pub fn last_closed(&self, peer: SocketAddr) -> Option<Duration> {
         self.closed.borrow().get(&peer).copied()
     }
 
-    /// Returns the peers that closed a connection in use after `since`; see [`Client::last_closed`].
+    /// Returns the peers that closed a recently used connection after `since`; see [`Client::last_closed`].
     pub fn peers_closed_since(&self, since: Duration) -> Vec<SocketAddr> {
         let closed = self.closed.borrow();
-        let later = closed.iter().filter(|(_, at)| **at > since);
-        later.map(|(peer, _)| *peer).collect()
+        let recent = closed.iter().filter(|(_, at)| **at > since);
+        recent.map(|(peer, _)| *peer).collect()
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits up to `timeout` for the head of the response.
     ///
     /// # Errors
     ///
-    /// See [`Error`]; [`Error::unsent`] tells whether the peer can't have seen any of it.
+    /// See [`Error`]; if [`Error::unsent`] is true, the peer has received no part of the request.
     pub async fn send(
         &self,
         peer: SocketAddr,
         request: Request<Body>,
-        span: Duration,
+        timeout: Duration,
     ) -> Result<Response<Incoming>, Error> {
         let sent = Rc::new(Cell::new(false));
-        let work = self.exchange(peer, request, sent.clone());
-        match self.clock.timeout(span, work).await {
+        let exchange = self.exchange(peer, request, sent.clone());
+        match self.clock.timeout(timeout, exchange).await {
             Ok(result) => result,
             Err(_) => Err(Error::Timeout(peer, sent.get())),
         }
     }
 
-    /// Sends on a kept connection, or on a new one.
+    /// Sends a request on a pooled connection, or on a new one.
     async fn exchange(
         &self,
         peer: SocketAddr,
         request: Request<Body>,
         sent: Rc<Cell<bool>>,
     ) -> Result<Response<Incoming>, Error> {
-        let mut connection = match self.kept(peer) {
+        let mut connection = match self.take_pooled(peer) {
             Some(connection) => connection,
             None => self.open(peer).await?,
         };
-        // From here on a byte may leave at any time; when this future is dropped half-way
-        // only the count of written bytes could tell, so `sent` errs towards having sent.
-        let before = connection.written.get();
+        // From here on a byte may be sent at any time. If the timeout drops this future, the number of
+        // written bytes is not checked any more, so `sent` is set in advance.
+        let written_before = connection.written.get();
         sent.set(true);
-        if connection.used.get().is_some() {
-            connection.used.set(Some(self.clock.now()));
+        if connection.last_used.get().is_some() {
+            connection.last_used.set(Some(self.clock.now()));
         }
         let result = connection.sender.try_send_request(request).await;
-        let unsent = connection.written.get() == before;
+        let unsent = connection.written.get() == written_before;
         match result {
             Ok(response) => {
-                let used = (!headers::closes(response.headers())).then(|| self.clock.now());
-                connection.used.set(used);
-                self.keep(peer, connection);
+                let last_used =
+                    (!headers::closes_connection(response.headers())).then(|| self.clock.now());
+                connection.last_used.set(last_used);
+                self.return_to_pool(peer, connection);
                 Ok(response)
             }
-            Err(failure) => {
-                let cause = failure.into_error();
+            Err(error) => {
+                let cause = error.into_error();
                 if unsent {
                     Err(Error::Unsent(peer, cause))
                 } else {
@@ -202,10 +209,10 @@
         }
     }
 
-    /// Takes a kept connection that is ready for another request.
-    fn kept(&self, peer: SocketAddr) -> Option<Connection> {
-        let mut connections = self.connections.borrow_mut();
-        let list = connections.get_mut(&peer)?;
+    /// Takes a pooled connection that is ready for another request, and removes closed ones.
+    fn take_pooled(&self, peer: SocketAddr) -> Option<Connection> {
+        let mut pool = self.pool.borrow_mut();
+        let list = pool.get_mut(&peer)?;
         list.retain(|connection| !connection.sender.is_closed());
         let index = list
             .iter()
@@ -213,94 +220,94 @@
         Some(list.swap_remove(index))
     }
 
-    /// Gives a connection back; it becomes ready once its answer has been read.
-    fn keep(&self, peer: SocketAddr, connection: Connection) {
-        let mut connections = self.connections.borrow_mut();
-        connections.entry(peer).or_default().push(connection);
+    /// Returns a connection to the pool; it becomes ready once its response has been read.
+    fn return_to_pool(&self, peer: SocketAddr, connection: Connection) {
+        let mut pool = self.pool.borrow_mut();
+        pool.entry(peer).or_default().push(connection);
     }
 
-    /// Opens a connection, unless too many are open.
+    /// Opens a connection, unless the maximum number is open.
     async fn open(&self, peer: SocketAddr) -> Result<Connection, Error> {
-        let permit = Permit::take(self, peer).ok_or(Error::Busy(peer))?;
+        let permit = Permit::acquire(self, peer).ok_or(Error::Busy(peer))?;
         let stream = self
             .clock
             .timeout(CONNECT_TIMEOUT, TcpStream::connect(peer))
             .await
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .map_err(|cause| Error::Connect(peer, cause))?;
-        socket::prepare(&stream);
+        socket::set_options(&stream);
         socket::reset_on_close(&stream);
-        let used = Rc::new(Cell::new(None));
-        let passed = Passed::default();
-        let (sender, task) = http1::handshake(Stream::new(stream, passed.clone()))
+        let last_used = Rc::new(Cell::new(None));
+        let state = StreamState::default();
+        let (sender, task) = http1::handshake(Stream::new(stream, state.clone()))
             .await
             .map_err(|cause| Error::Unsent(peer, cause))?;
         self.opened.set(self.opened.get() + 1);
-        let (client, last, ended) = (self.clone(), used.clone(), passed.ended);
+        let (client, used, ended) = (self.clone(), last_used.clone(), state.ended);
         compio::runtime::spawn(async move {
-            // The sender hears of a failure by itself.
+            // A failure is also returned to the request's sender.
             let _ = task.await;
             if ended.get() {
-                client.note_closed(peer, last.get());
+                client.record_close(peer, used.get());
             }
             drop(permit);
         })
         .detach();
         Ok(Connection {
             sender,
-            written: passed.written,
-            used,
+            written: state.written,
+            last_used,
         })
     }
 
-    /// Takes note of an orderly end by the peer, if the connection was in use.
-    fn note_closed(&self, peer: SocketAddr, used: Option<Duration>) {
+    /// Records that the peer closed a connection, if it had been used recently.
+    fn record_close(&self, peer: SocketAddr, last_used: Option<Duration>) {
         let now = self.clock.now();
-        if used.is_some_and(|used| now.saturating_sub(used) <= USED_WITHIN) {
+        if last_used.is_some_and(|used| now.saturating_sub(used) <= RECENT_USE) {
             self.closed.borrow_mut().insert(peer, now);
         }
     }
 }
 
-/// The right to one open connection; given back when its task ends.
+/// The permit for one open connection; released when the connection's task ends.
 struct Permit {
     peer: SocketAddr,
-    connecting: Rc<RefCell<IndexMap<SocketAddr, usize>>>,
+    open_counts: Rc<RefCell<IndexMap<SocketAddr, usize>>>,
 }
 
 impl Permit {
-    fn take(client: &Client, peer: SocketAddr) -> Option<Self> {
-        let mut open = client.connecting.borrow_mut();
-        let count = open.entry(peer).or_insert(0);
+    fn acquire(client: &Client, peer: SocketAddr) -> Option<Self> {
+        let mut counts = client.open_counts.borrow_mut();
+        let count = counts.entry(peer).or_insert(0);
         if *count >= client.limit {
             return None;
         }
         *count += 1;
         Some(Self {
             peer,
-            connecting: client.connecting.clone(),
+            open_counts: client.open_counts.clone(),
         })
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        if let Some(count) = self.connecting.borrow_mut().get_mut(&self.peer) {
+        if let Some(count) = self.open_counts.borrow_mut().get_mut(&self.peer) {
             *count -= 1;
         }
     }
 }
 
-/// What a connection's task tells of its stream.
+/// What is known of a connection's stream; it observes the stream.
 #[derive(Clone, Debug, Default)]
-struct Passed {
-    /// How many bytes have left.
+struct StreamState {
+    /// How many bytes were written.
     written: Rc<Cell<u64>>,
-    /// Whether the peer has ended the stream in order.
+    /// Whether the peer has closed the stream with a FIN.
     ended: Rc<Cell<bool>>,
 }
 
-impl Watch for Passed {
+impl StreamObserver for StreamState {
     fn on_read(&mut self, bytes: usize) {
         if bytes == 0 {
             self.ended.set(true);
--- a/util/src/clock.rs
+++ b/util/src/clock.rs
@@ -1,16 +1,16 @@
-//! The process's clock, which tests pause and advance.
+//! The process's monotonic clock, which tests can pause and advance.
 //!
 //! The runtime has no clock that can be paused, so this is a thin layer over its timers. Readings
-//! are [`Duration`]s since an origin of the process's own; they mean nothing to another process.
-//! The real clock keeps running while the process or its VM is frozen, so a lease that lapsed in a
-//! freeze is found lapsed on waking.
+//! are [`Duration`]s since an arbitrary origin and have no meaning in other processes. The real clock
+//! keeps running while the process or its VM is suspended, so a lease that expired during the suspension
+//! is seen as expired afterwards.
 
 use std::{cell::Cell, future, pin::pin, rc::Rc, time::Duration};
 
-use futures_util::future::{self as select, Either};
+use futures_util::future::{self as futures, Either};
 use rustix::time::{self as system, ClockId};
 
-/// A source of readings and timers.
+/// A source of the current time and of timers.
 ///
 /// # Example
 ///
@@ -25,11 +25,12 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Clock {
+    /// The reading of a paused clock; none for the real clock.
     paused: Option<Rc<Cell<Duration>>>,
 }
 
 impl Clock {
-    /// Creates the real clock: the time since the machine's boot, freezes included.
+    /// Creates the real clock: the time since the machine's boot, including suspension.
     ///
     /// # Example
     ///
@@ -43,7 +44,7 @@
         Self { paused: None }
     }
 
-    /// Creates a clock that stands at zero until it is advanced.
+    /// Creates a paused clock, which stays at zero until it is advanced.
     ///
     /// # Example
     ///
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Returns the reading now.
+    /// Returns the current reading.
     ///
     /// # Example
     ///
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Moves a paused clock forward; the real clock takes no notice.
+    /// Advances a paused clock; has no effect on the real clock.
     ///
     /// # Example
     ///
@@ -95,7 +96,7 @@
 
     /// Waits until `span` has passed on this clock.
     ///
-    /// On a paused clock it yields until another task has advanced the clock far enough.
+    /// On a paused clock it polls until another task has advanced the clock far enough.
     pub async fn sleep(&self, span: Duration) {
         let Some(reading) = &self.paused else {
             return compio::time::sleep(span).await;
@@ -111,29 +112,29 @@
         .await;
     }
 
-    /// Waits for a future, but no longer than `span` on this clock.
+    /// Waits for a future, but at most `span` on this clock.
     ///
     /// # Errors
     ///
-    /// [`Elapsed`] when the span has passed first; the future is dropped.
+    /// [`Elapsed`] if `span` passes first; the future is then dropped.
     pub async fn timeout<F>(&self, span: Duration, future: F) -> Result<F::Output, Elapsed>
     where
         F: Future,
     {
         let wait = pin!(self.sleep(span));
         let work = pin!(future);
-        match select::select(work, wait).await {
+        match futures::select(work, wait).await {
             Either::Left((output, _)) => Ok(output),
             Either::Right(_) => Err(Elapsed),
         }
     }
 }
 
-/// Why a wait ended without its result.
+/// The error of a timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Reads the clock that counts suspension too.
+/// Reads the system clock that also counts suspension.
 fn boot_time() -> Duration {
     let reading = system::clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(reading.tv_sec).unwrap_or(0);
--- a/util/src/decimal.rs
+++ b/util/src/decimal.rs
@@ -1,12 +1,14 @@
-//! Numbers of 64 bits as decimal strings, since JSON readers may keep only 53 bits.
+//! 64-bit numbers as decimal strings in JSON, for serde's `with`.
+//!
+//! JSON parsers may read numbers as floating point, which keeps only 53 bits.
 
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-/// Writes the number as a decimal string.
+/// Serializes a number as a decimal string.
 ///
 /// # Errors
 ///
-/// The serializer's own.
+/// The serializer's errors.
 #[allow(
     clippy::trivially_copy_pass_by_ref,
     reason = "serde's `with` passes a reference"
@@ -18,11 +20,11 @@
     serializer.collect_str(number)
 }
 
-/// Reads the number from a decimal string.
+/// Deserializes a number from a decimal string.
 ///
 /// # Errors
 ///
-/// The deserializer's own, or that the text is no number of 64 bits.
+/// The deserializer's errors, or the text is not a 64-bit number.
 pub fn deserialize<'de, D>(deserializer: D) -> Result<u64, D::Error>
 where
     D: Deserializer<'de>,
--- a/util/src/fields.rs
+++ b/util/src/fields.rs
@@ -1,29 +1,31 @@
-//! Tables of keys: what an INI text may hold, from which checks and documentation are made.
+//! Schemas of INI files: tables of the permitted sections and keys, with their types and defaults.
+//!
+//! A file is checked against its table, and the operators' documentation is generated from it.
 
 use std::{fmt, net::SocketAddr, str::FromStr};
 
 use crate::ini::{self, Fault, Section};
 
-/// The longest name of a thing.
+/// The maximum length of a name, in characters.
 pub const NAME_MAX: usize = 63;
 
-/// One key that a text may hold.
+/// One key of a schema.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Field {
-    /// The section; `class *` stands for each section `class NAME`.
+    /// The section; `class *` matches each section `class NAME`.
     pub section: &'static str,
     /// The key.
     pub key: &'static str,
-    /// What its value may be.
+    /// The type and range of its value.
     pub kind: Kind,
-    /// What holds when the key is missing.
+    /// What applies if the key is missing.
     pub preset: Preset,
-    /// One sentence for the operator.
+    /// One sentence for the operators' documentation.
     pub meaning: &'static str,
 }
 
 impl Field {
-    /// Creates a row of a table.
+    /// Creates a key of a schema.
     ///
     /// # Example
     ///
@@ -50,41 +52,41 @@
     }
 }
 
-/// What a value may be.
+/// The type of a value, with its range.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
-    /// A name: a-z, 0-9, `-` and `.`, from 1 to 63 characters, a letter or digit at both ends.
+    /// A name of 1 to 63 characters: a-z, 0-9, `-` and `.`, with a letter or digit at both ends.
     Name,
-    /// `IP:port`; the port may be 0 where the system is to choose one.
+    /// `IP:port`; with port 0 the system chooses a port.
     Address,
-    /// `IP:port`, several, parted by commas.
+    /// A comma-separated list of `IP:port`.
     Addresses,
-    /// A path of the file system.
+    /// A file system path.
     Path,
     /// One of these words.
     Word(&'static [&'static str]),
-    /// Any of HTTP's methods in capitals, parted by commas; empty for all.
+    /// A comma-separated list of HTTP methods in capitals; empty for all.
     Methods,
-    /// The start of a path, without the leading `/`; empty for all.
+    /// The prefix of a URL path, without the leading `/`; empty for all.
     Prefix,
     /// Any text.
     Text,
     /// `true` or `false`.
     Flag,
-    /// A whole number in a unit, both bounds inclusive.
+    /// A whole number with its unit, minimum and maximum, both inclusive.
     Number(&'static str, u64, u64),
-    /// A decimal number, both bounds inclusive.
+    /// A decimal number with its minimum and maximum, both inclusive.
     Decimal(f64, f64),
 }
 
-/// What holds when a key is missing.
+/// What applies if a key is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Preset {
     /// The key must be given.
     Required,
-    /// There is none.
+    /// There is no default.
     Nothing,
-    /// This value.
+    /// This default value.
     Value(&'static str),
 }
 
@@ -100,7 +102,7 @@
 }
 
 impl Kind {
-    /// Returns the unit and the range, as the documentation gives them.
+    /// Returns the unit and the range for the documentation.
     ///
     /// # Example
     ///
@@ -126,11 +128,11 @@
         (unit.to_owned(), range)
     }
 
-    /// Checks a value.
+    /// Checks a value's type and range.
     ///
     /// # Errors
     ///
-    /// Returns the reason for the operator.
+    /// Returns the reason, for the operator.
     ///
     /// # Example
     ///
@@ -142,22 +144,22 @@
     /// ```
     pub fn check(&self, value: &str) -> Result<(), String> {
         match self {
-            Self::Name => name(value),
-            Self::Address => address(value),
-            Self::Addresses => parts(value).try_for_each(address),
+            Self::Name => check_name(value),
+            Self::Address => check_address(value),
+            Self::Addresses => parts(value).try_for_each(check_address),
             Self::Path if value.is_empty() => Err("is empty".to_owned()),
             Self::Path | Self::Text => Ok(()),
-            Self::Word(words) => word(value, words),
-            Self::Methods => parts(value).try_for_each(method),
-            Self::Prefix => prefix(value),
-            Self::Flag => word(value, &["true", "false"]),
-            Self::Number(unit, min, max) => number(value, unit, *min, *max),
-            Self::Decimal(min, max) => decimal(value, *min, *max),
+            Self::Word(words) => check_word(value, words),
+            Self::Methods => parts(value).try_for_each(check_method),
+            Self::Prefix => check_prefix(value),
+            Self::Flag => check_word(value, &["true", "false"]),
+            Self::Number(unit, min, max) => check_number(value, unit, *min, *max),
+            Self::Decimal(min, max) => check_decimal(value, *min, *max),
         }
     }
 }
 
-/// The parts of a list, none for an empty text.
+/// Splits a comma-separated list into its trimmed items; an empty text has none.
 ///
 /// # Example
 ///
@@ -168,11 +170,11 @@
 /// assert_eq!(fields::parts("").count(), 0);
 /// ```
 pub fn parts(value: &str) -> impl Iterator<Item = &str> {
-    let full = !value.trim().is_empty();
-    value.split(',').map(str::trim).filter(move |_| full)
+    let is_list = !value.trim().is_empty();
+    value.split(',').map(str::trim).filter(move |_| is_list)
 }
 
-fn name(value: &str) -> Result<(), String> {
+fn check_name(value: &str) -> Result<(), String> {
     let inner = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-' || c == '.';
     let outer = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
     if value.is_empty() || value.len() > NAME_MAX {
@@ -191,40 +193,40 @@
     Ok(())
 }
 
-fn address(value: &str) -> Result<(), String> {
+fn check_address(value: &str) -> Result<(), String> {
     match SocketAddr::from_str(value) {
         Ok(_) => Ok(()),
         Err(_) => Err(format!("`{value}` is not IP:port")),
     }
 }
 
-fn word(value: &str, words: &[&str]) -> Result<(), String> {
+fn check_word(value: &str, words: &[&str]) -> Result<(), String> {
     if words.contains(&value) {
         return Ok(());
     }
     Err(format!("`{value}` is not one of {}", words.join(", ")))
 }
 
-fn method(value: &str) -> Result<(), String> {
+fn check_method(value: &str) -> Result<(), String> {
     if !value.is_empty() && value.chars().all(|c| c.is_ascii_uppercase()) {
         return Ok(());
     }
     Err(format!("`{value}` is not a method in capitals"))
 }
 
-fn prefix(value: &str) -> Result<(), String> {
+fn check_prefix(value: &str) -> Result<(), String> {
     if value.starts_with('/') {
         return Err(format!("`{value}` starts with `/`"));
     }
-    let sound = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#' | ';' | '"');
-    if value.chars().all(sound) {
+    let is_path_char = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#' | ';' | '"');
+    if value.chars().all(is_path_char) {
         return Ok(());
     }
     Err(format!("`{value}` is not a path"))
 }
 
-fn number(value: &str, unit: &str, min: u64, max: u64) -> Result<(), String> {
-    // The digits are checked first: `parse` would also take a leading `+`.
+fn check_number(value: &str, unit: &str, min: u64, max: u64) -> Result<(), String> {
+    // The digits are checked separately because `parse` also accepts a leading `+`.
     let digits = !value.is_empty() && value.chars().all(|c| c.is_ascii_digit());
     match value.parse::<u64>() {
         Ok(number) if digits && (min..=max).contains(&number) => Ok(()),
@@ -233,7 +235,7 @@
     }
 }
 
-fn decimal(value: &str, min: f64, max: f64) -> Result<(), String> {
+fn check_decimal(value: &str, min: f64, max: f64) -> Result<(), String> {
     match value.parse::<f64>() {
         Ok(number) if (min..=max).contains(&number) => Ok(()),
         Ok(_) => Err(format!("{value} is not within {min} to {max}")),
@@ -241,7 +243,7 @@
     }
 }
 
-/// A text whose sections, keys and values all fit a table.
+/// An INI file whose sections, keys and values comply with its schema.
 #[derive(Clone, Debug)]
 pub struct Checked {
     file: String,
@@ -249,11 +251,11 @@
     sections: Vec<Section>,
 }
 
-/// Parses a text and checks it against a table.
+/// Parses an INI file and checks it against a schema.
 ///
 /// # Errors
 ///
-/// Returns the first [`Fault`]: an unknown section or key, a bad value, a missing key.
+/// Returns the first [`Fault`]: an unknown section or key, an invalid value, or a missing key.
 ///
 /// # Example
 ///
@@ -285,7 +287,7 @@
     Ok(checked)
 }
 
-/// The table's name of a section: `class orders` is listed as `class *`.
+/// Returns the name of a section in the schema: `class *` for `class orders`.
 fn pattern(section: &str) -> String {
     match section.split_once(' ') {
         Some((kind, _)) => format!("{kind} *"),
@@ -300,8 +302,8 @@
         if fields().next().is_none() {
             return Err(self.fault(section.line, &section.name, "", "unknown section"));
         }
-        if let Some((_, own)) = section.name.split_once(' ') {
-            name(own).map_err(|why| self.fault(section.line, &section.name, "", &why))?;
+        if let Some((_, label)) = section.name.split_once(' ') {
+            check_name(label).map_err(|why| self.fault(section.line, &section.name, "", &why))?;
         }
         for key in &section.keys {
             let fault = |why: &str| self.fault(key.line, &section.name, &key.name, why);
@@ -318,11 +320,11 @@
         Ok(())
     }
 
-    /// Finds required keys whose whole section is missing.
+    /// Checks that no required key is missing together with its section.
     fn check_required(&self) -> Result<(), Fault> {
         for field in self.table {
-            let needed = field.preset == Preset::Required && !field.section.ends_with('*');
-            if needed
+            let is_required = field.preset == Preset::Required && !field.section.ends_with('*');
+            if is_required
                 && !self
                     .sections
                     .iter()
@@ -334,7 +336,7 @@
         Ok(())
     }
 
-    /// Makes a fault at a line of this text.
+    /// Creates an error at a line of this file.
     pub fn fault(&self, line: usize, section: &str, key: &str, reason: &str) -> Fault {
         Fault {
             file: self.file.clone(),
@@ -345,20 +347,20 @@
         }
     }
 
-    /// Makes a fault at a key, or at its section when the key isn't given.
+    /// Creates an error at a key, or at its section if the key is missing.
     pub fn fault_at(&self, section: &str, key: &str, reason: &str) -> Fault {
         let found = self
             .sections
             .iter()
             .find(|candidate| candidate.name == section);
         let line = found.map_or(0, |found| {
-            let place = found.keys.iter().find(|candidate| candidate.name == key);
-            place.map_or(found.line, |place| place.line)
+            let entry = found.keys.iter().find(|candidate| candidate.name == key);
+            entry.map_or(found.line, |entry| entry.line)
         });
         self.fault(line, section, key, reason)
     }
 
-    /// Returns the names of the sections `kind NAME`, in order.
+    /// Returns the `NAME` of each section `kind NAME`, in the order of the file.
     pub fn named(&self, kind: &str) -> Vec<String> {
         let names = self.sections.iter().filter_map(|section| {
             let (found, name) = section.name.split_once(' ')?;
@@ -367,15 +369,15 @@
         names.collect()
     }
 
-    /// Returns the value of a key, or its preset.
+    /// Returns the value of a key, or its default.
     pub fn text(&self, section: &str, key: &str) -> Option<&str> {
         let found = self
             .sections
             .iter()
             .find(|candidate| candidate.name == section);
         let keys = found.map(|found| found.keys.as_slice()).unwrap_or_default();
-        if let Some(given) = keys.iter().find(|candidate| candidate.name == key) {
-            return Some(&given.value);
+        if let Some(present) = keys.iter().find(|candidate| candidate.name == key) {
+            return Some(&present.value);
         }
         let pattern = pattern(section);
         let field = |field: &&Field| field.section == pattern && field.key == key;
@@ -385,11 +387,11 @@
         }
     }
 
-    /// Returns the value of a key as a type, or `None` if it has neither value nor preset.
+    /// Parses the value of a key; `None` if it has neither value nor default.
     ///
     /// # Errors
     ///
-    /// A [`Fault`] at the key, when the value doesn't fit or is missing.
+    /// A [`Fault`] at the key, if the value can't be parsed or is missing.
     pub fn optional<T>(&self, section: &str, key: &str) -> Result<Option<T>, Fault>
     where
         T: FromStr,
@@ -397,15 +399,15 @@
         let Some(text) = self.text(section, key) else {
             return Ok(None);
         };
-        let wrong = |_| self.fault_at(section, key, "does not fit its type");
-        text.parse().map(Some).map_err(wrong)
+        let invalid = |_| self.fault_at(section, key, "does not fit its type");
+        text.parse().map(Some).map_err(invalid)
     }
 
-    /// Returns the value of a key as a type.
+    /// Parses the value of a key.
     ///
     /// # Errors
     ///
-    /// A [`Fault`] at the key, when the value doesn't fit or is missing.
+    /// A [`Fault`] at the key, if the value can't be parsed or is missing.
     pub fn value<T>(&self, section: &str, key: &str) -> Result<T, Fault>
     where
         T: FromStr,
@@ -414,34 +416,34 @@
         self.optional(section, key)?.ok_or_else(missing)
     }
 
-    /// Returns the value of a key in milliseconds as a duration.
+    /// Parses the value of a key, in milliseconds, as a duration.
     ///
     /// # Errors
     ///
-    /// A [`Fault`] at the key, when the value doesn't fit or is missing.
+    /// A [`Fault`] at the key, if the value can't be parsed or is missing.
     pub fn millis(&self, section: &str, key: &str) -> Result<std::time::Duration, Fault> {
         self.value(section, key)
             .map(std::time::Duration::from_millis)
     }
 
-    /// Returns the parts of a list.
+    /// Parses the items of a list.
     ///
     /// # Errors
     ///
-    /// A [`Fault`] at the key, when the value doesn't fit or is missing.
+    /// A [`Fault`] at the key, if the value can't be parsed or is missing.
     pub fn list<T>(&self, section: &str, key: &str) -> Result<Vec<T>, Fault>
     where
         T: FromStr,
     {
         let text = self.text(section, key).unwrap_or_default();
-        let wrong = |_| self.fault_at(section, key, "does not fit its type");
+        let invalid = |_| self.fault_at(section, key, "does not fit its type");
         parts(text)
-            .map(|part| part.parse().map_err(wrong))
+            .map(|part| part.parse().map_err(invalid))
             .collect()
     }
 }
 
-/// Returns the table as Markdown, as the operators' page carries it.
+/// Formats a schema as the Markdown table of the operators' documentation.
 ///
 /// # Example
 ///
--- a/util/src/headers.rs
+++ b/util/src/headers.rs
@@ -1,12 +1,12 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers: those that apply to one connection and must not be forwarded.
 
 use hyper::{
     HeaderMap,
     header::{self, HeaderName},
 };
 
-/// The headers that are never passed on.
-const HOP: [HeaderName; 8] = [
+/// The headers that are always hop-by-hop.
+const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -17,7 +17,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Removes what concerns one connection only, also what the message itself names as such.
+/// Removes hop-by-hop headers, including those that the message's `connection` header names.
 ///
 /// # Example
 ///
@@ -40,12 +40,12 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         map.remove(name);
     }
 }
 
-/// Returns whether a message says that its connection ends after it.
+/// Returns whether a message announces that its connection closes after it.
 ///
 /// # Example
 ///
@@ -55,9 +55,9 @@
 ///
 /// let mut map = HeaderMap::new();
 /// map.insert(header::CONNECTION, HeaderValue::from_static("Close"));
-/// assert!(headers::closes(&map));
+/// assert!(headers::closes_connection(&map));
 /// ```
-pub fn closes(map: &HeaderMap) -> bool {
+pub fn closes_connection(map: &HeaderMap) -> bool {
     let mut values = map.get_all(header::CONNECTION).iter();
     values.any(|value| {
         value
--- a/util/src/ini.rs
+++ b/util/src/ini.rs
@@ -1,13 +1,13 @@
-//! INI text with the line of each section and key, so that a fault names the place.
+//! Parses INI files and keeps the line number of each section and key, so that errors can name it.
 //!
-//! The library parses; this module first checks the shape of each line, since the library joins
-//! lines that lack a `=` and keeps no line numbers.
+//! The `ini` library does the parsing. Before that, this module checks the syntax of each line, because
+//! the library joins lines without a `=` and keeps no line numbers.
 
 use std::fmt;
 
 use ini::{Ini, ParseOption};
 
-/// A fault in an INI text: one line that names file, line, section, key and reason.
+/// An error in an INI file, displayed on one line with file, line, section, key and reason.
 ///
 /// # Example
 ///
@@ -19,13 +19,13 @@
 /// ```
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fault {
-    /// The file's name, as the operator gave it.
+    /// The file's name, as given by the operator.
     pub file: String,
-    /// The line, counted from 1; 0 if the fault belongs to no line.
+    /// The line number, starting at 1; 0 if the error has no line.
     pub line: usize,
-    /// The section, empty if there is none.
+    /// The section; empty if there is none.
     pub section: String,
-    /// The key, empty if the fault is the section's.
+    /// The key; empty if the error concerns the whole section.
     pub key: String,
     /// What is wrong.
     pub reason: String,
@@ -55,9 +55,9 @@
 /// A section with its keys, in the order of the text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
-    /// What stands between the brackets.
+    /// The name between the brackets.
     pub name: String,
-    /// The line of the header.
+    /// The line number of the header.
     pub line: usize,
     /// The keys.
     pub keys: Vec<Key>,
@@ -68,28 +68,31 @@
 pub struct Key {
     /// The key's name.
     pub name: String,
-    /// The value, without comment and outer blanks.
+    /// The value, without a comment and surrounding whitespace.
     pub value: String,
-    /// The line it stands on.
+    /// The line number.
     pub line: usize,
 }
 
-/// What one line of the text is.
+/// The kind of one line.
 enum Line<'a> {
+    /// Empty, or a comment.
     Blank,
+    /// A section's header, with its name.
     Header(&'a str),
+    /// `key = value`, with the key.
     Pair(&'a str),
 }
 
-/// Parses an INI text into its sections.
+/// Parses an INI file into its sections; `file` is its name in errors.
 ///
-/// A comment starts a line with `;` or `#`, or follows a value after a blank. Values are literal:
-/// there are no quotes, escapes or continued lines.
+/// A comment starts with `;` or `#`, at the start of a line or after a value and a blank. Values are literal:
+/// quotes, escapes and continued lines are not supported.
 ///
 /// # Errors
 ///
-/// Returns a [`Fault`] for a line that is neither a comment, a header nor `key = value`, for a key
-/// before the first header, and for a section or key that stands twice.
+/// Returns a [`Fault`] for a line that is not a comment, a header or `key = value`, for a key before
+/// the first header, and for a duplicate section or key.
 ///
 /// # Example
 ///
@@ -100,13 +103,13 @@
 /// assert_eq!(sections[0].keys[0].value, "vm-1");
 /// ```
 pub fn parse(file: &str, text: &str) -> Result<Vec<Section>, Fault> {
-    let places = places(file, text)?;
+    let located = locate(file, text)?;
     let trimmed: Vec<&str> = text.lines().map(str::trim).collect();
-    let parsed = load(file, &trimmed.join("\n"))?;
+    let parsed = parse_with_library(file, &trimmed.join("\n"))?;
     let mut sections = Vec::new();
     let named = parsed.iter().filter(|(name, _)| name.is_some());
-    for (place, (_, properties)) in places.into_iter().zip(named) {
-        let mut section = place;
+    for (location, (_, properties)) in located.into_iter().zip(named) {
+        let mut section = location;
         for (key, (_, value)) in section.keys.iter_mut().zip(properties.iter()) {
             without_comment(value).clone_into(&mut key.value);
         }
@@ -115,8 +118,8 @@
     Ok(sections)
 }
 
-/// Runs the library over text whose shape is known to be sound.
-fn load(file: &str, text: &str) -> Result<Ini, Fault> {
+/// Parses text with the library; its syntax has been checked.
+fn parse_with_library(file: &str, text: &str) -> Result<Ini, Fault> {
     let options = ParseOption {
         enabled_quote: false,
         enabled_escape: false,
@@ -131,8 +134,8 @@
     })
 }
 
-/// Finds the line of each section and key; the values stay empty.
-fn places(file: &str, text: &str) -> Result<Vec<Section>, Fault> {
+/// Checks the syntax and returns each section and key with its line number and without values.
+fn locate(file: &str, text: &str) -> Result<Vec<Section>, Fault> {
     let mut sections: Vec<Section> = Vec::new();
     for (index, raw) in text.lines().enumerate() {
         let line = index + 1;
@@ -144,12 +147,12 @@
             key: key.to_owned(),
             reason: reason.to_owned(),
         };
-        match shape(raw).map_err(|(key, reason)| fault(key, reason))? {
+        match classify(raw).map_err(|(key, reason)| fault(key, reason))? {
             Line::Blank => {}
             Line::Header(name) if sections.iter().any(|section| section.name == name) => {
-                let mut twice = fault("", "the section stands twice");
-                name.clone_into(&mut twice.section);
-                return Err(twice);
+                let mut duplicate = fault("", "the section stands twice");
+                name.clone_into(&mut duplicate.section);
+                return Err(duplicate);
             }
             Line::Header(name) => sections.push(Section {
                 name: name.to_owned(),
@@ -174,8 +177,8 @@
     Ok(sections)
 }
 
-/// Tells what a line is, or the key and the reason why it is nothing.
-fn shape(raw: &str) -> Result<Line<'_>, (&str, &'static str)> {
+/// Returns the kind of a line, or the key and the reason why it is invalid.
+fn classify(raw: &str) -> Result<Line<'_>, (&str, &'static str)> {
     let line = raw.trim();
     if line.chars().any(|c| c.is_control() && c != '\t') {
         return Err(("", "a control character"));
@@ -187,20 +190,20 @@
         return Err(("", "a line cannot be continued with `\\`"));
     }
     if let Some(rest) = line.strip_prefix('[') {
-        return header(rest).map(Line::Header);
+        return parse_header(rest).map(Line::Header);
     }
     let Some((key, _)) = line.split_once('=') else {
         return Err((line, "expected `key = value`"));
     };
     let key = key.trim();
-    if key.is_empty() || !key.chars().all(is_key) {
+    if key.is_empty() || !key.chars().all(is_key_char) {
         return Err((key, "a key is made of a-z, 0-9 and `_`"));
     }
     Ok(Line::Pair(key))
 }
 
-/// Reads a header's name from what follows the bracket.
-fn header(rest: &str) -> Result<&str, (&str, &'static str)> {
+/// Parses a header's name from the text after the opening bracket.
+fn parse_header(rest: &str) -> Result<&str, (&str, &'static str)> {
     let Some((name, tail)) = rest.split_once(']') else {
         return Err(("", "the section's `]` is missing"));
     };
@@ -209,7 +212,7 @@
         return Err(("", "only a comment may follow `]`"));
     }
     let name = name.trim();
-    if name.is_empty() || !name.chars().all(is_header) {
+    if name.is_empty() || !name.chars().all(is_header_char) {
         return Err((
             "",
             "a section's name is made of letters, digits, `-`, `_`, `.` and blanks",
@@ -218,15 +221,15 @@
     Ok(name)
 }
 
-fn is_key(c: char) -> bool {
+fn is_key_char(c: char) -> bool {
     c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_'
 }
 
-fn is_header(c: char) -> bool {
+fn is_header_char(c: char) -> bool {
     c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ' ')
 }
 
-/// Drops a comment that stands in place of the value, which the library keeps.
+/// Removes a comment that follows the `=` directly, which the library returns as the value.
 fn without_comment(value: &str) -> &str {
     if value.starts_with([';', '#']) {
         return "";
--- a/util/src/lib.rs
+++ b/util/src/lib.rs
@@ -1,7 +1,7 @@
-//! Plumbing that knows nothing of routing: the clock, HTTP over the runtime's sockets, settings in
-//! INI.
+//! Utilities that are independent of routing: clocks, an HTTP/1.1 client and server on the runtime's
+//! sockets, and settings in INI files.
 //!
-//! Every package of the workspace may use this one; it uses none of them.
+//! Every package of the workspace may depend on this one; it depends on none of them.
 //!
 //! ```
 //! use bramleypier_util::clock::Clock;
--- a/util/src/server.rs
+++ b/util/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server: one task a connection, each with its own socket.
+//! An HTTP/1.1 server with one task per connection, which closes connections that are idle or too slow.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,47 +20,48 @@
     body::Body,
     clock::Clock,
     socket,
-    stream::{Stream, Watch},
+    stream::{Stream, StreamObserver},
     timer::ConnectionTimer,
 };
 
-/// How long a caller may take over the head of a request, where nothing else is set.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// The least buffer that hyper takes.
-const BUFFER_LEAST: usize = 8192;
-/// The most headers a request may have.
-const HEADERS: usize = 100;
-/// The most bytes of a head; hyper answers 431 beyond it.
-const HEAD_BYTES: usize = 32 * 1024;
-/// How long to wait when no connection can be taken.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The default head timeout and idle timeout.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
+/// The smallest buffer that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// The maximum number of headers of a request.
+const MAX_HEADERS: usize = 100;
+/// The default maximum size of a request's head; hyper responds with 431 to a larger one.
+const DEFAULT_HEAD_BYTES: usize = 32 * 1024;
+/// The delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a connection's peer may take of time and room.
+/// The limits on a connection's peer, in time and memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// How long a head may take from its first byte.
+    /// The timeout of a request's head, from its first byte.
     pub head_time: Duration,
-    /// How long a connection may stay without a request.
+    /// The timeout of a connection without a request.
     pub idle_time: Duration,
 }
 
 impl Default for ConnectionLimits {
     fn default() -> Self {
         Self {
-            head_bytes: HEAD_BYTES,
-            head_time: HEAD_TIMEOUT,
-            idle_time: HEAD_TIMEOUT,
+            head_bytes: DEFAULT_HEAD_BYTES,
+            head_time: DEFAULT_TIMEOUT,
+            idle_time: DEFAULT_TIMEOUT,
         }
     }
 }
 
-/// What a server and its connections share.
+/// Stops a server and counts its open connections; shared by the server and its connections.
 #[derive(Clone, Debug)]
 pub struct Control {
-    /// Dropped when the server stops; that wakes whoever waits for `stopped`.
+    /// Dropped to stop the server, which completes `stopped`.
     running: Rc<RefCell<Option<oneshot::Sender<()>>>>,
+    /// Completes once the server must stop.
     stopped: Shared<oneshot::Receiver<()>>,
     open: Rc<Cell<usize>>,
 }
@@ -77,7 +78,7 @@
 }
 
 impl Control {
-    /// Tells the server to take no more connections and to end each after its request.
+    /// Makes the server accept no more connections and close each one after its current request.
     pub fn stop(&self) {
         self.running.borrow_mut().take();
     }
@@ -88,23 +89,23 @@
     }
 }
 
-/// Counts one open connection for as long as it lives.
-struct Open(Control);
+/// Counts one open connection until it is dropped.
+struct OpenConnection(Control);
 
-impl Open {
+impl OpenConnection {
     fn new(control: Control) -> Self {
         control.open.set(control.open.get() + 1);
         Self(control)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
     }
 }
 
-/// Accepts connections until told to stop, and answers each request with `handler`.
+/// Accepts connections until `control` stops the server, and handles each request with `handler`.
 pub async fn serve<H, F>(listener: TcpListener, control: Control, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -120,12 +121,12 @@
     .await;
 }
 
-/// Accepts connections as [`serve`] does; `bounds` gives each new one its limits.
+/// Accepts connections like [`serve`]; `limits` returns the limits of each new connection.
 pub async fn serve_with<B, H, F>(
     listener: TcpListener,
     control: Control,
     clock: Clock,
-    bounds: B,
+    limits: B,
     handler: H,
 ) where
     B: Fn() -> ConnectionLimits,
@@ -137,120 +138,124 @@
         let stream = match future::select(control.stopped.clone(), accept).await {
             Either::Left(_) => return,
             Either::Right((Ok((stream, _)), _)) => stream,
-            // Out of descriptors, or a connection gone before it was taken: go on.
+            // The process has no free file descriptors, or the peer closed before the accept: continue.
             Either::Right((Err(_), _)) => {
-                compio::time::sleep(ACCEPT_PAUSE).await;
+                compio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let open = Open::new(control.clone());
-        let pace = Paced::new(clock.clone(), bounds());
-        compio::runtime::spawn(connection(stream, open, pace, handler.clone())).detach();
+        let open = OpenConnection::new(control.clone());
+        let timer = SharedTimer::new(clock.clone(), limits());
+        compio::runtime::spawn(serve_connection(stream, open, timer, handler.clone())).detach();
     }
 }
 
-/// Serves one connection to its end.
-async fn connection<H, F>(stream: TcpStream, open: Open, pace: Paced, handler: H)
-where
+/// Serves one connection until it is closed.
+async fn serve_connection<H, F>(
+    stream: TcpStream,
+    open: OpenConnection,
+    timer: SharedTimer,
+    handler: H,
+) where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    socket::prepare(&stream);
-    let served = pace.clone();
-    let answer = service::service_fn(move |request| {
-        served.on_request();
-        let (answer, served) = (handler(request), served.clone());
+    socket::set_options(&stream);
+    let request_timer = timer.clone();
+    let service = service::service_fn(move |request| {
+        request_timer.on_request();
+        let (response, request_timer) = (handler(request), request_timer.clone());
         async move {
-            let answer = answer.await;
-            served.on_answer();
-            Ok::<_, Infallible>(answer)
+            let response = response.await;
+            request_timer.on_response();
+            Ok::<_, Infallible>(response)
         }
     });
-    let stream = Stream::new(stream, pace.clone());
+    let stream = Stream::new(stream, timer.clone());
     let connection = http1::Builder::new()
-        .max_headers(HEADERS)
-        .max_buf_size(pace.bounds.head_bytes.max(BUFFER_LEAST))
-        .serve_connection(stream, answer);
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(timer.limits.head_bytes.max(MIN_BUFFER_BYTES))
+        .serve_connection(stream, service);
     let mut connection = Box::pin(connection);
-    let ended = {
-        let too_slow = Box::pin(pace.ran_out());
-        // What has come is read before the time is looked at.
+    let closed = {
+        let timed_out = Box::pin(timer.expired());
+        // The connection is polled before its timer, so that received bytes count first.
         let served = future::select(connection.as_mut(), open.0.stopped.clone());
-        match future::select(served, too_slow).await {
+        match future::select(served, timed_out).await {
             Either::Left((Either::Left(_), _)) | Either::Right(_) => true,
             Either::Left((Either::Right(_), _)) => false,
         }
     };
-    if !ended {
+    if !closed {
         connection.as_mut().graceful_shutdown();
-        // A failure ends the connection as well.
+        // A failure closes the connection as well.
         let _ = connection.await;
     }
 }
 
-/// A connection's pace, shared by its task, its stream and its service.
+/// A connection's timer, shared by its task, its stream and its service.
 #[derive(Clone, Debug)]
-struct Paced {
+struct SharedTimer {
     clock: Clock,
-    bounds: ConnectionLimits,
-    pace: Rc<RefCell<ConnectionTimer>>,
+    limits: ConnectionLimits,
+    timer: Rc<RefCell<ConnectionTimer>>,
 }
 
-impl Paced {
-    fn new(clock: Clock, bounds: ConnectionLimits) -> Self {
-        let pace = ConnectionTimer::new(bounds, clock.now());
+impl SharedTimer {
+    fn new(clock: Clock, limits: ConnectionLimits) -> Self {
+        let timer = ConnectionTimer::new(limits, clock.now());
         Self {
             clock,
-            bounds,
-            pace: Rc::new(RefCell::new(pace)),
+            limits,
+            timer: Rc::new(RefCell::new(timer)),
         }
     }
 
     fn on_request(&self) {
-        self.pace.borrow_mut().on_request();
+        self.timer.borrow_mut().on_request();
     }
 
-    fn on_answer(&self) {
-        self.pace.borrow_mut().on_answer(self.clock.now());
+    fn on_response(&self) {
+        self.timer.borrow_mut().on_response(self.clock.now());
     }
 
-    /// Takes note of bytes that came or left; between requests only these tell anything.
-    fn on_bytes(&self, note: fn(&mut ConnectionTimer, Duration)) {
-        let mut pace = self.pace.borrow_mut();
-        if pace.is_idle() {
-            note(&mut pace, self.clock.now());
+    /// Records received or sent bytes with `record`; they matter only to an idle connection.
+    fn on_bytes(&self, record: fn(&mut ConnectionTimer, Duration)) {
+        let mut timer = self.timer.borrow_mut();
+        if timer.is_idle() {
+            record(&mut timer, self.clock.now());
         }
     }
 
-    /// Waits until the peer has taken longer than it may.
+    /// Waits until the connection's deadline has passed.
     ///
-    /// It is looked at after each step of the connection, so a timer is set anew only when the time
-    /// ends earlier than it would ring.
-    async fn ran_out(&self) {
-        let mut timer: Option<(Duration, LocalBoxFuture<'_, ()>)> = None;
+    /// This is polled after each step of the connection, so a new sleep is started only if the deadline
+    /// has become earlier than the end of the current sleep.
+    async fn expired(&self) {
+        let mut current: Option<(Duration, LocalBoxFuture<'_, ()>)> = None;
         future::poll_fn(|context| {
             loop {
-                let Some(due) = self.pace.borrow().due() else {
+                let Some(deadline) = self.timer.borrow().deadline() else {
                     return Poll::Pending;
                 };
-                if timer.as_ref().is_none_or(|(rings, _)| *rings > due) {
-                    let left = due.saturating_sub(self.clock.now());
+                if current.as_ref().is_none_or(|(end, _)| *end > deadline) {
+                    let left = deadline.saturating_sub(self.clock.now());
                     if left.is_zero() {
                         return Poll::Ready(());
                     }
-                    timer = Some((due, self.clock.sleep(left).boxed_local()));
+                    current = Some((deadline, self.clock.sleep(left).boxed_local()));
                 }
-                if let Some((_, sleep)) = &mut timer {
+                if let Some((_, sleep)) = &mut current {
                     ready!(sleep.as_mut().poll(context));
                 }
-                timer = None;
+                current = None;
             }
         })
         .await;
     }
 }
 
-impl Watch for Paced {
+impl StreamObserver for SharedTimer {
     fn on_read(&mut self, bytes: usize) {
         if bytes > 0 {
             self.on_bytes(ConnectionTimer::on_read);
--- a/util/src/socket.rs
+++ b/util/src/socket.rs
@@ -1,37 +1,37 @@
-//! Options of TCP sockets.
+//! TCP socket options.
 
 use std::time::Duration;
 
 use compio::net::TcpStream;
 use rustix::net::sockopt;
 
-/// How long a connection may be silent before its peer is asked for a sign of life.
+/// How long a connection may be idle before the first TCP keepalive probe.
 ///
-/// A connection can go silent for good without a reset while others work; with these three it is
-/// found out within 2 s.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// The time between two such questions; the kernel counts in whole seconds.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// How many may go unanswered.
-const PROBES: u32 = 1;
-/// How long sent bytes may stay unconfirmed. Packets lost on a link are sent again after some
+/// A single connection can stop delivering packets without a reset while others still work. Together
+/// with the next two constants this is detected within 2 s.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+/// The time between two keepalive probes; the kernel counts in whole seconds.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How many keepalive probes may go unanswered.
+const KEEPALIVE_PROBES: u32 = 1;
+/// How long sent bytes may stay unacknowledged. Packets lost on a link are retransmitted after about
 /// 0.2 s and 0.6 s.
-const UNCONFIRMED: Duration = Duration::from_millis(1500);
+const ACK_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Sends small writes at once, and notices a connection that has gone silent.
+/// Sets the options of a new connection: no delay of small writes, and detection of dead connections.
 ///
-/// Options that the system doesn't know are left alone: the connection works without them.
-pub fn prepare(stream: &TcpStream) {
+/// An option that the system doesn't support is skipped: the connection works without it.
+pub fn set_options(stream: &TcpStream) {
     let _ = sockopt::set_tcp_nodelay(stream, true);
     let _ = sockopt::set_socket_keepalive(stream, true);
-    let _ = sockopt::set_tcp_keepidle(stream, PROBE_AFTER);
-    let _ = sockopt::set_tcp_keepintvl(stream, PROBE_EVERY);
-    let _ = sockopt::set_tcp_keepcnt(stream, PROBES);
-    let unconfirmed = u32::try_from(UNCONFIRMED.as_millis()).unwrap_or(u32::MAX);
-    let _ = sockopt::set_tcp_user_timeout(stream, unconfirmed);
+    let _ = sockopt::set_tcp_keepidle(stream, KEEPALIVE_IDLE);
+    let _ = sockopt::set_tcp_keepintvl(stream, KEEPALIVE_INTERVAL);
+    let _ = sockopt::set_tcp_keepcnt(stream, KEEPALIVE_PROBES);
+    let ack_timeout_ms = u32::try_from(ACK_TIMEOUT.as_millis()).unwrap_or(u32::MAX);
+    let _ = sockopt::set_tcp_user_timeout(stream, ack_timeout_ms);
 }
 
-/// Makes closing reset the connection, so that bytes held up on the way never arrive.
+/// Makes a close reset the connection, so that bytes still in transit are never delivered.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/util/src/stamp.rs
+++ b/util/src/stamp.rs
@@ -1,18 +1,21 @@
-//! Hybrid logical time: close to the wall clock, and never against the order of cause and effect.
+//! A hybrid logical clock, whose timestamps order events of several processes.
+//!
+//! Timestamps are close to the wall clock. An event's timestamp is greater than that of each event that
+//! could have caused it, also when the wall clocks of the processes differ.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// A hybrid logical time: 48 bits of milliseconds since 1970, then a count of 16 bits.
+/// A timestamp of a hybrid logical clock: 48 bits of milliseconds since 1970, then a 16-bit counter.
 pub type Stamp = u64;
 
-/// How many bits of a stamp are the count.
-const COUNT_BITS: u32 = 16;
-/// How far another process's time may be ahead before it is ignored.
+/// The number of a timestamp's low bits that are the counter.
+const COUNTER_BITS: u32 = 16;
+/// The largest difference by which another process's timestamp may be ahead of the wall clock.
 ///
-/// One wall clock that is set wrong would otherwise pull all processes with it for good.
-const AHEAD_MAX: Duration = Duration::from_mins(10);
+/// Without it, one wrong wall clock would advance the clocks of all processes permanently.
+const MAX_AHEAD: Duration = Duration::from_mins(10);
 
-/// Returns the wall clock's reading since 1970, for [`Hybrid`] only.
+/// Returns the wall clock's time since 1970; only for use with [`Hybrid`].
 ///
 /// # Example
 ///
@@ -26,7 +29,7 @@
     now.duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Returns the first stamp of a reading of the wall clock.
+/// Returns the lowest timestamp of a wall clock time.
 ///
 /// # Example
 ///
@@ -40,10 +43,10 @@
 /// ```
 pub fn first(wall: Duration) -> Stamp {
     let millis = u64::try_from(wall.as_millis()).unwrap_or(u64::MAX);
-    millis.min(u64::MAX >> COUNT_BITS) << COUNT_BITS
+    millis.min(u64::MAX >> COUNTER_BITS) << COUNTER_BITS
 }
 
-/// Returns a stamp's time since 1970.
+/// Returns the time since 1970 of a timestamp.
 ///
 /// # Example
 ///
@@ -53,10 +56,10 @@
 /// assert_eq!(stamp::time(3 << 16).as_millis(), 3);
 /// ```
 pub fn time(stamp: Stamp) -> Duration {
-    Duration::from_millis(stamp >> COUNT_BITS)
+    Duration::from_millis(stamp >> COUNTER_BITS)
 }
 
-/// Returns a stamp's count within its millisecond.
+/// Returns a timestamp's counter within its millisecond.
 ///
 /// # Example
 ///
@@ -66,10 +69,10 @@
 /// assert_eq!(stamp::count((3 << 16) + 5), 5);
 /// ```
 pub fn count(stamp: Stamp) -> u64 {
-    stamp & ((1 << COUNT_BITS) - 1)
+    stamp & ((1 << COUNTER_BITS) - 1)
 }
 
-/// The hybrid clock of one process.
+/// The hybrid logical clock of one process.
 #[derive(Clone, Debug, Default)]
 pub struct Hybrid {
     last: Stamp,
@@ -77,7 +80,7 @@
 }
 
 impl Hybrid {
-    /// Returns a stamp later than all before it: for an event, or a message that is sent.
+    /// Returns a timestamp greater than all earlier ones, for a local event or a message to be sent.
     ///
     /// # Example
     ///
@@ -88,7 +91,7 @@
     ///
     /// let mut hybrid = Hybrid::default();
     /// let first = hybrid.tick(Duration::from_secs(9));
-    /// // The wall clock was set back.
+    /// // The wall clock has been set back.
     /// assert!(hybrid.tick(Duration::from_secs(1)) > first);
     /// ```
     pub fn tick(&mut self, wall: Duration) -> Stamp {
@@ -97,9 +100,9 @@
         self.last
     }
 
-    /// Takes the stamp of a message that was received: all later stamps here are above it.
+    /// Merges the timestamp of a received message: all later timestamps of this clock are greater.
     ///
-    /// A stamp that is more than ten minutes ahead of the wall clock is ignored and counted.
+    /// A timestamp that is more than ten minutes ahead of the wall clock is ignored and counted.
     ///
     /// # Example
     ///
@@ -114,14 +117,14 @@
     /// assert!(hybrid.tick(Duration::from_secs(1)) > theirs);
     /// ```
     pub fn merge(&mut self, wall: Duration, theirs: Stamp) {
-        if time(theirs) > wall + AHEAD_MAX {
+        if time(theirs) > wall + MAX_AHEAD {
             self.ignored += 1;
             return;
         }
         self.last = self.last.max(theirs);
     }
 
-    /// Returns how many stamps were ignored because they were far ahead.
+    /// Returns how many timestamps were ignored because they were too far ahead of the wall clock.
     ///
     /// # Example
     ///
--- a/util/src/stream.rs
+++ b/util/src/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream as hyper reads and writes it, and whoever watches what passes.
+//! A TCP stream for hyper that reports the bytes read and written to an observer.
 
 use std::{
     io,
@@ -10,39 +10,41 @@
 use futures_util::{AsyncBufRead as _, AsyncWrite as _};
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-/// Is told what passes through a stream.
-pub trait Watch: Unpin {
-    /// Takes note of bytes that came; none mean that the peer has ended the stream in order, which a
-    /// reset doesn't.
+/// Observes the bytes that are read from and written to a [`Stream`].
+pub trait StreamObserver: Unpin {
+    /// Called after `bytes` bytes were read; 0 means that the peer closed the stream with a FIN, not
+    /// with a reset.
     fn on_read(&mut self, bytes: usize);
 
-    /// Takes note of bytes that left.
+    /// Called after `bytes` bytes were written.
     fn on_write(&mut self, bytes: usize);
 }
 
-/// A stream that hands over what was read without clearing hyper's buffer first, which the
-/// library's own does at each look.
+/// A stream for hyper.
+///
+/// Unlike the library's own adapter, it does not clear hyper's buffer at each poll before it copies the
+/// bytes that were read.
 #[derive(Debug)]
 pub struct Stream<W> {
     inner: Pin<Box<AsyncStream<TcpStream>>>,
-    watch: W,
+    observer: W,
 }
 
 impl<W> Stream<W>
 where
-    W: Watch,
+    W: StreamObserver,
 {
     /// Wraps a connected stream.
-    pub fn new(stream: TcpStream, watch: W) -> Self {
+    pub fn new(stream: TcpStream, observer: W) -> Self {
         Self {
             inner: Box::pin(AsyncStream::new(stream)),
-            watch,
+            observer,
         }
     }
 
-    fn wrote(&mut self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn report_write(&mut self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
-            self.watch.on_write(*bytes);
+            self.observer.on_write(*bytes);
         }
         result
     }
@@ -50,26 +52,26 @@
 
 impl<W> Read for Stream<W>
 where
-    W: Watch,
+    W: StreamObserver,
 {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let Self { inner, watch } = &mut *self;
+        let Self { inner, observer } = &mut *self;
         let bytes = ready!(inner.as_mut().poll_fill_buf(context))?;
         let count = bytes.len().min(buffer.remaining());
         buffer.put_slice(&bytes[..count]);
         inner.as_mut().consume(count);
-        watch.on_read(count);
+        observer.on_read(count);
         Poll::Ready(Ok(()))
     }
 }
 
 impl<W> Write for Stream<W>
 where
-    W: Watch,
+    W: StreamObserver,
 {
     fn poll_write(
         mut self: Pin<&mut Self>,
@@ -77,7 +79,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = self.inner.as_mut().poll_write(context, bytes);
-        self.wrote(result)
+        self.report_write(result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -98,6 +100,6 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = self.inner.as_mut().poll_write_vectored(context, buffers);
-        self.wrote(result)
+        self.report_write(result)
     }
 }
--- a/util/src/timer.rs
+++ b/util/src/timer.rs
@@ -1,21 +1,24 @@
-//! How long a caller's connection may take over its next request; free of I/O.
+//! Decides when a server's connection has taken too long to send its next request; free of I/O.
 
 use std::time::Duration;
 
 use crate::server::ConnectionLimits;
 
-/// What a connection's peer is about.
+/// The stage of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing of a request has come since the last answer.
+    /// No byte of a request has arrived since the last response.
     Idle,
-    /// A head has begun and has not come whole.
+    /// The head of a request has arrived in part.
     Head,
-    /// A request is being answered.
-    Busy,
+    /// A request is being handled.
+    Handling,
 }
 
-/// A connection's stage, and since when.
+/// Tracks a connection's stage and the deadline for its next request.
+///
+/// The deadline is the idle timeout until the first byte of a request, and the head timeout from there until the
+/// head is complete. While a request is being handled there is none.
 ///
 /// # Example
 ///
@@ -25,43 +28,43 @@
 /// use bramleypier_util::{timer::ConnectionTimer, server::ConnectionLimits};
 ///
 /// let ms = Duration::from_millis;
-/// let bounds = ConnectionLimits {
+/// let limits = ConnectionLimits {
 ///     head_time: ms(300),
 ///     idle_time: ms(900),
 ///     ..ConnectionLimits::default()
 /// };
-/// let mut pace = ConnectionTimer::new(bounds, ms(0));
-/// assert_eq!(pace.due(), Some(ms(900)));
-/// pace.on_read(ms(500));
-/// pace.on_read(ms(700));
-/// assert_eq!(pace.due(), Some(ms(800)), "slow pieces gain a head no time");
-/// pace.on_request();
-/// assert_eq!(pace.due(), None);
-/// pace.on_answer(ms(2000));
-/// assert_eq!(pace.due(), Some(ms(2900)));
+/// let mut timer = ConnectionTimer::new(limits, ms(0));
+/// assert_eq!(timer.deadline(), Some(ms(900)));
+/// timer.on_read(ms(500));
+/// timer.on_read(ms(700));
+/// assert_eq!(timer.deadline(), Some(ms(800)), "further bytes do not extend the head timeout");
+/// timer.on_request();
+/// assert_eq!(timer.deadline(), None);
+/// timer.on_response(ms(2000));
+/// assert_eq!(timer.deadline(), Some(ms(2900)));
 /// ```
 #[derive(Clone, Debug)]
 pub struct ConnectionTimer {
-    bounds: ConnectionLimits,
+    limits: ConnectionLimits,
     stage: Stage,
     since: Duration,
 }
 
 impl ConnectionTimer {
-    /// Creates the pace of a connection that opens now.
+    /// Creates the timer of a connection that is opened at `now`.
     ///
     /// # Example
     ///
     /// See [`ConnectionTimer`].
-    pub fn new(bounds: ConnectionLimits, now: Duration) -> Self {
+    pub fn new(limits: ConnectionLimits, now: Duration) -> Self {
         Self {
-            bounds,
+            limits,
             stage: Stage::Idle,
             since: now,
         }
     }
 
-    /// Takes note that bytes came.
+    /// Records that bytes were received.
     ///
     /// # Example
     ///
@@ -72,25 +75,25 @@
         }
     }
 
-    /// Takes note that a head has come whole.
+    /// Records that the head of a request is complete.
     ///
     /// # Example
     ///
     /// See [`ConnectionTimer`].
     pub fn on_request(&mut self) {
-        self.stage = Stage::Busy;
+        self.stage = Stage::Handling;
     }
 
-    /// Takes note that the answer begins.
+    /// Records that the response starts.
     ///
     /// # Example
     ///
     /// See [`ConnectionTimer`].
-    pub fn on_answer(&mut self, now: Duration) {
+    pub fn on_response(&mut self, now: Duration) {
         (self.stage, self.since) = (Stage::Idle, now);
     }
 
-    /// Takes note that bytes of an answer left: a long answer isn't idle.
+    /// Records that bytes of a response were sent: a connection that sends a long response isn't idle.
     ///
     /// # Example
     ///
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Returns whether nothing of a request has come since the last answer.
+    /// Returns whether no byte of a request has arrived since the last response.
     ///
     /// # Example
     ///
@@ -116,16 +119,16 @@
         self.stage == Stage::Idle
     }
 
-    /// Returns when the connection's time is over; none while a request is being answered.
+    /// Returns the time at which the connection must be closed; none while a request is being handled.
     ///
     /// # Example
     ///
     /// See [`ConnectionTimer`].
-    pub fn due(&self) -> Option<Duration> {
+    pub fn deadline(&self) -> Option<Duration> {
         match self.stage {
-            Stage::Idle => Some(self.since + self.bounds.idle_time),
-            Stage::Head => Some(self.since + self.bounds.head_time),
-            Stage::Busy => None,
+            Stage::Idle => Some(self.since + self.limits.idle_time),
+            Stage::Head => Some(self.since + self.limits.head_time),
+            Stage::Handling => None,
         }
     }
 }
--- a/util/tests/client.rs
+++ b/util/tests/client.rs
@@ -1,4 +1,4 @@
-//! What the client concludes from the way in which connections end.
+//! Which closed connections the client attributes to the end of the peer's process.
 
 use std::{
     io::{Read as _, Write as _},
@@ -16,104 +16,119 @@
 use compio::runtime::Runtime;
 use hyper::Request;
 
-const ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const LAST_ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-/// Longer than a connection may have been idle for its end to count.
-const IDLE: Duration = Duration::from_millis(1700);
-/// Longer than an end takes to be noticed over loopback, on a busy machine too.
-const NOTICED: Duration = Duration::from_millis(600);
-/// The time between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+const RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const CLOSING_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+/// An idle time after which a close no longer counts.
+const LONG_IDLE: Duration = Duration::from_millis(1700);
+/// Longer than it takes to detect a close over loopback, also on a loaded machine.
+const DETECTION_TIMEOUT: Duration = Duration::from_millis(600);
+/// The interval between two checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a peer ends a connection that it has answered on.
+/// How a peer ends a connection on which it has responded.
 #[derive(Clone, Copy, Debug)]
 enum End {
-    /// As the system does for a process that ends.
+    /// With a FIN, as the operating system does for a process that ends.
     Closes,
-    /// As a path does that resets what passes it.
+    /// With a reset, as a device on the network path may do.
     Resets,
-    /// Not at all.
+    /// Not at all while the client watches.
     Stays,
 }
 
-/// Answers one request, waits for a sign, ends the connection and listens no more.
-fn peer(answer: &'static str, end: End) -> (SocketAddr, mpsc::Sender<()>, thread::JoinHandle<()>) {
+/// Starts a peer that responds to one request, stops listening, and ends the connection at a signal.
+fn start_peer(
+    response: &'static str,
+    end: End,
+) -> (SocketAddr, mpsc::Sender<()>, thread::JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (go, waits) = mpsc::channel();
+    let (end_signal, signalled) = mpsc::channel();
     let work = move || {
         let (mut stream, _) = listener.accept().unwrap();
         drop(listener);
         let mut head = [0; 1024];
         let _ = stream.read(&mut head).unwrap();
-        stream.write_all(answer.as_bytes()).unwrap();
-        waits.recv().unwrap();
-        finish(&stream, end);
+        stream.write_all(response.as_bytes()).unwrap();
+        signalled.recv().unwrap();
+        end_connection(&stream, end);
     };
-    (address, go, thread::spawn(work))
+    (address, end_signal, thread::spawn(work))
 }
 
-fn finish(stream: &TcpStream, end: End) {
+fn end_connection(stream: &TcpStream, end: End) {
     match end {
         End::Closes => {}
         End::Resets => {
             rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO)).unwrap();
         }
-        End::Stays => thread::sleep(IDLE),
+        End::Stays => thread::sleep(LONG_IDLE),
     }
 }
 
-/// Returns whether the client holds the peer's process to have closed a connection in use.
-async fn closed(answer: &'static str, end: End, idle: Duration) -> bool {
-    let (address, go, thread) = peer(answer, end);
+/// Returns whether the client reports that the peer closed a recently used connection.
+async fn reports_close(response: &'static str, end: End, idle: Duration) -> bool {
+    let (address, end_signal, thread) = start_peer(response, end);
     let clock = Clock::real();
     let client = Client::new(clock.clone(), 4);
     let request = || Request::new(Body::from(Vec::new()));
-    let answered = client
+    let sent = client
         .send(address, request(), Duration::from_secs(1))
         .await;
-    body::read(answered.unwrap().into_body(), 10).await.unwrap();
+    body::read(sent.unwrap().into_body(), 10).await.unwrap();
     clock.sleep(idle).await;
-    go.send(()).unwrap();
-    let last = clock.now() + NOTICED;
-    while client.last_closed(address).is_none() && clock.now() < last {
-        clock.sleep(LOOK).await;
+    end_signal.send(()).unwrap();
+    let deadline = clock.now() + DETECTION_TIMEOUT;
+    while client.last_closed(address).is_none() && clock.now() < deadline {
+        clock.sleep(POLL_INTERVAL).await;
     }
     let closed = client.last_closed(address).is_some();
     let refused = client
         .send(address, request(), Duration::from_millis(200))
         .await;
     if !matches!(end, End::Stays) {
-        assert!(refused.unwrap_err().is_refused(), "nobody listens");
+        assert!(refused.unwrap_err().is_refused(), "no process listens");
     }
     thread.join().unwrap();
     closed
 }
 
 #[test]
-fn only_an_orderly_end_in_use_counts_as_the_peers_own() {
-    let rows = [
-        ("a process ends", ANSWER, End::Closes, Duration::ZERO, true),
-        ("a path resets", ANSWER, End::Resets, Duration::ZERO, false),
+fn only_an_unannounced_close_of_a_recently_used_connection_is_reported() {
+    let cases = [
         (
-            "a path falls silent",
-            ANSWER,
+            "the process ends",
+            RESPONSE,
+            End::Closes,
+            Duration::ZERO,
+            true,
+        ),
+        (
+            "the network path resets",
+            RESPONSE,
+            End::Resets,
+            Duration::ZERO,
+            false,
+        ),
+        (
+            "the network path drops all packets",
+            RESPONSE,
             End::Stays,
             Duration::ZERO,
             false,
         ),
-        ("an idle time ends", ANSWER, End::Closes, IDLE, false),
+        ("an idle timeout", RESPONSE, End::Closes, LONG_IDLE, false),
         (
-            "an end that was announced",
-            LAST_ANSWER,
+            "an announced close",
+            CLOSING_RESPONSE,
             End::Closes,
             Duration::ZERO,
             false,
         ),
     ];
     Runtime::new().unwrap().block_on(async {
-        for (what, answer, end, idle, expected) in rows {
-            assert_eq!(closed(answer, end, idle).await, expected, "{what}");
+        for (what, response, end, idle, expected) in cases {
+            assert_eq!(reports_close(response, end, idle).await, expected, "{what}");
         }
     });
 }
