--- a/engine/src/caller/attempt.rs
+++ b/engine/src/caller/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one target.
+//! One attempt of a request at one target.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,48 +16,48 @@
     target::{Refusal, TargetProtocol},
 };
 
-/// The largest answer that is read whole before its head goes on, in bytes.
+/// The largest response body that is read whole before the response is forwarded.
 ///
-/// Up to here an answer that was cut can be asked for again. The largest file of the known
-/// deployments is 0.54 MB.
-const WHOLE_ANSWER: usize = 1 << 20;
-/// The least time that is worth a try.
-pub const LEAST_TIME: Duration = Duration::from_millis(5);
+/// If a response up to this size is truncated, the request can be retried. The largest file of the
+/// known deployments is 0.54 MB.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
+/// The least remaining time with which a request is still sent.
+pub const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(5);
 
-/// What is sent, whichever target it goes to.
+/// The parts of a request that are sent in each attempt, whichever target it goes to.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct OutgoingRequest {
     /// The request's id.
     pub id: String,
     /// The method.
     pub method: Method,
     /// The path and query.
     pub uri: Uri,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Debug)]
-pub enum Tried {
-    /// The target answered; the answer may be passed on.
+pub enum AttemptResult {
+    /// The target responded; the response may be forwarded.
     Answered(Response<Body>),
     /// The target states that it did not run the request.
     Refused(Refusal, StatusCode),
     /// Nothing was sent.
     Unsent(client::Error),
-    /// It may have run, and there is no answer that can be used.
+    /// The request may have run, and there is no usable response.
     Lost(String),
-    /// The time ended first; it may have run.
+    /// The time ran out first; the request may have run.
     TimedOut,
 }
 
-/// What a try needs.
+/// Sends requests to targets.
 #[derive(Clone)]
 pub struct Sender {
     /// Connections to targets.
     pub client: Client,
-    /// How targets are spoken to.
+    /// The protocol that targets use.
     pub targets: Rc<dyn TargetProtocol>,
     /// The clock.
     pub clock: Clock,
@@ -70,18 +70,27 @@
 }
 
 impl Sender {
-    /// Makes one try; `left` is how long the caller goes on waiting.
-    pub async fn send(&self, work: &Work, body: Body, permit: Permit, left: Duration) -> Tried {
+    /// Makes one attempt; `remaining` is how much longer the caller waits.
+    pub async fn send(
+        &self,
+        outgoing: &OutgoingRequest,
+        body: Body,
+        permit: Permit,
+        remaining: Duration,
+    ) -> AttemptResult {
         let mut request = Request::new(body);
-        *request.method_mut() = work.method.clone();
-        *request.uri_mut() = work.uri.clone();
-        *request.headers_mut() = work.headers.clone();
+        *request.method_mut() = outgoing.method.clone();
+        *request.uri_mut() = outgoing.uri.clone();
+        *request.headers_mut() = outgoing.headers.clone();
         self.targets
-            .set_headers(request.headers_mut(), &permit.target.id, left);
+            .set_headers(request.headers_mut(), &permit.target.id, remaining);
         let started = self.clock.now();
         let address = permit.target.address;
-        match self.client.send(address, request, left).await {
-            Ok(response) => self.read(work, response, permit, started, left).await,
+        match self.client.send(address, request, remaining).await {
+            Ok(response) => {
+                self.read(outgoing, response, permit, started, remaining)
+                    .await
+            }
             Err(error) => {
                 let ended = if error.is_refused() {
                     CompletionKind::ConnectRefused
@@ -90,56 +99,59 @@
                 };
                 if error.unsent() {
                     permit.finish(ended, None);
-                    return Tried::Unsent(error);
+                    return AttemptResult::Unsent(error);
                 }
                 if let client::Error::Timeout(..) = error {
                     drop(permit);
-                    return Tried::TimedOut;
+                    return AttemptResult::TimedOut;
                 }
                 permit.finish(CompletionKind::Lost, None);
-                Tried::Lost(error.to_string())
+                AttemptResult::Lost(error.to_string())
             }
         }
     }
 
-    /// Reads an answer, and tells what it is worth.
+    /// Reads a response and decides whether it can be forwarded.
     async fn read(
         &self,
-        work: &Work,
+        outgoing: &OutgoingRequest,
         response: Response<Incoming>,
         permit: Permit,
         started: Duration,
-        left: Duration,
-    ) -> Tried {
+        remaining: Duration,
+    ) -> AttemptResult {
         let (mut head, rest) = response.into_parts();
         let reply = self.targets.read(head.status, &head.headers);
-        let foreign = reply.request_id.as_ref().is_some_and(|id| *id != work.id);
+        let foreign = reply
+            .request_id
+            .as_ref()
+            .is_some_and(|id| *id != outgoing.id);
         if foreign || reply.refusal.is_none() && !reply.signed {
-            // Dropping the body closes the connection, so that nothing of it is used again.
+            // Dropping the body closes the connection, so that no later request reads from it.
             drop(rest);
             permit.finish(CompletionKind::Lost, None);
             let what = if foreign {
-                "another request's answer"
+                "the response belongs to another request"
             } else {
-                "an unsigned answer"
+                "the response is not signed"
             };
-            return Tried::Lost(format!("status={} cause={what}", head.status.as_u16()));
+            return AttemptResult::Lost(format!("status={} cause={what}", head.status.as_u16()));
         }
         if reply.refusal != Some(Refusal::NotOwner) {
             permit.report_rate(reply.rate);
         }
         let passed = self.clock.now().saturating_sub(started);
-        let reading = body::take(rest, WHOLE_ANSWER);
-        let span = left.saturating_sub(passed);
-        let taken = match self.clock.timeout(span, reading).await {
-            Ok(Ok(taken)) => taken,
+        let reading = body::read_up_to(rest, MAX_BUFFERED_RESPONSE_BYTES);
+        let timeout = remaining.saturating_sub(passed);
+        let read = match self.clock.timeout(timeout, reading).await {
+            Ok(Ok(read)) => read,
             Ok(Err(error)) => {
                 permit.finish(CompletionKind::Lost, reply.load);
-                return Tried::Lost(format!("cause=the answer was cut: {error}"));
+                return AttemptResult::Lost(format!("cause=the response was truncated: {error}"));
             }
             Err(_) => {
                 drop(permit);
-                return Tried::TimedOut;
+                return AttemptResult::TimedOut;
             }
         };
         if let Some(refusal) = reply.refusal {
@@ -148,7 +160,7 @@
                 Refusal::NotOwner => CompletionKind::Misdirected,
             };
             permit.finish(ended, reply.load);
-            return Tried::Refused(refusal, head.status);
+            return AttemptResult::Refused(refusal, head.status);
         }
         headers::strip(&mut head.headers);
         let took = self.clock.now().saturating_sub(started);
@@ -157,16 +169,16 @@
         } else {
             CompletionKind::Answered(took)
         };
-        let whole = match taken {
-            body::Taken::Whole(bytes) => {
+        let body = match read {
+            body::ReadBody::Whole(bytes) => {
                 permit.finish(ended, reply.load);
                 Body::from(bytes)
             }
-            body::Taken::Begun(pieces, rest) => {
-                let body = body::Streamed::new(pieces, rest);
-                body::stream(body.holding(permit, took))
+            body::ReadBody::Partial(chunks, rest) => {
+                let streamed = body::Streamed::new(chunks, rest);
+                body::stream(streamed.with_permit(permit, took))
             }
         };
-        Tried::Answered(Response::from_parts(head, whole))
+        AttemptResult::Answered(Response::from_parts(head, body))
     }
 }
--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -1,4 +1,5 @@
-//! A request's tries: which come, what each means, and when it is given up.
+//! Decides on the attempts of a request: which targets it is sent to, what each result means, and
+//! when to stop.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -6,10 +7,10 @@
 use hyper::Response;
 
 use super::{
-    attempt::{LEAST_TIME, Tried, Work},
+    attempt::{AttemptResult, MIN_ATTEMPT_TIME, OutgoingRequest},
     failure::Failure,
-    forward::{Context, Job},
-    local_response::{COME_BACK, Own, Trace},
+    forward::{Context, RoutedRequest},
+    local_response::{LocalResponse, RETRY_AFTER, Trace},
     payload::Payload,
 };
 use crate::{
@@ -19,52 +20,52 @@
     target::Refusal,
 };
 
-/// How often a try may end without anything sent until the request is refused.
-const UNSENT_MOST: u32 = 4;
-/// How often a target may say that it doesn't own a key until the request is refused.
-const UNOWNED_MOST: u32 = 3;
+/// How many attempts of a request may end with nothing sent; after one more the request is refused.
+const MAX_UNSENT: u32 = 4;
+/// How many targets may respond that they don't own a request's key; after one more it is refused.
+const MAX_NOT_OWNER: u32 = 3;
 
-/// Whether a request's caller is still there.
+/// Whether a request's caller is still connected; clones share it.
 #[derive(Clone, Debug)]
-pub(super) struct Here(Rc<Cell<bool>>);
+pub(super) struct CallerPresence(Rc<Cell<bool>>);
 
-impl Default for Here {
+impl Default for CallerPresence {
     fn default() -> Self {
         Self(Rc::new(Cell::new(true)))
     }
 }
 
-impl Here {
-    /// Takes note that the caller has left.
-    pub(super) fn leave(&self) {
+impl CallerPresence {
+    /// Records that the caller has disconnected.
+    pub(super) fn set_left(&self) {
         self.0.set(false);
     }
 }
 
-/// Tries targets until one answers or the request is given up.
+/// Sends a request to targets until one response can be forwarded or no further attempt is allowed.
 pub(super) async fn run(
     context: &Context,
-    job: &Job,
-    work: Work,
+    routed: &RoutedRequest,
+    outgoing: OutgoingRequest,
     mut payload: Payload,
-    here: &Here,
-) -> (Result<Response<Body>, Own>, Trace) {
+    presence: &CallerPresence,
+) -> (Result<Response<Body>, LocalResponse>, Trace) {
     let mut trace = Trace::default();
     let mut history = History::default();
-    // What is refused here counts too: a key is as busy as its callers ask for it, also while its
-    // owner can answer few of them.
-    if let Some(point) = job.asked.key.filter(|_| job.keyed) {
-        context.tally.count(&job.service, point);
+    // Requests that are refused count too: a key's load is what its callers ask for, even while
+    // its owner can answer only a few of them.
+    if let Some(key) = routed.info.key.filter(|_| routed.keyed) {
+        context.tally.count(&routed.service, key);
     }
     let result = loop {
-        let step = next(
+        let step = next_attempt(
             context,
-            job,
-            &work,
+            routed,
+            &outgoing,
             &mut payload,
             &mut history,
             &mut trace,
-            here,
+            presence,
         );
         match step.await {
             Step::Again => {}
@@ -74,135 +75,151 @@
     (result, trace)
 }
 
-/// What has happened to a request so far.
+/// The attempts of a request so far.
 #[derive(Debug, Default)]
 struct History {
-    /// Targets that it reached.
+    /// Targets that the request reached.
     reached: Vec<String>,
-    /// How often it arrived at a target.
+    /// How many attempts may have reached a target.
     arrivals: u32,
+    /// How many attempts sent nothing.
     unsent: u32,
-    unowned: u32,
+    /// How many targets responded that they don't own the key.
+    not_owner: u32,
     /// Owners that don't hold its key, with the fences at which they were asked.
     misdirected: Vec<(TargetId, Fence)>,
-    /// How often the target asked last ends a request.
+    /// The interval at which the latest target ends requests while all its slots are in use.
     turn: Duration,
-    /// It may have run.
-    doubt: Option<Own>,
-    /// A target's failure that can be passed on if nothing better comes.
-    failure: Option<Response<Body>>,
+    /// The local response if the request may have run.
+    uncertain: Option<LocalResponse>,
+    /// A target's 5xx response, which is forwarded if no attempt gets a better one.
+    failed: Option<Response<Body>>,
 }
 
 enum Step {
     Again,
-    End(Result<Response<Body>, Own>),
+    End(Result<Response<Body>, LocalResponse>),
 }
 
 impl History {
-    /// Ends a request that can't be sent any more.
-    fn give_up(&mut self, own: Own) -> Step {
-        if let Some(response) = self.failure.take() {
+    /// Ends a request that gets no further attempt.
+    fn give_up(&mut self, local: LocalResponse) -> Step {
+        if let Some(response) = self.failed.take() {
             return Step::End(Ok(response));
         }
-        // Once it may have run, no refusal can say otherwise.
-        Step::End(Err(self.doubt.take().unwrap_or(own)))
+        // If the request may have run, the caller must not be told that it has not.
+        Step::End(Err(self.uncertain.take().unwrap_or(local)))
     }
 }
 
-async fn next(
+/// Makes the next attempt, if one is allowed.
+async fn next_attempt(
     context: &Context,
-    job: &Job,
-    work: &Work,
+    routed: &RoutedRequest,
+    outgoing: &OutgoingRequest,
     payload: &mut Payload,
     history: &mut History,
     trace: &mut Trace,
-    here: &Here,
+    presence: &CallerPresence,
 ) -> Step {
     let repeat = history.arrivals > 0;
     let ask = DispatchRequest {
         ticket: 0,
-        service: job.service.clone(),
-        point: job.asked.key.filter(|_| job.keyed),
-        priority: job.route.priority,
-        received_at: job.came,
-        goal: job.goal,
-        deadline: job.until,
-        // Only the owner can serve a key, also a second time.
-        tried: if job.keyed {
+        service: routed.service.clone(),
+        point: routed.info.key.filter(|_| routed.keyed),
+        priority: routed.route.priority,
+        received_at: routed.arrived,
+        goal: routed.goal_deadline,
+        deadline: routed.deadline,
+        // Only the owner can serve a key, so a retry may go to the same target.
+        tried: if routed.keyed {
             Vec::new()
         } else {
             history.reached.clone()
         },
         misdirected: history.misdirected.clone(),
-        large: job.route.kind == Kind::Download,
+        large: routed.route.kind == Kind::Download,
         is_retry: repeat,
     };
     let permit = match context.dispatcher.acquire(ask).await {
         Ok(permit) => permit,
         Err(refused) => {
-            count_refusal(context, job, refused.reason);
+            count_refusal(context, routed, refused.reason);
             trace
                 .notes
                 .push(format!("{}: {}", refused.reason.name(), refused.basis));
-            return history.give_up(Own::not_run(refused.reason.name(), refused.retry_after));
+            return history.give_up(LocalResponse::not_run(
+                refused.reason.name(),
+                refused.retry_after,
+            ));
         }
     };
-    let left = job.until.saturating_sub(context.clock.now());
-    if left < LEAST_TIME {
-        return history.give_up(Own::not_run("its time ended while it waited", COME_BACK));
+    let remaining = routed.deadline.saturating_sub(context.clock.now());
+    if remaining < MIN_ATTEMPT_TIME {
+        return history.give_up(LocalResponse::not_run(
+            "the request's time ran out in the queue",
+            RETRY_AFTER,
+        ));
     }
-    if !here.0.get() {
-        return history.give_up(Own::not_run("its caller left while it waited", COME_BACK));
+    if !presence.0.get() {
+        return history.give_up(LocalResponse::not_run(
+            "the caller disconnected while the request was queued",
+            RETRY_AFTER,
+        ));
     }
     let Some(body) = payload.take() else {
-        return history.give_up(Own::not_run("its body has been sent once", COME_BACK));
+        return history.give_up(LocalResponse::not_run(
+            "the streamed body can't be sent again",
+            RETRY_AFTER,
+        ));
     };
     let target = permit.target.id.clone();
     let fence = permit.basis.fence;
     trace.targets.push(target.clone());
     trace.notes.push(format!("sent: {}", permit.basis));
     history.turn = permit.basis.completion_interval;
-    let tried = context.sender.send(work, body, permit, left).await;
-    if !matches!(tried, Tried::Unsent(_)) {
+    let result = context.sender.send(outgoing, body, permit, remaining).await;
+    if !matches!(result, AttemptResult::Unsent(_)) {
         history.arrivals += 1;
         if repeat {
             context
                 .report
-                .count("repeats", &[("service", &job.service)]);
+                .count("repeats", &[("service", &routed.service)]);
         }
     }
-    if matches!(tried, Tried::Refused(Refusal::NotOwner, _)) {
-        let reason = misdirected(context, job, fence);
+    if matches!(result, AttemptResult::Refused(Refusal::NotOwner, _)) {
+        let reason = misdirected_reason(context, routed, fence);
         context.report.count(
             "misdirected",
-            &[("service", &job.service), ("reason", reason)],
+            &[("service", &routed.service), ("reason", reason)],
         );
         history.misdirected.push((target.clone(), fence));
     }
-    judge(job, payload, history, trace, target, tried)
+    evaluate(routed, payload, history, trace, target, result)
 }
 
-/// Counts a request that no target may get, and whether cold targets of its service were spared meanwhile.
-fn count_refusal(context: &Context, job: &Job, why: RefusalReason) {
-    let fleet = context.shared_fleet.get();
-    let cold = fleet.has_cold_target(context.clock.now(), &job.service);
+/// Counts a request that is refused without a target, and whether its service has cold targets, which
+/// get fewer requests.
+fn count_refusal(context: &Context, routed: &RoutedRequest, why: RefusalReason) {
+    let fleet = context.fleet_view.get();
+    let cold = fleet.has_cold_target(context.clock.now(), &routed.service);
     let cold = if cold { "yes" } else { "no" };
     let tags = [
-        ("service", job.service.as_str()),
+        ("service", routed.service.as_str()),
         ("reason", why.name()),
         ("cold", cold),
     ];
     context.report.count("refused", &tags);
 }
 
-/// Tells why a request reached a target that refused it as not the one.
-fn misdirected(context: &Context, job: &Job, fence: Fence) -> &'static str {
-    let Some(point) = job.asked.key.filter(|_| job.keyed) else {
+/// Returns why a request reached a target that refused it as misdirected.
+fn misdirected_reason(context: &Context, routed: &RoutedRequest, fence: Fence) -> &'static str {
+    let Some(key) = routed.info.key.filter(|_| routed.keyed) else {
         return "another-target";
     };
-    let fleet = context.shared_fleet.get();
-    let record = fleet.records.get(&job.service);
-    let part = record.and_then(|it| it.record.find(point));
+    let fleet = context.fleet_view.get();
+    let record = fleet.records.get(&routed.service);
+    let part = record.and_then(|it| it.record.find(key));
     if part.is_some_and(|part| part.fence == fence) {
         "owner-refuses"
     } else {
@@ -210,75 +227,95 @@
     }
 }
 
-/// Decides what a try's end means for the request.
-fn judge(
-    job: &Job,
+/// Decides what the result of an attempt means for the request.
+fn evaluate(
+    routed: &RoutedRequest,
     payload: &Payload,
     history: &mut History,
     trace: &mut Trace,
     target: String,
-    tried: Tried,
+    result: AttemptResult,
 ) -> Step {
-    let may_repeat = job.route.kind.is_idempotent();
-    let attempts = usize::try_from(job.route.attempts).unwrap_or(usize::MAX);
-    let step = match tried {
-        Tried::Answered(response) => {
+    let may_retry = routed.route.kind.is_idempotent();
+    let max_attempts = usize::try_from(routed.route.attempts).unwrap_or(usize::MAX);
+    let step = match result {
+        AttemptResult::Answered(response) => {
             history.reached.push(target);
             let failed = response.status().is_server_error();
-            if !failed || !may_repeat || history.reached.len() >= attempts {
+            if !failed || !may_retry || history.reached.len() >= max_attempts {
                 return Step::End(Ok(response));
             }
             trace
                 .notes
                 .push(format!("status {}", response.status().as_u16()));
-            history.failure = Some(response);
+            history.failed = Some(response);
             Step::Again
         }
-        Tried::Refused(Refusal::NotOwner, status) => {
-            trace
-                .notes
-                .push(format!("not its owner, status {}", status.as_u16()));
-            history.unowned += 1;
-            if history.unowned > UNOWNED_MOST {
-                return history.give_up(Own::not_run("the key is moving", COME_BACK));
+        AttemptResult::Refused(Refusal::NotOwner, status) => {
+            trace.notes.push(format!(
+                "the target doesn't own the key, status {}",
+                status.as_u16()
+            ));
+            history.not_owner += 1;
+            if history.not_owner > MAX_NOT_OWNER {
+                return history.give_up(LocalResponse::not_run(
+                    "the key is moving to another owner",
+                    RETRY_AFTER,
+                ));
             }
             return Step::Again;
         }
-        Tried::Refused(_, status) => {
-            trace
-                .notes
-                .push(format!("refused with {}", status.as_u16()));
+        AttemptResult::Refused(_, status) => {
+            trace.notes.push(format!(
+                "the target refused the request, status {}",
+                status.as_u16()
+            ));
             history.reached.push(target);
             Step::Again
         }
-        Tried::Unsent(error) => {
+        AttemptResult::Unsent(error) => {
             trace.notes.push(error.to_string());
             history.unsent += 1;
-            if history.unsent > UNSENT_MOST {
-                return history.give_up(Own::not_run("no target could be reached", COME_BACK));
+            if history.unsent > MAX_UNSENT {
+                return history.give_up(LocalResponse::not_run(
+                    "no target could be reached",
+                    RETRY_AFTER,
+                ));
             }
             return Step::Again;
         }
-        Tried::Lost(cause) => {
+        AttemptResult::Lost(cause) => {
             trace.notes.push(cause.clone());
             history.reached.push(target);
             if payload.is_too_large() {
-                return Step::End(Err(Own::new(Failure::TooLarge, cause)));
+                return Step::End(Err(LocalResponse::new(Failure::TooLarge, cause)));
             }
-            history.doubt = Some(Own::new(Failure::Lost, cause));
-            if !may_repeat {
-                return history.give_up(Own::new(Failure::Lost, "lost"));
+            history.uncertain = Some(LocalResponse::new(Failure::Lost, cause));
+            if !may_retry {
+                return history.give_up(LocalResponse::new(
+                    Failure::Lost,
+                    "the target's response was lost",
+                ));
             }
             Step::Again
         }
-        Tried::TimedOut => {
-            history.doubt = Some(Own::new(Failure::TimedOut, "no answer in time"));
-            return history.give_up(Own::new(Failure::TimedOut, "no answer in time"));
+        AttemptResult::TimedOut => {
+            history.uncertain = Some(LocalResponse::new(
+                Failure::TimedOut,
+                "no response from the target in time",
+            ));
+            return history.give_up(LocalResponse::new(
+                Failure::TimedOut,
+                "no response from the target in time",
+            ));
         }
     };
-    if history.reached.len() >= attempts || !payload.is_left() {
-        let retry = history.turn.max(MIN_RETRY_AFTER);
-        return history.give_up(Own::not_run("every allowed target refused it", retry));
+    if history.reached.len() >= max_attempts || !payload.is_left() {
+        let retry_after = history.turn.max(MIN_RETRY_AFTER);
+        return history.give_up(LocalResponse::not_run(
+            "every attempted target refused the request",
+            retry_after,
+        ));
     }
     step
 }
--- a/engine/src/caller/body.rs
+++ b/engine/src/caller/body.rs
@@ -1,5 +1,4 @@
-//! Bodies on their way through: read whole where they are small, streamed with bounded memory
-//! where they are not.
+//! Forwards bodies: small ones are read whole, larger ones are streamed in bounded memory.
 
 use std::{
     cell::Cell,
@@ -14,96 +13,97 @@
 
 use crate::placement::{dispatch::CompletionKind, task::Permit};
 
-/// What was read of a body.
-pub enum Taken {
-    /// All of it.
+/// The result of reading a body up to a limit.
+pub enum ReadBody {
+    /// The whole body.
     Whole(Bytes),
-    /// It is longer than the limit: what was read, and the rest.
-    Begun(Vec<Bytes>, Incoming),
+    /// The body exceeds the limit: the chunks read so far, and the rest.
+    Partial(Vec<Bytes>, Incoming),
 }
 
-/// Reads a body up to a limit.
+/// Reads a body up to a limit, in bytes.
 ///
 /// # Errors
 ///
-/// The body was cut short.
-pub async fn take(mut body: Incoming, limit: usize) -> Result<Taken, hyper::Error> {
-    let mut pieces: Vec<Bytes> = Vec::new();
+/// The body was truncated.
+pub async fn read_up_to(mut body: Incoming, limit: usize) -> Result<ReadBody, hyper::Error> {
+    let mut chunks: Vec<Bytes> = Vec::new();
     let mut size = 0;
     loop {
         let frame = future::poll_fn(|context| Pin::new(&mut body).poll_frame(context)).await;
         let Some(frame) = frame else {
-            return Ok(Taken::Whole(join(pieces)));
+            return Ok(ReadBody::Whole(join(chunks)));
         };
-        // Trailers concern one connection only.
-        let Ok(piece) = frame?.into_data() else {
+        // Trailers apply to one connection only and are not forwarded.
+        let Ok(chunk) = frame?.into_data() else {
             continue;
         };
-        size += piece.len();
-        pieces.push(piece);
+        size += chunk.len();
+        chunks.push(chunk);
         if size > limit {
-            return Ok(Taken::Begun(pieces, body));
+            return Ok(ReadBody::Partial(chunks, body));
         }
     }
 }
 
-fn join(mut pieces: Vec<Bytes>) -> Bytes {
-    if pieces.len() == 1 {
-        return pieces.remove(0);
+fn join(mut chunks: Vec<Bytes>) -> Bytes {
+    if chunks.len() == 1 {
+        return chunks.remove(0);
     }
-    Bytes::from(pieces.concat())
+    Bytes::from(chunks.concat())
 }
 
-/// A body that goes on with pieces read before, and holds a target's place to its end.
+/// A body that yields the chunks already read, then streams the rest; may keep a target's permit until its end.
 pub struct Streamed {
-    before: std::collections::VecDeque<Bytes>,
+    chunks: std::collections::VecDeque<Bytes>,
     rest: Incoming,
-    left: Option<u64>,
+    /// The size of the whole body in bytes, if known.
+    size: Option<u64>,
     permit: Option<(Permit, std::time::Duration)>,
-    /// How many more bytes may come, and what is set once there are more.
-    room: Option<(u64, Rc<Cell<bool>>)>,
+    /// How many more bytes are allowed, and the flag that is set when the limit is exceeded.
+    limit: Option<(u64, Rc<Cell<bool>>)>,
 }
 
 impl Streamed {
-    /// Creates a body of the pieces and the rest.
-    pub fn new(pieces: Vec<Bytes>, rest: Incoming) -> Self {
-        let read: u64 = pieces.iter().map(|it| it.len() as u64).sum();
-        let left = rest.size_hint().exact().map(|it| it + read);
+    /// Creates a body of the chunks already read and the rest.
+    pub fn new(chunks: Vec<Bytes>, rest: Incoming) -> Self {
+        let read: u64 = chunks.iter().map(|it| it.len() as u64).sum();
+        let size = rest.size_hint().exact().map(|it| it + read);
         Self {
-            before: pieces.into(),
+            chunks: chunks.into(),
             rest,
-            left,
+            size,
             permit: None,
-            room: None,
+            limit: None,
         }
     }
 
-    /// Breaks the body off, and sets `over`, once it is longer than `limit`.
-    pub fn within(mut self, limit: u64, over: Rc<Cell<bool>>) -> Self {
-        let read: u64 = self.before.iter().map(|it| it.len() as u64).sum();
-        self.room = Some((limit.saturating_sub(read), over));
+    /// Fails the body and sets `exceeded` once it is longer than `limit` bytes.
+    pub fn with_limit(mut self, limit: u64, exceeded: Rc<Cell<bool>>) -> Self {
+        let read: u64 = self.chunks.iter().map(|it| it.len() as u64).sum();
+        self.limit = Some((limit.saturating_sub(read), exceeded));
         self
     }
 
-    /// Counts a piece; tells whether it is still within the limit.
-    fn admit(&mut self, piece: u64) -> bool {
-        let Some((room, over)) = &mut self.room else {
+    /// Counts the bytes of a chunk; returns whether the body is still within its limit.
+    fn count(&mut self, bytes: u64) -> bool {
+        let Some((allowed, exceeded)) = &mut self.limit else {
             return true;
         };
-        match room.checked_sub(piece) {
-            Some(left) => *room = left,
-            None => over.set(true),
+        match allowed.checked_sub(bytes) {
+            Some(left) => *allowed = left,
+            None => exceeded.set(true),
         }
-        !over.get()
+        !exceeded.get()
     }
 
-    /// Keeps a target's place until the body has ended.
-    pub fn holding(mut self, permit: Permit, took: std::time::Duration) -> Self {
+    /// Keeps a target's permit until the body has ended; `took` is the time until the response could be forwarded.
+    pub fn with_permit(mut self, permit: Permit, took: std::time::Duration) -> Self {
         self.permit = Some((permit, took));
         self
     }
 
-    fn end(&mut self, ok: bool) {
+    fn finish_permit(&mut self, ok: bool) {
         if let Some((permit, took)) = self.permit.take() {
             let ended = if ok {
                 CompletionKind::Answered(took)
@@ -123,17 +123,17 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cause>>> {
-        if let Some(piece) = self.before.pop_front() {
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+        if let Some(chunk) = self.chunks.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         let polled = Pin::new(&mut self.rest).poll_frame(context);
         match &polled {
-            Poll::Ready(None) => self.end(true),
-            Poll::Ready(Some(Err(_))) => self.end(false),
+            Poll::Ready(None) => self.finish_permit(true),
+            Poll::Ready(Some(Err(_))) => self.finish_permit(false),
             Poll::Ready(Some(Ok(frame))) => {
-                let piece = frame.data_ref().map_or(0, |it| it.len() as u64);
-                if !self.admit(piece) {
-                    return Poll::Ready(Some(Err("the body is longer than allowed".into())));
+                let bytes = frame.data_ref().map_or(0, |it| it.len() as u64);
+                if !self.count(bytes) {
+                    return Poll::Ready(Some(Err("the body exceeds the size limit".into())));
                 }
             }
             Poll::Pending => {}
@@ -142,7 +142,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left
+        self.size
             .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/engine/src/caller/failure.rs
+++ b/engine/src/caller/failure.rs
@@ -1,21 +1,21 @@
-//! The answers of our own.
+//! The failures that this router reports in local responses.
 
-/// What a caller is told when no target's answer is passed on.
+/// Why a caller gets a local response instead of a target's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Failure {
-    /// No route leads there.
+    /// No route matches the request.
     NoRoute,
-    /// The request can't be understood.
+    /// The request can't be parsed, or lacks a required field.
     Malformed,
-    /// The body is too large.
+    /// The request body is too large.
     TooLarge,
-    /// The body did not arrive in time.
+    /// The request body did not arrive in time.
     TooSlow,
-    /// It has not run and will not; it may be sent again later.
+    /// The request has not run and will not; the caller may retry it later.
     NotRun,
-    /// Its time is over; it may have run.
+    /// The request's time ran out; it may have run.
     TimedOut,
-    /// The target's answer was lost; it may have run.
+    /// The target's response was lost; the request may have run.
     Lost,
 }
 
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -1,4 +1,4 @@
-//! A request's way: limits, route, target, tries, answer.
+//! Handles one request: limits, route, target, attempts and response.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,9 +9,9 @@
 use super::{
     CallerProtocol, RequestInfo,
     attempt::Sender,
-    attempts::{self, Here},
+    attempts::{self, CallerPresence},
     failure::Failure,
-    local_response::{COME_BACK, Own, Trace},
+    local_response::{LocalResponse, RETRY_AFTER, Trace},
     payload,
     startup::StartupWait,
     timeouts::RouteTimeouts,
@@ -25,26 +25,26 @@
     report::Report,
 };
 
-/// How long a caller waits that doesn't say.
-const WAIT: Duration = Duration::from_secs(30);
+/// The remaining time assumed for a caller that states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a request's way needs.
+/// What requests are handled with.
 #[derive(Clone)]
 pub struct Context {
-    /// What is believed of the fleet.
-    pub shared_fleet: SharedFleet,
-    /// Whether the manager is heard, who relays what is new.
+    /// This VM's view of the fleet.
+    pub fleet_view: SharedFleet,
+    /// Whether the manager's sync exchange works, which relays changes of the store.
     pub manager_health: Health,
-    /// How callers are understood.
+    /// The protocol that callers use.
     pub callers: Rc<dyn CallerProtocol>,
-    /// Decides on targets.
+    /// Decides which targets requests go to.
     pub dispatcher: task::Handle,
-    /// Sends to targets.
+    /// Sends requests to targets.
     pub sender: Sender,
-    /// Requests that come before the first configuration.
-    pub early: StartupWait,
-    /// How long callers wait at the most, by route.
-    pub patience: RouteTimeouts,
+    /// Holds requests that arrive before the first configuration.
+    pub startup: StartupWait,
+    /// The longest remaining time that callers have stated, by route.
+    pub timeouts: RouteTimeouts,
     /// Counts requests by key.
     pub tally: Tally,
     /// The clock.
@@ -59,109 +59,140 @@
     }
 }
 
-/// What is known of a request once its route is.
+/// A request whose route and service are known.
 #[derive(Clone, Debug)]
-pub(super) struct Job {
-    pub(super) asked: RequestInfo,
+pub(super) struct RoutedRequest {
+    pub(super) info: RequestInfo,
     pub(super) route: Route,
     pub(super) service: String,
     /// Whether only the owner of the key can serve it.
     pub(super) keyed: bool,
     /// The configuration's version.
     pub(super) version: u64,
-    pub(super) came: Duration,
-    /// Until when an answer is in time for its route's goal.
-    pub(super) goal: Duration,
+    /// When the request arrived.
+    pub(super) arrived: Duration,
+    /// Until when a response meets the goal of its route.
+    pub(super) goal_deadline: Duration,
     /// Until when its caller waits.
-    pub(super) until: Duration,
+    pub(super) deadline: Duration,
 }
 
-/// Answers one request.
+/// Handles one request, from its arrival to its response.
 pub async fn handle(context: Context, request: Request<Incoming>) -> Response<Body> {
-    let came = context.clock.now();
-    let asked = context
+    let arrived = context.clock.now();
+    let info = context
         .callers
         .read(request.method(), request.uri(), request.headers());
-    let (shared_fleet, clock) = (&context.shared_fleet, &context.clock);
+    let (fleet_view, clock) = (&context.fleet_view, &context.clock);
     let Some(config) = context
-        .early
-        .config(shared_fleet, clock, asked.remaining)
+        .startup
+        .config(fleet_view, clock, info.remaining)
         .await
     else {
-        let own = Own::not_run("no configuration is known yet", COME_BACK);
-        return finish(&context, &asked, None, came, &Trace::default(), Err(own));
+        let local = LocalResponse::not_run("no configuration has been received yet", RETRY_AFTER);
+        return finish(
+            &context,
+            &info,
+            None,
+            arrived,
+            &Trace::default(),
+            Err(local),
+        );
     };
-    let job = match plan(&context, &asked, &config, &request, came) {
-        Ok(job) => job,
-        Err(own) => return finish(&context, &asked, None, came, &Trace::default(), Err(own)),
+    let routed = match find_route(&context, &info, &config, &request, arrived) {
+        Ok(routed) => routed,
+        Err(local) => {
+            return finish(
+                &context,
+                &info,
+                None,
+                arrived,
+                &Trace::default(),
+                Err(local),
+            );
+        }
     };
     let limit = config.limits.body_bytes;
     drop(config);
-    if job.route.kind.is_idempotent() {
-        let (result, trace) = run(&context, &job, request, limit).await;
-        return finish(&context, &asked, Some(&job), came, &trace, result);
+    if routed.route.kind.is_idempotent() {
+        let (result, trace) = run(&context, &routed, request, limit).await;
+        return finish(&context, &info, Some(&routed), arrived, &trace, result);
     }
-    // Work that can't be repeated goes on to its end when its caller leaves.
+    // A request that can't be retried runs in a task of its own, which continues when its caller disconnects.
     let (sender, receiver) = oneshot::channel();
-    let (inner, order) = (context.clone(), job.clone());
-    let read = payload::read(&context, &job, request.into_parts(), limit).await;
-    let (work, payload) = match read {
+    let (task_context, task_request) = (context.clone(), routed.clone());
+    let read = payload::read(&context, &routed, request.into_parts(), limit).await;
+    let (outgoing, payload) = match read {
         Ok(ready) => ready,
-        Err(own) => {
+        Err(local) => {
             return finish(
                 &context,
-                &asked,
-                Some(&job),
-                came,
+                &info,
+                Some(&routed),
+                arrived,
                 &Trace::default(),
-                Err(own),
+                Err(local),
             );
         }
     };
-    let here = Here::default();
-    let caller = here.clone();
+    let presence = CallerPresence::default();
+    let task_presence = presence.clone();
     compio::runtime::spawn(async move {
-        let (result, trace) = attempts::run(&inner, &order, work, payload, &caller).await;
-        let response = finish(&inner, &order.asked, Some(&order), came, &trace, result);
+        let (result, trace) = attempts::run(
+            &task_context,
+            &task_request,
+            outgoing,
+            payload,
+            &task_presence,
+        )
+        .await;
+        let response = finish(
+            &task_context,
+            &task_request.info,
+            Some(&task_request),
+            arrived,
+            &trace,
+            result,
+        );
         if sender.send(response).is_err() {
-            inner
+            task_context
                 .report
-                .request_line(|| format!("event=caller-left id={}", order.asked.id));
+                .request_line(|| format!("event=caller-left id={}", task_request.info.id));
         }
     })
     .detach();
-    let lost = || Own::new(Failure::Lost, "the request's task ended early");
-    let _leaving = Leaving(here);
+    let lost = || LocalResponse::new(Failure::Lost, "the request's task ended unexpectedly");
+    let _guard = DisconnectGuard(presence);
     match receiver.await {
         Ok(response) => response,
         Err(_) => finish(
             &context,
-            &asked,
-            Some(&job),
-            came,
+            &info,
+            Some(&routed),
+            arrived,
             &Trace::default(),
             Err(lost()),
         ),
     }
 }
 
-/// Tells that a caller has left when its connection's task is dropped.
-struct Leaving(Here);
+/// Records that a caller has disconnected when the task of its connection is dropped.
+struct DisconnectGuard(CallerPresence);
 
-impl Drop for Leaving {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
-        self.0.leave();
+        self.0.set_left();
     }
 }
 
-/// Finds a request's route and the end of its time.
-fn plan(
+/// Finds a request's route and service, and computes its deadlines.
+fn find_route(
     context: &Context,
-    asked: &RequestInfo,
+    info: &RequestInfo,
     config: &Rc<Config>,
     request: &Request<Incoming>,
-    came: Duration,
-) -> Result<Job, Own> {
+    arrived: Duration,
+) -> Result<RoutedRequest, LocalResponse> {
     let host = request
         .headers()
         .get(header::HOST)
@@ -172,79 +203,95 @@
     };
     let service = route.pick_service(rand::random()).to_owned();
     let keyed = config.services.get(&service).is_some_and(|it| it.keyed);
-    if keyed && asked.key.is_none() {
-        return Err(Own::new(Failure::Malformed, "the request has no key"));
+    if keyed && info.key.is_none() {
+        return Err(LocalResponse::new(
+            Failure::Malformed,
+            "the request has no key",
+        ));
     }
-    let told = asked.remaining.unwrap_or(WAIT);
-    let wait = told.min(route.timeout);
-    // A caller that tries again counts from its first try.
-    let before = context.patience.passed(&route.name, told);
-    Ok(Job {
-        asked: asked.clone(),
+    let remaining = info.remaining.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = remaining.min(route.timeout);
+    // A caller that retries counts the goal from its first attempt.
+    let elapsed = context.timeouts.elapsed(&route.name, remaining);
+    Ok(RoutedRequest {
+        info: info.clone(),
         route: route.clone(),
         service,
         keyed,
         version: config.version,
-        came,
-        goal: (came + route.goal).saturating_sub(before),
-        until: came + wait,
+        arrived,
+        goal_deadline: (arrived + route.goal).saturating_sub(elapsed),
+        deadline: arrived + timeout,
     })
 }
 
-/// What a caller is told whose route isn't known.
+/// Returns the local response for a request without a known route.
 ///
-/// A VM without news can't say that there is none: the route may have been added since.
-fn no_route(context: &Context, host: &str, config: &Config) -> Own {
+/// A VM that receives no configuration changes can't rule out that the route has been added since, so it
+/// lets the caller retry.
+fn no_route(context: &Context, host: &str, config: &Config) -> LocalResponse {
     let cause = format!("no route for host={host} version={}", config.version);
-    if context.shared_fleet.get().config_followed || context.manager_health.is_healthy() {
-        Own::new(Failure::NoRoute, cause)
+    if context.fleet_view.get().config_followed || context.manager_health.is_healthy() {
+        LocalResponse::new(Failure::NoRoute, cause)
     } else {
-        Own::not_run(format!("{cause}, and no news of newer ones"), COME_BACK)
+        LocalResponse::not_run(
+            format!("{cause}; this VM currently receives no configuration changes"),
+            RETRY_AFTER,
+        )
     }
 }
 
 async fn run(
     context: &Context,
-    job: &Job,
+    routed: &RoutedRequest,
     request: Request<Incoming>,
     limit: u64,
-) -> (Result<Response<Body>, Own>, Trace) {
-    match payload::read(context, job, request.into_parts(), limit).await {
-        Ok((work, payload)) => attempts::run(context, job, work, payload, &Here::default()).await,
-        Err(own) => (Err(own), Trace::default()),
+) -> (Result<Response<Body>, LocalResponse>, Trace) {
+    match payload::read(context, routed, request.into_parts(), limit).await {
+        Ok((outgoing, payload)) => {
+            attempts::run(
+                context,
+                routed,
+                outgoing,
+                payload,
+                &CallerPresence::default(),
+            )
+            .await
+        }
+        Err(local) => (Err(local), Trace::default()),
     }
 }
 
-/// Logs and counts the outcome, and builds an answer of our own where there is none.
+/// Logs and counts the outcome, and builds the local response if there is no other.
 fn finish(
     context: &Context,
-    asked: &RequestInfo,
-    job: Option<&Job>,
-    came: Duration,
+    info: &RequestInfo,
+    routed: Option<&RoutedRequest>,
+    arrived: Duration,
     trace: &Trace,
-    result: Result<Response<Body>, Own>,
+    result: Result<Response<Body>, LocalResponse>,
 ) -> Response<Body> {
-    let took = context.clock.now().saturating_sub(came);
+    let took = context.clock.now().saturating_sub(arrived);
     let (outcome, cause, response) = match result {
         Ok(response) => ("answered", String::new(), response),
-        Err(own) => {
-            let response = speak(context, asked, &own);
-            (own.word.name(), own.cause, response)
+        Err(local) => {
+            let response = build_response(context, info, &local);
+            (local.failure.name(), local.cause, response)
         }
     };
     let status = response.status();
-    let route = job.map_or("", |it| &it.route.name);
+    let route = routed.map_or("", |it| &it.route.name);
     context.report.request_line(|| {
-        let service = job.map_or("", |it| &it.service);
-        let version = job.map_or(0, |it| it.version);
-        let point = asked.key.map(|it| it.to_string()).unwrap_or_default();
+        let service = routed.map_or("", |it| &it.service);
+        let version = routed.map_or(0, |it| it.version);
+        let key = info.key.map(|it| it.to_string()).unwrap_or_default();
         format!(
-            "event=request id={} route={route} version={version} service={service} key={point} \
+            "event=request id={} route={route} version={version} service={service} key={key} \
              outcome={outcome} status={} took_ms={} wait_ms={} targets={} cause=\"{cause}\" tries=\"{}\"",
-            asked.id,
+            info.id,
             status.as_u16(),
             took.as_millis(),
-            asked.remaining.map_or(0, |it| it.as_millis()),
+            info.remaining.map_or(0, |it| it.as_millis()),
             trace.targets.join(","),
             trace.notes.join("; ")
         )
@@ -256,19 +303,23 @@
     response
 }
 
-/// Builds an answer of our own.
-fn speak(context: &Context, asked: &RequestInfo, own: &Own) -> Response<Body> {
-    let mut response = Response::new(Body::from(format!("{}: {}\n", own.word.name(), own.cause)));
-    *response.status_mut() = context.callers.status(own.word);
+/// Builds the HTTP response of a local response.
+fn build_response(context: &Context, info: &RequestInfo, local: &LocalResponse) -> Response<Body> {
+    let mut response = Response::new(Body::from(format!(
+        "{}: {}\n",
+        local.failure.name(),
+        local.cause
+    )));
+    *response.status_mut() = context.callers.status(local.failure);
     let headers = response.headers_mut();
     context
         .callers
-        .add_headers(own.word, &asked.id, own.retry, headers);
-    if own.word == Failure::TooLarge
-        || own.word == Failure::TooSlow
-        || own.word == Failure::Malformed
+        .add_headers(local.failure, &info.id, local.retry_after, headers);
+    if local.failure == Failure::TooLarge
+        || local.failure == Failure::TooSlow
+        || local.failure == Failure::Malformed
     {
-        // What is left of the request can't be told from the next one.
+        // Unread bytes of this request could be taken for the next one on the connection.
         headers.insert(
             header::CONNECTION,
             header::HeaderValue::from_static("close"),
--- a/engine/src/caller/local_response.rs
+++ b/engine/src/caller/local_response.rs
@@ -1,44 +1,44 @@
-//! How a request ended, when no target answered it, and what was tried.
+//! Responses that this router makes itself, and the attempts that the log reports.
 
 use std::time::Duration;
 
 use super::failure::Failure;
 
-/// The time to come back that is told when nothing better is known.
-pub(super) const COME_BACK: Duration = Duration::from_millis(300);
+/// The retry-after of a local response when no better estimate is known.
+pub(super) const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// An answer of our own.
+/// A response that this router makes itself, because no target's response can be passed on.
 #[derive(Clone, Debug)]
-pub(super) struct Own {
-    pub(super) word: Failure,
+pub(super) struct LocalResponse {
+    pub(super) failure: Failure,
     pub(super) cause: String,
-    pub(super) retry: Option<Duration>,
+    pub(super) retry_after: Option<Duration>,
 }
 
-impl Own {
-    pub(super) fn new<T>(word: Failure, cause: T) -> Self
+impl LocalResponse {
+    pub(super) fn new<T>(failure: Failure, cause: T) -> Self
     where
         T: Into<String>,
     {
         Self {
-            word,
+            failure,
             cause: cause.into(),
-            retry: None,
+            retry_after: None,
         }
     }
 
-    pub(super) fn not_run<T>(cause: T, retry: Duration) -> Self
+    pub(super) fn not_run<T>(cause: T, retry_after: Duration) -> Self
     where
         T: Into<String>,
     {
         Self {
-            retry: Some(retry),
+            retry_after: Some(retry_after),
             ..Self::new(Failure::NotRun, cause)
         }
     }
 }
 
-/// What was tried for a request, for the log.
+/// The targets of a request's attempts and what happened at each, for the log.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Trace {
     pub(super) targets: Vec<String>,
--- a/engine/src/caller/mod.rs
+++ b/engine/src/caller/mod.rs
@@ -1,8 +1,9 @@
-//! Callers: what they ask, how a request goes through, and what they are answered.
+//! Serves callers, the clients of the router.
 //!
-//! [`serve`] owns callers' connections; [`forward`] takes one request from its route to its answer;
-//! `tries` decides which targets it goes to one after the other; [`attempt`] sends it to one;
-//! [`early`] lets requests wait that come before the first configuration; [`words`] are the answers of our own.
+//! [`serve`] owns callers' connections; [`forward`] takes one request from its route to its
+//! response. `attempts` decides which targets it is sent to, one after the other, and [`attempt`]
+//! sends it to one of them. [`startup`] holds requests until the first configuration is known, and
+//! [`failure`] lists the failures that this router reports in responses of its own.
 
 pub mod attempt;
 mod attempts;
@@ -21,31 +22,31 @@
 
 use crate::owner::record::RequestKey;
 
-/// What a caller's request says beside method, path and body.
+/// Fields of a caller's request that the caller protocol defines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The request's id; each try of a caller has another.
+    /// The request's id; each attempt of a caller has another.
     pub id: String,
-    /// How long the caller waits; none if it doesn't say.
+    /// How much longer the caller waits; none if it doesn't say.
     pub remaining: Option<Duration>,
-    /// The key.
+    /// The key that decides which target owns the request.
     pub key: Option<RequestKey>,
 }
 
-/// How callers are understood and answered; implemented once for each dialect.
+/// The protocol between callers and this router; an adapter implements it for one platform.
 pub trait CallerProtocol {
-    /// Reads what a request says.
+    /// Reads the fields that the protocol defines.
     fn read(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> RequestInfo;
 
-    /// Returns the status of an answer of our own.
-    fn status(&self, word: failure::Failure) -> StatusCode;
+    /// Returns the status of a local response.
+    fn status(&self, failure: failure::Failure) -> StatusCode;
 
-    /// Adds the headers of an answer of our own.
+    /// Adds the headers of a local response.
     fn add_headers(
         &self,
-        word: failure::Failure,
+        failure: failure::Failure,
         id: &str,
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
         headers: &mut HeaderMap,
     );
 }
--- a/engine/src/caller/payload.rs
+++ b/engine/src/caller/payload.rs
@@ -1,4 +1,5 @@
-//! A request's body: read whole where it is small, streamed within the operator's limit otherwise.
+//! Reads a request's body: small bodies are kept whole, so that the request can be retried; larger
+//! ones are streamed within the operator's limit.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -9,55 +10,55 @@
 };
 
 use super::{
-    attempt::Work,
-    body::{self, Streamed, Taken},
+    attempt::OutgoingRequest,
+    body::{self, ReadBody, Streamed},
     failure::Failure,
-    forward::{Context, Job},
-    local_response::Own,
+    forward::{Context, RoutedRequest},
+    local_response::LocalResponse,
 };
 
-/// The largest request body that is read whole, in bytes; only such a one can be sent twice.
-const WHOLE_REQUEST: usize = 256 * 1024;
+/// The largest request body that is read whole; only such a request can be sent more than once.
+const MAX_BUFFERED_REQUEST_BYTES: usize = 256 * 1024;
 
-/// A request's body, for one try or for all.
+/// A request's body, for one attempt or for several.
 #[derive(Debug)]
 pub(super) enum Payload {
-    /// Read whole.
+    /// The whole body; it can be sent in each attempt.
     Whole(Bytes),
-    /// Streams; there is one try only. The flag tells whether it has passed the limit.
-    Once(Option<Body>, Rc<Cell<bool>>),
+    /// A streamed body, which can be sent once. The flag tells whether it has exceeded the limit.
+    Streamed(Option<Body>, Rc<Cell<bool>>),
 }
 
 impl Payload {
-    /// Takes a copy for a try; none if it is spent.
+    /// Returns the body for an attempt; none if a streamed body has been sent already.
     pub(super) fn take(&mut self) -> Option<Body> {
         match self {
             Self::Whole(bytes) => Some(Body::from(bytes.clone())),
-            Self::Once(body, _) => body.take(),
+            Self::Streamed(body, _) => body.take(),
         }
     }
 
-    /// Returns whether another try is possible.
+    /// Returns whether the body can be sent in another attempt.
     pub(super) fn is_left(&self) -> bool {
-        matches!(self, Self::Whole(_) | Self::Once(Some(_), _))
+        matches!(self, Self::Whole(_) | Self::Streamed(Some(_), _))
     }
 
-    /// Returns whether it was cut off because it was longer than allowed.
+    /// Returns whether a streamed body was stopped because it exceeded the limit.
     pub(super) fn is_too_large(&self) -> bool {
-        matches!(self, Self::Once(_, over) if over.get())
+        matches!(self, Self::Streamed(_, exceeded) if exceeded.get())
     }
 }
 
-/// Reads the request's body, or as much of it as may be kept.
+/// Reads the request's body up to [`MAX_BUFFERED_REQUEST_BYTES`], and prepares the request for sending.
 pub(super) async fn read(
     context: &Context,
-    job: &Job,
+    routed: &RoutedRequest,
     (mut head, incoming): (http::request::Parts, Incoming),
     limit: u64,
-) -> Result<(Work, Payload), Own> {
+) -> Result<(OutgoingRequest, Payload), LocalResponse> {
     let size = incoming.size_hint();
     if size.lower() > limit {
-        return Err(Own::new(
+        return Err(LocalResponse::new(
             Failure::TooLarge,
             format!("body={} limit={limit}", size.lower()),
         ));
@@ -67,45 +68,45 @@
     let path = head.uri.path_and_query().map_or("/", |it| it.as_str());
     let uri = path
         .parse()
-        .map_err(|_| Own::new(Failure::Malformed, "the path can't be read"))?;
-    let work = Work {
-        id: job.asked.id.clone(),
+        .map_err(|_| LocalResponse::new(Failure::Malformed, "the path can't be parsed"))?;
+    let outgoing = OutgoingRequest {
+        id: routed.info.id.clone(),
         method: head.method,
         uri,
         headers: head.headers,
     };
-    let left = job.until.saturating_sub(context.clock.now());
-    let whole = WHOLE_REQUEST.min(usize::try_from(limit).unwrap_or(usize::MAX));
-    let taken = context
+    let remaining = routed.deadline.saturating_sub(context.clock.now());
+    let buffered = MAX_BUFFERED_REQUEST_BYTES.min(usize::try_from(limit).unwrap_or(usize::MAX));
+    let result = context
         .clock
-        .timeout(left, body::take(incoming, whole))
+        .timeout(remaining, body::read_up_to(incoming, buffered))
         .await;
-    let payload = match taken {
-        Ok(Ok(Taken::Whole(bytes))) => Payload::Whole(bytes),
-        Ok(Ok(Taken::Begun(pieces, rest))) => {
-            let read: usize = pieces.iter().map(Bytes::len).sum();
+    let payload = match result {
+        Ok(Ok(ReadBody::Whole(bytes))) => Payload::Whole(bytes),
+        Ok(Ok(ReadBody::Partial(chunks, rest))) => {
+            let read: usize = chunks.iter().map(Bytes::len).sum();
             if read as u64 > limit {
-                return Err(Own::new(
+                return Err(LocalResponse::new(
                     Failure::TooLarge,
                     format!("body>{read} limit={limit}"),
                 ));
             }
-            let over = Rc::new(Cell::new(false));
-            let streamed = Streamed::new(pieces, rest).within(limit, over.clone());
-            Payload::Once(Some(body::stream(streamed)), over)
+            let exceeded = Rc::new(Cell::new(false));
+            let streamed = Streamed::new(chunks, rest).with_limit(limit, exceeded.clone());
+            Payload::Streamed(Some(body::stream(streamed)), exceeded)
         }
         Ok(Err(error)) => {
-            return Err(Own::new(
+            return Err(LocalResponse::new(
                 Failure::Malformed,
-                format!("the body broke off: {error}"),
+                format!("the request body was truncated: {error}"),
             ));
         }
         Err(_) => {
-            return Err(Own::new(
+            return Err(LocalResponse::new(
                 Failure::TooSlow,
-                "the body did not arrive in time",
+                "the request body did not arrive in time",
             ));
         }
     };
-    Ok((work, payload))
+    Ok((outgoing, payload))
 }
--- a/engine/src/caller/serve.rs
+++ b/engine/src/caller/serve.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, and the balancer's question whether this VM is ready.
+//! Serves callers' connections and the load balancer's readiness checks.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -12,36 +12,41 @@
 use super::forward::{self, Context};
 use crate::catalogue::CallerLimits;
 
-/// How far the process is in its life, as its connections need to know.
+/// Whether the process accepts callers or is draining; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct ServingState {
     ready: Rc<Cell<bool>>,
-    leaving: Rc<Cell<bool>>,
+    draining: Rc<Cell<bool>>,
 }
 
-impl Gate {
-    /// Sets whether new connections are welcome.
+impl ServingState {
+    /// Sets whether the readiness check succeeds.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(ready);
     }
 
-    /// Returns whether new connections are welcome.
+    /// Returns whether the readiness check succeeds.
     pub fn is_ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// From now on each answer is its connection's last.
-    pub fn leave(&self) {
+    /// Starts draining: the readiness check fails, and each response closes its connection.
+    pub fn drain(&self) {
         self.ready.set(false);
-        self.leaving.set(true);
+        self.draining.set(true);
     }
 }
 
 /// Serves callers until the control stops it.
-pub async fn callers(listener: TcpListener, control: Control, context: Context, gate: Gate) {
-    let (shared_fleet, clock) = (context.shared_fleet.clone(), context.clock.clone());
+pub async fn callers(
+    listener: TcpListener,
+    control: Control,
+    context: Context,
+    state: ServingState,
+) {
+    let (fleet_view, clock) = (context.fleet_view.clone(), context.clock.clone());
     let bounds = move || {
-        let fleet = shared_fleet.get();
+        let fleet = fleet_view.get();
         bounds(
             fleet
                 .config
@@ -50,10 +55,10 @@
         )
     };
     let handler = move |request| {
-        let (context, gate) = (context.clone(), gate.clone());
+        let (context, state) = (context.clone(), state.clone());
         async move {
             let mut response = forward::handle(context, request).await;
-            if gate.leaving.get() {
+            if state.draining.get() {
                 let close = header::HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -71,10 +76,10 @@
     }
 }
 
-/// Answers the balancer whether this VM is ready.
-pub async fn readiness(listener: TcpListener, control: Control, gate: Gate) {
+/// Serves the load balancer's readiness checks: 200 if this VM is ready, else 503.
+pub async fn readiness(listener: TcpListener, control: Control, state: ServingState) {
     let handler = move |_| {
-        let ready = gate.is_ready();
+        let ready = state.is_ready();
         async move {
             let mut response = Response::new(Body::empty());
             if !ready {
@@ -86,6 +91,6 @@
     server::serve(listener, control, handler).await;
 }
 
-/// The time by which the balancer has noticed that a VM is not ready: it asks once a second and
-/// goes by two answers.
-pub const NOTICED: Duration = Duration::from_millis(2300);
+/// The time within which the load balancer detects that a VM is not ready: it checks once a second
+/// and needs two failed checks.
+pub const BALANCER_DELAY: Duration = Duration::from_millis(2300);
--- a/engine/src/caller/startup.rs
+++ b/engine/src/caller/startup.rs
@@ -1,9 +1,9 @@
-//! Requests that come before this VM knows a configuration.
+//! Holds requests that arrive before this VM knows a configuration.
 //!
-//! Load pattern: all VMs get power back at once. Callers who have waited reach them in the tenth of a second in
-//! which the first listing of the store is under way, and who is refused then comes back when it is long over, or
-//! not at all. So they wait for it, but only just after the start: a VM that has had no configuration for longer
-//! may have none for as long as the store is away, and its callers are better served by others.
+//! When all VMs start at once, for example after a power cut, callers reach them during the first listing of the
+//! store, which takes about 0.1 s. A caller that is refused then retries long after the listing has ended, or not
+//! at all. So requests wait for the first configuration, but only shortly after the start: a VM that still has none
+//! may get none until the store is back, and other VMs serve its callers better.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -12,12 +12,12 @@
 
 use crate::{catalogue::Config, fleet::SharedFleet};
 
-/// How long after the start requests wait: some listings of the store under load.
-const START: Duration = Duration::from_millis(500);
-/// How many requests wait at the most.
-const WAITING_MOST: usize = 512;
+/// How long after the start requests are held: enough for several listings of a loaded store.
+const HOLD_TIME: Duration = Duration::from_millis(500);
+/// The maximum number of requests held at once.
+const MAX_WAITING: usize = 512;
 
-/// Requests that wait for the first configuration; clones share it.
+/// Decides which requests wait for the first configuration; clones share the count.
 ///
 /// # Example
 ///
@@ -28,87 +28,83 @@
 /// use bramleypier_util::clock::Clock;
 ///
 /// let clock = Clock::paused();
-/// let early = StartupWait::new(&clock);
-/// assert!(early.may_wait(clock.now()));
+/// let startup = StartupWait::new(&clock);
+/// assert!(startup.may_wait(clock.now()));
 /// clock.advance(Duration::from_secs(1));
-/// assert!(!early.may_wait(clock.now()));
+/// assert!(!startup.may_wait(clock.now()));
 /// ```
 #[derive(Clone, Debug)]
 pub struct StartupWait {
-    /// Until when requests wait.
-    until: Duration,
+    /// When requests stop waiting.
+    deadline: Duration,
     waiting: Rc<Cell<usize>>,
 }
 
 impl StartupWait {
-    /// Begins with a process's start.
+    /// Creates the state when the process starts.
     ///
     /// # Example
     ///
     /// See [`StartupWait`].
     pub fn new(clock: &Clock) -> Self {
         Self {
-            until: clock.now() + START,
+            deadline: clock.now() + HOLD_TIME,
             waiting: Rc::default(),
         }
     }
 
-    /// Returns whether a request that comes now waits for the first configuration.
+    /// Returns whether a request that arrives now may wait for the first configuration.
     ///
     /// # Example
     ///
     /// See [`StartupWait`].
     pub fn may_wait(&self, now: Duration) -> bool {
-        now < self.until && self.waiting.get() < WAITING_MOST
+        now < self.deadline && self.waiting.get() < MAX_WAITING
     }
 
-    /// Returns the configuration, waiting for the first one as long as that is worth while and no longer than
-    /// the caller waits.
+    /// Returns the configuration, and waits for the first one if the request may wait, but no longer than
+    /// the caller's remaining time.
     pub(super) async fn config(
         &self,
-        shared_fleet: &SharedFleet,
+        fleet_view: &SharedFleet,
         clock: &Clock,
-        patience: Option<Duration>,
+        remaining: Option<Duration>,
     ) -> Option<Rc<Config>> {
-        let known = shared_fleet.get().config.clone();
+        let known = fleet_view.get().config.clone();
         let now = clock.now();
         if known.is_some() || !self.may_wait(now) {
             return known;
         }
-        let _place = Place::take(&self.waiting);
-        let left = self.until.saturating_sub(now);
-        let left = patience.map_or(left, |it| it.min(left));
-        // Whoever has waited in vain is refused.
-        clock
-            .timeout(left, first(shared_fleet))
-            .await
-            .ok()
-            .flatten()
+        let _slot = WaitSlot::take(&self.waiting);
+        let left = self.deadline.saturating_sub(now);
+        let left = remaining.map_or(left, |it| it.min(left));
+        // A timeout yields none, and the request is refused.
+        clock.timeout(left, first(fleet_view)).await.ok().flatten()
     }
 }
 
 /// Waits for the first configuration.
-async fn first(shared_fleet: &SharedFleet) -> Option<Rc<Config>> {
-    let mut changes = shared_fleet.subscribe();
+async fn first(fleet_view: &SharedFleet) -> Option<Rc<Config>> {
+    let mut changes = fleet_view.listen();
     loop {
-        if let Some(config) = shared_fleet.get().config.clone() {
+        if let Some(config) = fleet_view.get().config.clone() {
             return Some(config);
         }
         changes.next().await?;
     }
 }
 
-/// A place among those that wait.
-struct Place(Rc<Cell<usize>>);
+/// One of [`MAX_WAITING`] slots; dropping it frees the slot.
+struct WaitSlot(Rc<Cell<usize>>);
 
-impl Place {
+impl WaitSlot {
     fn take(waiting: &Rc<Cell<usize>>) -> Self {
         waiting.set(waiting.get() + 1);
         Self(waiting.clone())
     }
 }
 
-impl Drop for Place {
+impl Drop for WaitSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/engine/src/caller/timeouts.rs
+++ b/engine/src/caller/timeouts.rs
@@ -1,16 +1,16 @@
-//! How long callers of a route wait at the most, learned from what they say.
+//! Estimates how long ago a caller first attempted a request, from the remaining time that it states.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
 use indexmap::IndexMap;
 
-/// How many routes are remembered.
-const ROUTES: usize = 4096;
+/// The number of routes for which a timeout is kept.
+const MAX_ROUTES: usize = 4096;
 
-/// The longest wait that callers told, by route; clones share it.
+/// The longest remaining time that callers have stated, by route; clones share it.
 ///
-/// A caller that tries again tells what is left of its first wait, so what is missing to the
-/// longest is the time that has passed since its first try.
+/// A caller that retries states what is left of its first timeout. So the difference from the
+/// longest value is the time that has passed since its first attempt.
 ///
 /// # Example
 ///
@@ -19,30 +19,30 @@
 ///
 /// use bramleypier_engine::caller::timeouts::RouteTimeouts;
 ///
-/// let patience = RouteTimeouts::default();
+/// let timeouts = RouteTimeouts::default();
 /// let ms = Duration::from_millis;
-/// assert_eq!(patience.passed("r", ms(500)), ms(0));
-/// assert_eq!(patience.passed("r", ms(380)), ms(120));
+/// assert_eq!(timeouts.elapsed("r", ms(500)), ms(0));
+/// assert_eq!(timeouts.elapsed("r", ms(380)), ms(120));
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct RouteTimeouts(Rc<RefCell<IndexMap<String, Duration>>>);
 
 impl RouteTimeouts {
-    /// Takes a caller's wait in, and returns how long ago it probably tried first.
+    /// Records a caller's remaining time, and estimates how long ago its first attempt was.
     ///
     /// # Example
     ///
     /// See [`RouteTimeouts`].
-    pub fn passed(&self, route: &str, wait: Duration) -> Duration {
+    pub fn elapsed(&self, route: &str, remaining: Duration) -> Duration {
         let mut longest = self.0.borrow_mut();
         if let Some(known) = longest.get_mut(route) {
-            *known = wait.max(*known);
-            return known.saturating_sub(wait);
+            *known = remaining.max(*known);
+            return known.saturating_sub(remaining);
         }
-        if longest.len() >= ROUTES {
+        if longest.len() >= MAX_ROUTES {
             longest.swap_remove_index(0);
         }
-        longest.insert(route.to_owned(), wait);
+        longest.insert(route.to_owned(), remaining);
         Duration::ZERO
     }
 }
--- a/engine/src/process/lifecycle.rs
+++ b/engine/src/process/lifecycle.rs
@@ -1,11 +1,11 @@
-//! A process's life towards its callers, a type for each stage.
+//! The lifecycle of a process, as its callers see it, with a type for each stage.
 //!
 //! ```text
-//!  Starting ──beliefs suffice──► Ready ──told to stop──► Leaving ──drained──► end
-//!      └──────────────told to stop────────────────────────▲
+//!  Starting ──view of the fleet is sufficient──► Ready ──stop requested──► Draining ──drained──► end
+//!      └────────────────────stop requested───────────────────────────────────▲
 //! ```
 //!
-//! Each stage has the operations that make sense in it only, and a step takes the stage before.
+//! Each stage has only the operations that are valid in it, and a transition consumes the stage before.
 
 use std::{marker::PhantomData, time::Duration};
 
@@ -18,32 +18,32 @@
 
 use super::signals;
 use crate::{
-    caller::serve::{self, Gate},
+    caller::serve::{self, ServingState},
     fleet::SharedFleet,
     owner::manager,
     registration,
     report::Report,
 };
 
-/// What is left of the grace when the process gives up waiting for requests in flight.
-const FAREWELL: Duration = Duration::from_millis(500);
-/// How often a stopping process looks whether its last request has ended.
-const POLL: Duration = Duration::from_millis(20);
+/// How long before the end of the grace period the process stops waiting for in-flight requests.
+const EXIT_RESERVE: Duration = Duration::from_millis(500);
+/// How often a draining process checks whether its last connection has closed.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Nothing is known yet that callers could be served by.
+/// The view of the fleet is not yet sufficient to serve callers.
 pub(super) enum Starting {}
-/// Callers are welcome.
+/// Callers are served.
 pub(super) enum Ready {}
-/// Each answer is its connection's last; nothing new is taken on.
-pub(super) enum Leaving {}
+/// Each response closes its connection, and the readiness check fails.
+pub(super) enum Draining {}
 
-/// What a process has to open and to end in order.
-pub(super) struct Duties {
+/// What a process opens and shuts down in order.
+pub(super) struct Resources {
     pub(super) clock: Clock,
     pub(super) report: Report,
-    pub(super) shared_fleet: SharedFleet,
-    pub(super) gate: Gate,
-    /// How long a stop may take.
+    pub(super) fleet_view: SharedFleet,
+    pub(super) serving: ServingState,
+    /// How long a shutdown may take.
     pub(super) grace: Duration,
     /// Callers' connections.
     pub(super) callers: Control,
@@ -52,9 +52,9 @@
     pub(super) entry: registration::Handle,
 }
 
-/// A process in one stage of its life.
+/// A process in one stage of its lifecycle.
 pub(super) struct Lifecycle<S> {
-    duties: Duties,
+    resources: Resources,
     stop: LocalBoxFuture<'static, ()>,
     stage: PhantomData<S>,
 }
@@ -62,7 +62,7 @@
 impl<S> Lifecycle<S> {
     fn into_stage<T>(self) -> Lifecycle<T> {
         Lifecycle {
-            duties: self.duties,
+            resources: self.resources,
             stop: self.stop,
             stage: PhantomData,
         }
@@ -70,65 +70,70 @@
 }
 
 impl Lifecycle<Starting> {
-    pub(super) fn new(duties: Duties) -> Self {
+    pub(super) fn new(resources: Resources) -> Self {
         Self {
-            duties,
+            resources,
             stop: Box::pin(signals::stop_signal()),
             stage: PhantomData,
         }
     }
 
-    /// Waits until callers can be served; a process that is told to stop before leaves at once.
-    pub(super) async fn until_ready(mut self) -> Result<Lifecycle<Ready>, Lifecycle<Leaving>> {
-        let mut changes = self.duties.shared_fleet.subscribe();
-        while !self.duties.shared_fleet.get().is_ready() {
+    /// Waits until callers can be served; a stop request before that starts draining at once.
+    pub(super) async fn until_ready(mut self) -> Result<Lifecycle<Ready>, Lifecycle<Draining>> {
+        let mut changes = self.resources.fleet_view.listen();
+        while !self.resources.fleet_view.get().is_ready() {
             match future::select(changes.next(), &mut self.stop).await {
                 Either::Left(_) => {}
                 Either::Right(_) => return Err(self.into_stage()),
             }
         }
-        self.duties.gate.set_ready(true);
-        self.duties.report.line("event=ready");
+        self.resources.serving.set_ready(true);
+        self.resources.report.line("event=ready");
         Ok(self.into_stage())
     }
 }
 
 impl Lifecycle<Ready> {
-    /// Waits until the process is told to stop.
-    pub(super) async fn until_told(mut self) -> Lifecycle<Leaving> {
+    /// Waits until the process is asked to stop.
+    pub(super) async fn until_stop(mut self) -> Lifecycle<Draining> {
         (&mut self.stop).await;
         self.into_stage()
     }
 }
 
-impl Lifecycle<Leaving> {
-    /// Ends in order: no new connections, duties handed over, requests in flight ended.
+impl Lifecycle<Draining> {
+    /// Shuts down in order: the readiness check fails, the manager hands over, this VM's entry is removed,
+    /// and callers' connections close once their requests have ended.
     pub(super) async fn drain(self) {
-        let duties = self.duties;
-        let end = duties.clock.now() + duties.grace.saturating_sub(FAREWELL);
-        duties.gate.leave();
-        let open = duties.callers.open();
-        duties.report.line(&format!("event=stopping open={open}"));
-        let noticed = duties.clock.sleep(serve::NOTICED);
-        future::join(resign(&duties.manager), noticed).await;
-        duties.entry.end().await;
-        duties.callers.stop();
-        while duties.callers.open() > 0 && duties.clock.now() < end {
-            duties.clock.sleep(POLL).await;
+        let resources = self.resources;
+        let deadline = resources.clock.now() + resources.grace.saturating_sub(EXIT_RESERVE);
+        resources.serving.drain();
+        let open = resources.callers.open();
+        resources
+            .report
+            .line(&format!("event=stopping open={open}"));
+        let balancer_delay = resources.clock.sleep(serve::BALANCER_DELAY);
+        future::join(resign(&resources.manager), balancer_delay).await;
+        resources.entry.end().await;
+        resources.callers.stop();
+        while resources.callers.open() > 0 && resources.clock.now() < deadline {
+            resources.clock.sleep(POLL_INTERVAL).await;
         }
-        let cut = duties.callers.open();
-        duties.report.line(&format!("event=drained cut={cut}"));
+        let closed = resources.callers.open();
+        resources
+            .report
+            .line(&format!("event=drained cut={closed}"));
     }
 }
 
-/// Has the manager's task hand over, and waits until it has.
+/// Asks the manager's task to hand over, and waits until it has.
 async fn resign(manager: &mpsc::UnboundedSender<manager::Message>) {
     let (sender, done) = oneshot::channel();
     if manager
         .unbounded_send(manager::Message::Stop(sender))
         .is_ok()
     {
-        // A task that ended by itself has nothing to hand over.
+        // An error means that the task has ended, so there is nothing to hand over.
         let _ = done.await;
     }
 }
--- a/engine/src/process/listeners.rs
+++ b/engine/src/process/listeners.rs
@@ -7,7 +7,7 @@
 use super::Error;
 use crate::settings::Settings;
 
-/// One socket for each kind of peer.
+/// One socket for each kind of client.
 pub(super) struct Listeners {
     pub(super) callers: TcpListener,
     pub(super) readiness: TcpListener,
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! One process: its sockets and tasks, from start to stop.
+//! Runs one process: opens its sockets, starts its tasks and shuts them down.
 
 mod lifecycle;
 mod listeners;
@@ -18,7 +18,7 @@
 use quick_error::quick_error;
 
 use self::{
-    lifecycle::{Duties, Lifecycle},
+    lifecycle::{Lifecycle, Resources},
     listeners::Listeners,
 };
 use crate::{
@@ -26,7 +26,7 @@
         CallerProtocol,
         attempt::Sender,
         forward,
-        serve::{self, Gate},
+        serve::{self, ServingState},
         startup::StartupWait,
         timeouts::RouteTimeouts,
     },
@@ -44,21 +44,21 @@
     target::TargetProtocol,
 };
 
-/// The most connections to one target from one VM.
-const CONNECTIONS: usize = 24;
-/// The most connections to one peer.
-const PEER_CONNECTIONS: usize = 4;
+/// The maximum number of connections from one client of this VM to one target.
+const MAX_TARGET_CONNECTIONS: usize = 24;
+/// The maximum number of connections to one other VM.
+const MAX_PEER_CONNECTIONS: usize = 4;
 
 quick_error! {
-    /// Why a process could not start.
+    /// An error that prevents a process from starting.
     #[derive(Debug)]
     pub enum Error {
-        /// An address can't be listened on.
+        /// Listening on an address failed.
         Listen(address: SocketAddr, cause: io::Error) {
             display("step=listen peer={address} cause={cause}")
             source(cause)
         }
-        /// There is a logger already.
+        /// A logger is already installed.
         Log(cause: log::SetLoggerError) {
             display("step=log peer=process cause={cause}")
             source(cause)
@@ -66,16 +66,16 @@
     }
 }
 
-/// What an adapter brings.
+/// The implementations that an adapter supplies for one platform.
 #[derive(Clone)]
 pub struct Adapter {
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Decodes what operators and targets wrote.
+    /// Decodes what operators and targets write to the store.
     pub catalogue: Rc<dyn Catalogue>,
-    /// How targets are spoken to.
+    /// The protocol that targets use.
     pub targets: Rc<dyn TargetProtocol>,
-    /// How callers are understood.
+    /// The protocol that callers use.
     pub callers: Rc<dyn CallerProtocol>,
 }
 
@@ -85,14 +85,14 @@
     }
 }
 
-/// Reads the settings file again; the text tells what is wrong with it.
+/// Reads the settings file again; an error describes what is wrong with it.
 pub type Reload = Box<dyn Fn() -> Result<Settings, String>>;
 
-/// Runs a process until it is told to stop.
+/// Runs a process until it is asked to stop.
 ///
 /// # Errors
 ///
-/// [`Error`] when it could not start.
+/// [`Error`] if the process can't start.
 pub async fn run(
     settings: Settings,
     clock: Clock,
@@ -117,15 +117,19 @@
     clock: Clock,
     adapter: Adapter,
     report: Report,
-    shared_fleet: SharedFleet,
+    /// This VM's view of the fleet.
+    fleet_view: SharedFleet,
     keys: Rc<StoreKeys>,
     vm: Vm,
+    /// Whether the store answers.
     store_health: Health,
+    /// Whether the sync exchange with the manager works.
     manager_health: Health,
-    leading: Rc<Cell<bool>>,
-    gate: Gate,
+    /// Whether this VM holds the manager's lease.
+    is_manager: Rc<Cell<bool>>,
+    serving: ServingState,
     tally: Tally,
-    peers: Client,
+    peer_client: Client,
 }
 
 impl Process {
@@ -140,7 +144,7 @@
         let keys = Rc::new(StoreKeys {
             prefix: settings.prefix.clone(),
         });
-        let peers = Client::new(clock.clone(), PEER_CONNECTIONS);
+        let peer_client = Client::new(clock.clone(), MAX_PEER_CONNECTIONS);
         let store = CountingStore::new(adapter.store.clone(), report.clone());
         let adapter = Adapter {
             store: Rc::new(store),
@@ -151,15 +155,15 @@
             clock,
             adapter,
             report,
-            shared_fleet: SharedFleet::default(),
+            fleet_view: SharedFleet::default(),
             keys,
             vm,
             store_health: Health::default(),
             manager_health: Health::default(),
-            leading: Rc::default(),
-            gate: Gate::default(),
+            is_manager: Rc::default(),
+            serving: ServingState::default(),
             tally: Tally::default(),
-            peers,
+            peer_client,
         }
     }
 
@@ -171,41 +175,41 @@
         ));
         let callers = Control::default();
         self.follow();
-        let dispatcher = self.start_desk();
+        let dispatcher = self.start_dispatcher();
         let manager = self.start_manager();
         let entry = registration::start(registration::Context {
             vm: self.vm.clone(),
             store: self.adapter.store.clone(),
             keys: self.keys.clone(),
             store_health: self.store_health.clone(),
-            manager_health: self.manager_health.clone(),
+            heard: self.manager_health.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         });
-        let exchange = self.exchange(&dispatcher, &manager);
-        self.serve(listeners, &callers, &dispatcher, &exchange);
-        spawn(sync::run(exchange));
+        let sync_context = self.sync_context(&dispatcher, &manager);
+        self.serve(listeners, &callers, &dispatcher, &sync_context);
+        spawn(sync::run(sync_context));
         spawn(signals::watch_settings(
             reload,
             self.settings.clone(),
             self.clock.clone(),
             self.report.clone(),
         ));
-        let starting = Lifecycle::new(Duties {
+        let starting = Lifecycle::new(Resources {
             clock: self.clock.clone(),
             report: self.report.clone(),
-            shared_fleet: self.shared_fleet.clone(),
-            gate: self.gate.clone(),
+            fleet_view: self.fleet_view.clone(),
+            serving: self.serving.clone(),
             grace: self.settings.grace,
             callers,
             manager,
             entry,
         });
-        let leaving = match starting.until_ready().await {
-            Ok(ready) => ready.until_told().await,
-            Err(leaving) => leaving,
+        let draining = match starting.until_ready().await {
+            Ok(ready) => ready.until_stop().await,
+            Err(draining) => draining,
         };
-        leaving.drain().await;
+        draining.drain().await;
         Ok(())
     }
 
@@ -214,21 +218,21 @@
             store: self.adapter.store.clone(),
             catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
-            shared_fleet: self.shared_fleet.clone(),
+            shared_fleet: self.fleet_view.clone(),
             store_health: self.store_health.clone(),
-            manager_health: self.manager_health.clone(),
-            leading: self.leading.clone(),
+            heard: self.manager_health.clone(),
+            leading: self.is_manager.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         }));
         spawn(follow::expire_targets(
-            self.shared_fleet.clone(),
+            self.fleet_view.clone(),
             self.clock.clone(),
             self.report.clone(),
         ));
     }
 
-    fn start_desk(&self) -> task::Handle {
+    fn start_dispatcher(&self) -> task::Handle {
         let dispatcher = Dispatcher::new(
             &self.settings.domain,
             self.settings.retry_budget,
@@ -236,12 +240,12 @@
         )
         .with_vm(&self.settings.name, self.settings.burst_allowance);
         let handle = task::start(dispatcher, self.clock.clone(), self.report.clone());
-        let (shared_fleet, shown) = (self.shared_fleet.clone(), handle.clone());
-        let mut changes = shared_fleet.subscribe();
+        let (fleet_view, task_handle) = (self.fleet_view.clone(), handle.clone());
+        let mut changes = fleet_view.listen();
         spawn(async move {
             while changes.next().await.is_some() {
                 while changes.try_recv().is_ok() {}
-                shown.update_view(Rc::new(shared_fleet.get().view()));
+                task_handle.update_view(Rc::new(fleet_view.get().view()));
             }
         });
         handle
@@ -252,10 +256,10 @@
             vm: self.vm.clone(),
             store: self.adapter.store.clone(),
             targets: self.adapter.targets.clone(),
-            client: Client::new(self.clock.clone(), CONNECTIONS),
-            shared_fleet: self.shared_fleet.clone(),
+            client: Client::new(self.clock.clone(), MAX_TARGET_CONNECTIONS),
+            shared_fleet: self.fleet_view.clone(),
             catalogue: self.adapter.catalogue.clone(),
-            leading: self.leading.clone(),
+            leading: self.is_manager.clone(),
             store_health: self.store_health.clone(),
             keys: self.keys.clone(),
             clock: self.clock.clone(),
@@ -269,64 +273,68 @@
         listeners: Listeners,
         callers: &Control,
         dispatcher: &task::Handle,
-        exchange: &sync::Context,
+        sync_context: &sync::Context,
     ) {
         let context = forward::Context {
-            shared_fleet: self.shared_fleet.clone(),
+            fleet_view: self.fleet_view.clone(),
             manager_health: self.manager_health.clone(),
             callers: self.adapter.callers.clone(),
             dispatcher: dispatcher.clone(),
             sender: Sender {
-                client: Client::new(self.clock.clone(), CONNECTIONS),
+                client: Client::new(self.clock.clone(), MAX_TARGET_CONNECTIONS),
                 targets: self.adapter.targets.clone(),
                 clock: self.clock.clone(),
             },
-            early: StartupWait::new(&self.clock),
-            patience: RouteTimeouts::default(),
+            startup: StartupWait::new(&self.clock),
+            timeouts: RouteTimeouts::default(),
             tally: self.tally.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         };
-        let gate = self.gate.clone();
+        let serving = self.serving.clone();
         spawn(serve::callers(
             listeners.callers,
             callers.clone(),
             context,
-            gate.clone(),
+            serving.clone(),
         ));
-        // These go on until the process ends: a stopping VM still says that it is not ready.
-        let always = Control::default();
-        spawn(serve::readiness(listeners.readiness, always.clone(), gate));
-        let (shown, exchange) = (self.report.clone(), exchange.clone());
-        let peers = move |request| sync::handle_request(exchange.clone(), request);
-        spawn(server::serve(listeners.peers, always.clone(), peers));
+        // These listeners stay open until the process ends: a draining VM still answers readiness checks.
+        let unstopped = Control::default();
+        spawn(serve::readiness(
+            listeners.readiness,
+            unstopped.clone(),
+            serving,
+        ));
+        let (report, sync_context) = (self.report.clone(), sync_context.clone());
+        let peers = move |request| sync::handle_request(sync_context.clone(), request);
+        spawn(server::serve(listeners.peers, unstopped.clone(), peers));
         let metrics = move |_| {
-            let text = shown.text();
+            let text = report.text();
             async move { Response::new(Body::from(text)) }
         };
-        spawn(server::serve(listeners.metrics, always, metrics));
+        spawn(server::serve(listeners.metrics, unstopped, metrics));
     }
 
-    fn exchange(
+    fn sync_context(
         &self,
         dispatcher: &task::Handle,
         manager: &mpsc::UnboundedSender<manager::Message>,
     ) -> sync::Context {
         sync::Context {
             vm: self.vm.clone(),
-            shared_fleet: self.shared_fleet.clone(),
+            shared_fleet: self.fleet_view.clone(),
             catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
             store_health: self.store_health.clone(),
-            manager_health: self.manager_health.clone(),
-            leading: self.leading.clone(),
+            heard: self.manager_health.clone(),
+            leading: self.is_manager.clone(),
             fleet_load: Rc::default(),
             lag: Rc::default(),
             tally: self.tally.clone(),
             dispatcher: dispatcher.clone(),
             manager: manager.clone(),
             seeds: self.settings.seeds.clone(),
-            client: self.peers.clone(),
+            client: self.peer_client.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         }
--- a/engine/src/process/signals.rs
+++ b/engine/src/process/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: a stop, and settings that are read again.
+//! Stop signals and reloading of the settings.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use super::Reload;
 use crate::{report::Report, settings::Settings};
 
-/// How often the settings file is looked at.
+/// How often the settings file is read again.
 const RELOAD_PERIOD: Duration = Duration::from_secs(1);
-/// The signal that asks for a stop.
+/// The signal that requests a stop.
 const SIGTERM: i32 = 15;
-/// The signal that a terminal sends.
+/// The signal that a terminal sends on Ctrl-C.
 const SIGINT: i32 = 2;
-/// The signal that says that the settings file has changed.
+/// The signal that requests a reload of the settings.
 const SIGHUP: i32 = 1;
 
 /// Waits until the process is asked to stop.
@@ -24,29 +24,29 @@
     future::select(term, interrupt).await;
 }
 
-/// Reads the settings again when their file changes or a signal asks for it.
+/// Reloads the settings when their file changes or a signal requests it.
 ///
-/// Addresses and names stay as they are until the next start; the log tells what was read.
+/// Only the log level takes effect at once; all other settings apply from the next start.
 pub(super) async fn watch_settings(reload: Reload, first: Settings, clock: Clock, report: Report) {
     let mut known = Ok(first);
     loop {
         let signal = Box::pin(compio::signal::unix::signal(SIGHUP));
-        let asked = matches!(
+        let requested = matches!(
             future::select(signal, Box::pin(clock.sleep(RELOAD_PERIOD))).await,
             Either::Left(_)
         );
         let read = reload();
-        if read == known && !asked {
+        if read == known && !requested {
             continue;
         }
         match &read {
             Ok(settings) => report.line(&format!(
-                "event=settings-reloaded asked={asked} changed={} log_level={}",
+                "event=settings-reloaded asked={requested} changed={} log_level={}",
                 read != known,
                 settings.log_level
             )),
             Err(reason) => report.line(&format!(
-                "event=settings-refused asked={asked} cause=\"{reason}\""
+                "event=settings-refused asked={requested} cause=\"{reason}\""
             )),
         }
         if let Ok(settings) = &read {
