--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -201,7 +201,7 @@
 /// Counts a request that is refused without a target, and whether its service has cold targets, which
 /// get fewer requests.
 fn count_refusal(context: &Context, routed: &RoutedRequest, why: RefusalReason) {
-    let fleet = context.fleet_view.get();
+    let fleet = context.shared_fleet.get();
     let cold = fleet.has_cold_target(context.clock.now(), &routed.service);
     let cold = if cold { "yes" } else { "no" };
     let tags = [
@@ -217,7 +217,7 @@
     let Some(key) = routed.info.key.filter(|_| routed.keyed) else {
         return "another-target";
     };
-    let fleet = context.fleet_view.get();
+    let fleet = context.shared_fleet.get();
     let record = fleet.records.get(&routed.service);
     let part = record.and_then(|it| it.record.find(key));
     if part.is_some_and(|part| part.fence == fence) {
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -32,7 +32,7 @@
 #[derive(Clone)]
 pub struct Context {
     /// This VM's view of the fleet.
-    pub fleet_view: SharedFleet,
+    pub shared_fleet: SharedFleet,
     /// Whether the manager's sync exchange works, which relays changes of the store.
     pub manager_health: Health,
     /// The protocol that callers use.
@@ -83,10 +83,10 @@
     let info = context
         .callers
         .read(request.method(), request.uri(), request.headers());
-    let (fleet_view, clock) = (&context.fleet_view, &context.clock);
+    let (shared_fleet, clock) = (&context.shared_fleet, &context.clock);
     let Some(config) = context
         .startup
-        .config(fleet_view, clock, info.remaining)
+        .config(shared_fleet, clock, info.remaining)
         .await
     else {
         let local = LocalResponse::not_run("no configuration has been received yet", RETRY_AFTER);
@@ -231,7 +231,7 @@
 /// lets the caller retry.
 fn no_route(context: &Context, host: &str, config: &Config) -> LocalResponse {
     let cause = format!("no route for host={host} version={}", config.version);
-    if context.fleet_view.get().config_followed || context.manager_health.is_healthy() {
+    if context.shared_fleet.get().config_followed || context.manager_health.is_healthy() {
         LocalResponse::new(Failure::NoRoute, cause)
     } else {
         LocalResponse::not_run(
--- a/engine/src/caller/serve.rs
+++ b/engine/src/caller/serve.rs
@@ -44,9 +44,9 @@
     context: Context,
     state: ServingState,
 ) {
-    let (fleet_view, clock) = (context.fleet_view.clone(), context.clock.clone());
+    let (shared_fleet, clock) = (context.shared_fleet.clone(), context.clock.clone());
     let bounds = move || {
-        let fleet = fleet_view.get();
+        let fleet = shared_fleet.get();
         bounds(
             fleet
                 .config
--- a/engine/src/caller/startup.rs
+++ b/engine/src/caller/startup.rs
@@ -66,11 +66,11 @@
     /// the caller's remaining time.
     pub(super) async fn config(
         &self,
-        fleet_view: &SharedFleet,
+        shared_fleet: &SharedFleet,
         clock: &Clock,
         remaining: Option<Duration>,
     ) -> Option<Rc<Config>> {
-        let known = fleet_view.get().config.clone();
+        let known = shared_fleet.get().config.clone();
         let now = clock.now();
         if known.is_some() || !self.may_wait(now) {
             return known;
@@ -79,15 +79,19 @@
         let left = self.deadline.saturating_sub(now);
         let left = remaining.map_or(left, |it| it.min(left));
         // A timeout yields none, and the request is refused.
-        clock.timeout(left, first(fleet_view)).await.ok().flatten()
+        clock
+            .timeout(left, first(shared_fleet))
+            .await
+            .ok()
+            .flatten()
     }
 }
 
 /// Waits for the first configuration.
-async fn first(fleet_view: &SharedFleet) -> Option<Rc<Config>> {
-    let mut changes = fleet_view.listen();
+async fn first(shared_fleet: &SharedFleet) -> Option<Rc<Config>> {
+    let mut changes = shared_fleet.subscribe();
     loop {
-        if let Some(config) = fleet_view.get().config.clone() {
+        if let Some(config) = shared_fleet.get().config.clone() {
             return Some(config);
         }
         changes.next().await?;
--- a/engine/src/lib.rs
+++ b/engine/src/lib.rs
@@ -1,9 +1,9 @@
-//! The engine of bramleypier: decisions, state and recovery of a router for servers that own keys
-//! exclusively, apart from any platform's names and formats.
+//! The engine of bramleypier, a router for servers that own keys exclusively.
 //!
-//! Four traits are all that it sees of the outside: [`store::Store`], [`catalogue::Catalogue`],
-//! [`target::TargetProtocol`] and [`caller::CallerProtocol`]. An adapter implements them for one platform; this
-//! package can't depend on an adapter.
+//! It makes the routing decisions, keeps the state and handles recovery, independently of any platform's
+//! names and formats. It depends on the platform only through four traits, which an adapter implements:
+//! [`store::Store`], [`catalogue::Catalogue`], [`target::TargetProtocol`] and [`caller::CallerProtocol`].
+//! This package must not depend on an adapter.
 
 pub mod caller;
 pub mod catalogue;
--- a/engine/src/process/lifecycle.rs
+++ b/engine/src/process/lifecycle.rs
@@ -41,7 +41,7 @@
 pub(super) struct Resources {
     pub(super) clock: Clock,
     pub(super) report: Report,
-    pub(super) fleet_view: SharedFleet,
+    pub(super) shared_fleet: SharedFleet,
     pub(super) serving: ServingState,
     /// How long a shutdown may take.
     pub(super) grace: Duration,
@@ -80,8 +80,8 @@
 
     /// Waits until callers can be served; a stop request before that starts draining at once.
     pub(super) async fn until_ready(mut self) -> Result<Lifecycle<Ready>, Lifecycle<Draining>> {
-        let mut changes = self.resources.fleet_view.listen();
-        while !self.resources.fleet_view.get().is_ready() {
+        let mut changes = self.resources.shared_fleet.subscribe();
+        while !self.resources.shared_fleet.get().is_ready() {
             match future::select(changes.next(), &mut self.stop).await {
                 Either::Left(_) => {}
                 Either::Right(_) => return Err(self.into_stage()),
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -118,7 +118,7 @@
     adapter: Adapter,
     report: Report,
     /// This VM's view of the fleet.
-    fleet_view: SharedFleet,
+    shared_fleet: SharedFleet,
     keys: Rc<StoreKeys>,
     vm: Vm,
     /// Whether the store answers.
@@ -155,7 +155,7 @@
             clock,
             adapter,
             report,
-            fleet_view: SharedFleet::default(),
+            shared_fleet: SharedFleet::default(),
             keys,
             vm,
             store_health: Health::default(),
@@ -182,7 +182,7 @@
             store: self.adapter.store.clone(),
             keys: self.keys.clone(),
             store_health: self.store_health.clone(),
-            heard: self.manager_health.clone(),
+            manager_health: self.manager_health.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         });
@@ -198,7 +198,7 @@
         let starting = Lifecycle::new(Resources {
             clock: self.clock.clone(),
             report: self.report.clone(),
-            fleet_view: self.fleet_view.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             serving: self.serving.clone(),
             grace: self.settings.grace,
             callers,
@@ -218,15 +218,15 @@
             store: self.adapter.store.clone(),
             catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
-            shared_fleet: self.fleet_view.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             store_health: self.store_health.clone(),
-            heard: self.manager_health.clone(),
+            manager_health: self.manager_health.clone(),
             leading: self.is_manager.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         }));
         spawn(follow::expire_targets(
-            self.fleet_view.clone(),
+            self.shared_fleet.clone(),
             self.clock.clone(),
             self.report.clone(),
         ));
@@ -240,12 +240,12 @@
         )
         .with_vm(&self.settings.name, self.settings.burst_allowance);
         let handle = task::start(dispatcher, self.clock.clone(), self.report.clone());
-        let (fleet_view, task_handle) = (self.fleet_view.clone(), handle.clone());
-        let mut changes = fleet_view.listen();
+        let (shared_fleet, task_handle) = (self.shared_fleet.clone(), handle.clone());
+        let mut changes = shared_fleet.subscribe();
         spawn(async move {
             while changes.next().await.is_some() {
                 while changes.try_recv().is_ok() {}
-                task_handle.update_view(Rc::new(fleet_view.get().view()));
+                task_handle.update_view(Rc::new(shared_fleet.get().view()));
             }
         });
         handle
@@ -257,7 +257,7 @@
             store: self.adapter.store.clone(),
             targets: self.adapter.targets.clone(),
             client: Client::new(self.clock.clone(), MAX_TARGET_CONNECTIONS),
-            shared_fleet: self.fleet_view.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             catalogue: self.adapter.catalogue.clone(),
             leading: self.is_manager.clone(),
             store_health: self.store_health.clone(),
@@ -276,7 +276,7 @@
         sync_context: &sync::Context,
     ) {
         let context = forward::Context {
-            fleet_view: self.fleet_view.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             manager_health: self.manager_health.clone(),
             callers: self.adapter.callers.clone(),
             dispatcher: dispatcher.clone(),
@@ -322,11 +322,11 @@
     ) -> sync::Context {
         sync::Context {
             vm: self.vm.clone(),
-            shared_fleet: self.fleet_view.clone(),
+            shared_fleet: self.shared_fleet.clone(),
             catalogue: self.adapter.catalogue.clone(),
             keys: self.keys.clone(),
             store_health: self.store_health.clone(),
-            heard: self.manager_health.clone(),
+            manager_health: self.manager_health.clone(),
             leading: self.is_manager.clone(),
             fleet_load: Rc::default(),
             lag: Rc::default(),
--- a/engine/src/report/buffer.rs
+++ b/engine/src/report/buffer.rs
@@ -1,4 +1,4 @@
-//! Log lines on their way to standard output.
+//! Buffers log lines for standard output, so that a slow reader never blocks the process.
 
 use std::{
     collections::VecDeque,
@@ -8,48 +8,50 @@
 
 use rustix::{fs, io::Errno};
 
-/// The most bytes that wait; some 5,000 lines.
-const BYTES: usize = 1 << 20;
+/// The capacity of the buffer: about 5,000 lines.
+const CAPACITY_BYTES: usize = 1 << 20;
 
 #[derive(Debug, Default)]
 struct State {
-    waiting: VecDeque<u8>,
+    /// Bytes that are not yet written.
+    pending: VecDeque<u8>,
+    /// Writes that did not fit since the last report.
     dropped: u64,
 }
 
-/// A bounded buffer before standard output; clones share it.
+/// A bounded buffer for standard output; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct Buffer(Arc<Mutex<State>>);
 
 impl Buffer {
-    fn with<F, R>(&self, work: F) -> R
+    fn with<F, R>(&self, apply: F) -> R
     where
         F: FnOnce(&mut State) -> R,
     {
-        work(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+        apply(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Returns how many pieces did not fit since the last call.
+    /// Returns how many writes did not fit since the last call.
     pub fn take_dropped(&self) -> u64 {
         self.with(|state| std::mem::take(&mut state.dropped))
     }
 
-    /// Writes as much as standard output takes without blocking.
+    /// Writes as much to standard output as is possible without blocking.
     pub fn flush_out(&self) {
         self.with(|state| {
             let out = rustix::stdio::stdout();
-            // A terminal or pipe that can't be set so may block; it is drained by whoever started us.
+            // If this fails, writes may block; the parent process is expected to read the output.
             if let Ok(flags) = fs::fcntl_getfl(out) {
                 let _ = fs::fcntl_setfl(out, flags | fs::OFlags::NONBLOCK);
             }
-            while !state.waiting.is_empty() {
-                let (head, _) = state.waiting.as_slices();
+            while !state.pending.is_empty() {
+                let (head, _) = state.pending.as_slices();
                 match rustix::io::write(out, head) {
                     Ok(0) | Err(Errno::AGAIN) => return,
-                    Ok(count) => drop(state.waiting.drain(..count)),
+                    Ok(count) => drop(state.pending.drain(..count)),
                     Err(Errno::INTR) => {}
-                    // Nobody reads any more: lines are of no use.
-                    Err(_) => return state.waiting.clear(),
+                    // The reader has closed the output, so the lines can't be delivered.
+                    Err(_) => return state.pending.clear(),
                 }
             }
         });
@@ -59,10 +61,10 @@
 impl Write for Buffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.with(|state| {
-            if state.waiting.len() + bytes.len() > BYTES {
+            if state.pending.len() + bytes.len() > CAPACITY_BYTES {
                 state.dropped += 1;
             } else {
-                state.waiting.extend(bytes);
+                state.pending.extend(bytes);
             }
         });
         Ok(bytes.len())
--- a/engine/src/report/events.rs
+++ b/engine/src/report/events.rs
@@ -1,38 +1,39 @@
-//! The last events of this process, for a time line over all processes.
+//! Keeps the latest events of this process, from which a timeline over all processes is built.
 
 use std::collections::VecDeque;
 
 use bramleypier_util::stamp::{self, Hybrid, Stamp};
 use serde::{Deserialize, Serialize};
 
-/// How many changes of beliefs are kept: some minutes of an eventful day.
-const CHANGES: usize = 1000;
-/// How many ends of requests are kept, apart, so that load doesn't push out what led to it.
-const REQUESTS: usize = 500;
+/// The number of state changes kept; it covers several minutes with many changes.
+const MAX_CHANGES: usize = 1000;
+/// The number of completed requests kept, separately, so that high load doesn't evict the events that led
+/// to it.
+const MAX_REQUESTS: usize = 500;
 
-/// One thing that happened, as its log line tells it.
+/// One event, with the text of its log line.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Event {
-    /// When, in the order of cause and effect over all processes.
+    /// The time of the event as a hybrid logical clock value, which follows cause and effect over all processes.
     pub stamp: Stamp,
-    /// `key=value` pairs.
+    /// The event as `key=value` pairs.
     pub text: String,
 }
 
-/// What one process answers when asked for its events.
+/// The events of one process, as it returns them on request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct VmEvents {
-    /// The VM.
+    /// The VM's name.
     pub vm: String,
-    /// Its events that are still kept, the oldest first.
+    /// The events that are still kept, oldest first.
     pub events: Vec<Event>,
-    /// How many older ones are not kept any more.
+    /// How many older events have been dropped.
     pub dropped: u64,
 }
 
-/// The events of this process, the oldest dropped and counted.
+/// The events of this process, in bounded memory: the oldest are dropped and counted.
 ///
 /// # Example
 ///
@@ -42,32 +43,32 @@
 /// let mut events = Events::default();
 /// events.add("event=started", false);
 /// events.add("event=request id=a", true);
-/// let part = events.since("vm-1", 0);
-/// assert_eq!((part.events.len(), part.dropped), (2, 0));
-/// assert!(part.events[0].stamp < part.events[1].stamp);
+/// let kept = events.since("vm-1", 0);
+/// assert_eq!((kept.events.len(), kept.dropped), (2, 0));
+/// assert!(kept.events[0].stamp < kept.events[1].stamp);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Events {
-    hybrid: Hybrid,
+    clock: Hybrid,
     changes: VecDeque<Event>,
     requests: VecDeque<Event>,
     dropped: u64,
 }
 
 impl Events {
-    /// Adds an event that happens now.
+    /// Adds an event with the current time; `request` tells whether a request has completed.
     ///
     /// # Example
     ///
     /// See [`Events`].
     pub fn add(&mut self, text: &str, request: bool) {
-        let stamp = self.hybrid.tick(stamp::wall());
-        let (list, most) = if request {
-            (&mut self.requests, REQUESTS)
+        let stamp = self.clock.tick(stamp::wall());
+        let (list, limit) = if request {
+            (&mut self.requests, MAX_REQUESTS)
         } else {
-            (&mut self.changes, CHANGES)
+            (&mut self.changes, MAX_CHANGES)
         };
-        if list.len() >= most {
+        if list.len() >= limit {
             list.pop_front();
             self.dropped += 1;
         }
@@ -75,7 +76,7 @@
         list.push_back(Event { stamp, text });
     }
 
-    /// Returns a stamp for a message that is sent now.
+    /// Returns the stamp for a message that is sent now.
     ///
     /// # Example
     ///
@@ -86,10 +87,10 @@
     /// assert!(events.stamp() < events.stamp());
     /// ```
     pub fn stamp(&mut self) -> Stamp {
-        self.hybrid.tick(stamp::wall())
+        self.clock.tick(stamp::wall())
     }
 
-    /// Takes the stamp of a message that was received: what happens here from now on is later.
+    /// Merges the stamp of a received message, so that all later events here get a later stamp.
     ///
     /// # Example
     ///
@@ -102,10 +103,10 @@
     /// assert!(ours.stamp() > sent);
     /// ```
     pub fn merge(&mut self, theirs: Stamp) {
-        self.hybrid.merge(stamp::wall(), theirs);
+        self.clock.merge(stamp::wall(), theirs);
     }
 
-    /// Returns what is kept since a stamp.
+    /// Returns the kept events since a stamp.
     ///
     /// # Example
     ///
--- a/engine/src/report/metrics.rs
+++ b/engine/src/report/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, summed up in the process and shown as text.
+//! Aggregates counters and histograms in the process and renders them as text.
 
 use std::{
     fmt::Write as _,
@@ -10,25 +10,25 @@
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 
-/// The longest latency that is told apart, in milliseconds.
-const LONGEST: u64 = 120_000;
-/// Significant digits of a latency.
-const DIGITS: u8 = 2;
-/// The most metrics that are kept: names come from routes, which operators may change all day.
-const METRICS: usize = 2_000;
+/// The longest latency that a histogram distinguishes.
+const MAX_LATENCY_MS: u64 = 120_000;
+/// The significant decimal digits of a latency.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// The number of metrics kept; names contain routes, which operators can change at any rate.
+const MAX_METRICS: usize = 2_000;
 
 #[derive(Debug)]
-enum Total {
+enum Aggregate {
     Count(u64),
-    Times(Box<Histogram<u64>>),
+    Latencies(Box<Histogram<u64>>),
 }
 
-/// Sums up what the metrics client sends; clones share the sums.
+/// Aggregates the metrics that the client emits; clones share the values.
 #[derive(Clone, Debug, Default)]
-pub struct Totals(Arc<Mutex<IndexMap<String, Total>>>);
+pub struct Aggregates(Arc<Mutex<IndexMap<String, Aggregate>>>);
 
-impl MetricSink for Totals {
-    /// Takes one metric in the client's form, `name:value|kind|#tags`.
+impl MetricSink for Aggregates {
+    /// Adds one metric in the client's format, `name:value|kind|#tags`.
     fn emit(&self, metric: &str) -> io::Result<usize> {
         if let Some((name, value, is_time)) = parse(metric) {
             self.add(name, value, is_time);
@@ -37,43 +37,45 @@
     }
 }
 
-impl Totals {
+impl Aggregates {
     fn add(&self, name: String, value: u64, is_time: bool) {
-        let mut totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if totals.len() >= METRICS && !totals.contains_key(&name) {
+        let mut aggregates = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if aggregates.len() >= MAX_METRICS && !aggregates.contains_key(&name) {
             return;
         }
-        let total = totals.entry(name).or_insert_with(|| fresh(is_time));
-        match total {
-            Total::Count(sum) => *sum += value,
-            Total::Times(times) => times.saturating_record(value),
+        let aggregate = aggregates
+            .entry(name)
+            .or_insert_with(|| new_aggregate(is_time));
+        match aggregate {
+            Aggregate::Count(sum) => *sum += value,
+            Aggregate::Latencies(latencies) => latencies.saturating_record(value),
         }
     }
 
-    /// Returns all sums as text, one a line.
+    /// Returns all values as text, one per line.
     pub fn text(&self) -> String {
-        let totals = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let aggregates = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
-        for (name, total) in totals.iter() {
-            // Writing to a string can't fail.
-            let _ = match total {
-                Total::Count(sum) => writeln!(text, "{name} {sum}"),
-                Total::Times(times) => writeln!(text, "{}", shown(name, times)),
+        for (name, aggregate) in aggregates.iter() {
+            // Writing to a string never fails.
+            let _ = match aggregate {
+                Aggregate::Count(sum) => writeln!(text, "{name} {sum}"),
+                Aggregate::Latencies(latencies) => writeln!(text, "{}", render(name, latencies)),
             };
         }
         text
     }
 }
 
-fn fresh(is_time: bool) -> Total {
-    let times = Histogram::new_with_bounds(1, LONGEST, DIGITS);
-    match times {
-        Ok(times) if is_time => Total::Times(Box::new(times)),
-        _ => Total::Count(0),
+fn new_aggregate(is_time: bool) -> Aggregate {
+    let histogram = Histogram::new_with_bounds(1, MAX_LATENCY_MS, SIGNIFICANT_DIGITS);
+    match histogram {
+        Ok(histogram) if is_time => Aggregate::Latencies(Box::new(histogram)),
+        _ => Aggregate::Count(0),
     }
 }
 
-fn shown(name: &str, times: &Histogram<u64>) -> String {
+fn render(name: &str, latencies: &Histogram<u64>) -> String {
     let (name, tags) = name.split_once('{').unwrap_or((name, ""));
     let tags = if tags.is_empty() {
         String::new()
@@ -82,14 +84,14 @@
     };
     format!(
         "{name}_count{tags} {}\n{name}_ms_p50{tags} {}\n{name}_ms_p99{tags} {}\n{name}_ms_max{tags} {}",
-        times.len(),
-        times.value_at_quantile(0.5),
-        times.value_at_quantile(0.99),
-        times.max()
+        latencies.len(),
+        latencies.value_at_quantile(0.5),
+        latencies.value_at_quantile(0.99),
+        latencies.max()
     )
 }
 
-/// Takes `name:value|kind|#tags` apart.
+/// Parses `name:value|kind|#tags` into name with tags, value, and whether it is a latency.
 fn parse(metric: &str) -> Option<(String, u64, bool)> {
     let (name, rest) = metric.split_once(':')?;
     let mut fields = rest.split('|');
--- a/engine/src/report/mod.rs
+++ b/engine/src/report/mod.rs
@@ -1,8 +1,8 @@
-//! What the process tells of itself: log lines on standard output, counters, latencies.
+//! Logs, counters and latencies of the process.
 //!
-//! A line is written for each decision that touches a request and each change of a belief. Lines
-//! wait in a bounded buffer that a task empties, so that a reader that doesn't read holds nobody
-//! up; what doesn't fit is counted and told later.
+//! A line is logged for each decision about a request and each change in this VM's view of the fleet.
+//! Lines go through a bounded buffer that a task writes to standard output, so that a slow reader
+//! never blocks the process; lines that don't fit are counted, and the count is logged later.
 
 mod buffer;
 mod events;
@@ -20,29 +20,31 @@
 use simplelog::{Config, ConfigBuilder, WriteLogger};
 
 pub use self::events::{Event, Events, VmEvents};
-use self::{buffer::Buffer, metrics::Totals};
+use self::{buffer::Buffer, metrics::Aggregates};
 
-/// What precedes each metric's name.
-const PREFIX: &str = "bramleypier";
-/// How often waiting lines are written.
-const FLUSH: Duration = Duration::from_millis(100);
-/// The most lines about requests in one second; a VM serves some 50 requests a second.
-const REQUEST_LINES: u32 = 200;
+/// The prefix of each metric's name.
+const METRIC_PREFIX: &str = "bramleypier";
+/// The interval at which buffered lines are written.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(100);
+/// The limit on logged request lines; a VM serves about 50 requests per second.
+const MAX_REQUEST_LINES_PER_SECOND: u32 = 200;
 
-/// Writes log lines and counts; clones share one.
+/// Writes logs and metrics; clones share the same state.
 #[derive(Clone, Debug)]
 pub struct Report {
     clock: Clock,
     client: Rc<StatsdClient>,
-    totals: Totals,
+    metrics: Aggregates,
     buffer: Buffer,
     events: Rc<RefCell<Events>>,
+    /// The current second and the request lines logged in it.
     second: Rc<Cell<(u64, u32)>>,
-    left_out: Rc<Cell<u64>>,
+    /// Request lines not logged because of the limit.
+    omitted: Rc<Cell<u64>>,
 }
 
 impl Report {
-    /// Creates a report that logs nowhere and counts.
+    /// Creates a report that counts; it logs nothing until [`Report::start_log`].
     ///
     /// # Example
     ///
@@ -55,31 +57,31 @@
     /// assert!(report.text().contains("bramleypier.requests.answered{route:a} 1"));
     /// ```
     pub fn new(clock: Clock) -> Self {
-        let totals = Totals::default();
-        let client = StatsdClient::from_sink(PREFIX, totals.clone());
+        let metrics = Aggregates::default();
+        let client = StatsdClient::from_sink(METRIC_PREFIX, metrics.clone());
         Self {
             clock,
             client: Rc::new(client),
-            totals,
+            metrics,
             buffer: Buffer::default(),
             events: Rc::default(),
             second: Rc::default(),
-            left_out: Rc::default(),
+            omitted: Rc::default(),
         }
     }
 
-    /// Makes this report's lines the process's log, on standard output.
+    /// Installs this report as the process's logger, which writes to standard output.
     ///
     /// # Errors
     ///
-    /// There is a logger already.
+    /// A logger is already installed.
     pub fn start_log(&self, level: LevelFilter) -> Result<(), SetLoggerError> {
         WriteLogger::init(level, config(), self.buffer.clone())?;
         let (report, buffer) = (self.clone(), self.buffer.clone());
         compio::runtime::spawn(async move {
             loop {
-                report.clock.sleep(FLUSH).await;
-                report.tell_left_out();
+                report.clock.sleep(FLUSH_INTERVAL).await;
+                report.report_omitted();
                 buffer.flush_out();
             }
         })
@@ -87,24 +89,24 @@
         Ok(())
     }
 
-    /// Writes what still waits; called before the process ends.
+    /// Writes the buffered lines; called before the process ends.
     pub fn finish(&self) {
-        self.tell_left_out();
+        self.report_omitted();
         self.buffer.flush_out();
     }
 
-    /// Logs one line of `key=value` pairs, and keeps it for the time line.
+    /// Logs one line of `key=value` pairs, and keeps it for the timeline.
     pub fn line(&self, text: &str) {
         self.events.borrow_mut().add(text, false);
         log::info!("{text}");
     }
 
-    /// Returns a stamp for a message to another process.
+    /// Returns the stamp for a message to another process.
     pub fn stamp(&self) -> Stamp {
         self.events.borrow_mut().stamp()
     }
 
-    /// Takes the stamp of another process's message.
+    /// Merges the stamp of another process's message.
     pub fn merge(&self, theirs: Stamp) {
         self.events.borrow_mut().merge(theirs);
     }
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Logs a line about one request, unless too many were logged in this second.
+    /// Logs a line about one request, unless this second's limit has been reached.
     pub fn request_line<F>(&self, text: F)
     where
         F: FnOnce() -> String,
@@ -141,17 +143,18 @@
         let (second, count) = self.second.get();
         let count = if second == now { count } else { 0 };
         self.second.set((now, count + 1));
-        if count < REQUEST_LINES {
+        if count < MAX_REQUEST_LINES_PER_SECOND {
             let text = text();
             self.events.borrow_mut().add(&text, true);
             log::info!("{text}");
         } else {
-            self.left_out.set(self.left_out.get() + 1);
+            self.omitted.set(self.omitted.get() + 1);
         }
     }
 
-    fn tell_left_out(&self) {
-        let requests = self.left_out.replace(0);
+    /// Logs how many lines have been omitted since the last call, if any.
+    fn report_omitted(&self) {
+        let requests = self.omitted.replace(0);
         let lines = self.buffer.take_dropped();
         if requests + lines > 0 {
             self.line(&format!(
@@ -173,7 +176,7 @@
         metric.send();
     }
 
-    /// Adds a latency to a histogram.
+    /// Adds a latency to a histogram with millisecond resolution.
     ///
     /// # Example
     ///
@@ -195,17 +198,17 @@
         metric.send();
     }
 
-    /// Returns all counters and histograms as text, one a line.
+    /// Returns all counters and histograms as text, one value per line.
     ///
     /// # Example
     ///
     /// See [`Report::new`].
     pub fn text(&self) -> String {
-        self.totals.text()
+        self.metrics.text()
     }
 }
 
-/// Full times in UTC; one thread and one place need no names.
+/// Returns the log format: RFC 3339 times in UTC, without thread, target and source location.
 fn config() -> Config {
     ConfigBuilder::new()
         .set_time_format_rfc3339()
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -1,4 +1,4 @@
-//! What one process is told about itself and its surroundings.
+//! The settings of one process, and the durations of leases and grants that follow from them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,86 +11,87 @@
     placement::{budget::Allowance, warmup::BurstAllowance},
 };
 
-/// The settings of one process; an adapter reads them from its file.
+/// The settings of one process; an adapter reads them from its settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The VM's name.
     pub name: VmId,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Where callers reach it.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address of the load balancer's readiness checks.
     pub readiness: SocketAddr,
-    /// Where other VMs reach it.
+    /// The address that other VMs connect to.
     pub peers: SocketAddr,
-    /// Other VMs to ask while neither the store nor the manager is known.
+    /// Other VMs to connect to while neither the store nor the manager is reachable.
     pub seeds: Vec<SocketAddr>,
-    /// Where counters and latencies are served as text.
+    /// The address that serves counters and latencies as text.
     pub metrics: SocketAddr,
-    /// Where the platform's store answers.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// What the engine's own keys in the store begin with.
+    /// The prefix of the engine's own keys in the store.
     pub prefix: String,
-    /// How long a process that is told to stop may take.
+    /// How long a shutdown may take.
     pub grace: Duration,
-    /// What all VMs together may send again.
+    /// The budget for the retries of all VMs together.
     pub retry_budget: Allowance,
-    /// What all VMs together may send to a cold target.
+    /// By how much the requests of all VMs together may exceed a cold target's rate.
     pub burst_allowance: BurstAllowance,
-    /// What the VM can do as the manager, in thousandths of a core.
+    /// The CPU capacity that the VM has for the manager's work, in thousandths of a core.
     pub power: u32,
-    /// What the platform sets for leases and holds.
+    /// The platform's limits for leases and grants.
     pub lease_limits: LeaseLimits,
-    /// The least grave kind of line that is logged.
+    /// The lowest severity that is logged.
     pub log_level: LevelFilter,
 }
 
-/// How long the manager's lease lasts, if the store allows it.
+/// How long the manager's lease lasts with up to [`BASELINE_VMS`] VMs, if the store allows it.
 ///
-/// With a renewal each quarter of it, two lost renewals are borne. Until a lost manager's lease has ended
-/// no busy key moves and no dark target's keys get an owner.
-const LEASE: Duration = Duration::from_millis(1200);
-/// The longest lease, however many VMs there are: keys are to be served again within 4 s of a loss.
-const LEASE_MOST: Duration = Duration::from_secs(3);
-/// How long it takes from the end of a manager's lease until another has renewed the grants: bids, a
-/// record read and written, one call to each target.
-const TAKEOVER: Duration = Duration::from_millis(600);
-/// The hold of a grant while the manager can't renew its lease, if the platform allows it.
+/// It is renewed after each quarter, so it survives two lost renewals. Until the lease of a failed manager
+/// has ended, no hot key moves and the keys of an unresponsive target get no owner.
+const BASE_LEASE: Duration = Duration::from_millis(1200);
+/// The longest lease for any number of VMs: keys must be served again within 4 s of a failure.
+const MAX_LEASE: Duration = Duration::from_secs(3);
+/// How long it takes from the end of a manager's lease until its successor has renewed the grants: bids for
+/// the lease, reading and writing a record, and one call to each target.
+const TAKEOVER_TIME: Duration = Duration::from_millis(600);
+/// The duration of a grant while the manager can't renew its lease, if the platform allows it.
 ///
-/// An outage of the store of some 9 s then costs no key its owner, also when the manager goes in it.
-/// The keys of a target that falls silent soon after a takeover wait for its end.
-const HOLD_ALONE: Duration = Duration::from_secs(10);
-/// How many renewals fit into a hold; when the next is due, enough of it is left to replace the
-/// manager.
-const RENEWALS: u32 = 5;
-/// How long after its lease a manager's last grant may hold, beyond a hold that began at its end.
+/// Every key then keeps its owner in a store outage of about 9 s, even if the manager fails during it.
+/// In return, the keys of a target that becomes unresponsive soon after a takeover have no owner until the
+/// grant ends.
+const OUTAGE_GRANT_TIME: Duration = Duration::from_secs(10);
+/// The number of renewals within the duration of a grant; when the next one is due, enough time is left to
+/// replace the manager.
+const RENEWALS_PER_GRANT: u32 = 5;
+/// How much later than a grant made at the end of the manager's lease its last grant may expire.
 ///
-/// With holds of 10 s an outage of 14 s costs no key its owner while the manager lives. The keys of a
-/// target that falls silent at the moment of a takeover wait for all of it.
-const BEYOND_HOLD: Duration = Duration::from_secs(2);
+/// With grants of 10 s, every key keeps its owner in a store outage of 14 s while the manager runs. In return,
+/// the keys of a target that becomes unresponsive at the moment of a takeover wait for all of this time.
+const EXPIRY_MARGIN: Duration = Duration::from_secs(2);
 
-/// From how many VMs on the manager's lease, and the pause between their words to it, grow in
-/// proportion to them.
+/// The number of VMs above which the manager's lease and the interval of their sync requests grow in
+/// proportion to the number.
 ///
-/// At the usual pause 600 words a second reach the manager then. With more, it needs longer to renew all grants
-/// than a lease that fits few VMs lasts.
+/// At this number and the shortest interval, 600 sync requests a second reach the manager. With more VMs, it
+/// would take longer to renew all grants than the base lease lasts.
 pub(crate) const BASELINE_VMS: u32 = 24;
 
-/// What the platform sets for leases and holds.
+/// The platform's limits for leases and grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseLimits {
-    /// The shortest lease that the store gives.
+    /// The shortest lease that the store grants.
     pub min_lease: Duration,
-    /// The longest hold that a grant may have.
+    /// The longest duration that a grant may have.
     pub max_grant: Duration,
 }
 
 impl LeaseLimits {
-    /// Returns the spans of the manager's lease and of grants for so many VMs.
+    /// Returns the durations of the manager's lease and of its grants for a number of VMs.
     ///
-    /// A hold outlasts the replacement of a manager that is lost when a renewal was just due, and is no
-    /// longer, since the keys of a target that falls silent wait for its end.
+    /// A grant outlasts the replacement of a manager that fails just when a renewal is due. It is no longer
+    /// than that, because the keys of a target that becomes unresponsive have no owner until it ends.
     ///
     /// # Example
     ///
@@ -100,24 +101,26 @@
     /// use bramleypier_engine::settings::LeaseLimits;
     ///
     /// let ms = Duration::from_millis;
-    /// let spans = |min_lease, max_grant| LeaseLimits { min_lease, max_grant };
-    /// assert_eq!(spans(ms(1000), ms(10_000)).timing(8).grant_duration, ms(2250));
-    /// assert_eq!(spans(ms(1000), ms(10_000)).timing(60).lease, ms(3000));
-    /// assert_eq!(spans(ms(3000), ms(10_000)).timing(8).grant_duration, ms(4500));
-    /// assert_eq!(spans(ms(1000), ms(1000)).timing(8).grant_duration, ms(1000));
+    /// let limits = |min_lease, max_grant| LeaseLimits { min_lease, max_grant };
+    /// assert_eq!(limits(ms(1000), ms(10_000)).timing(8).grant_duration, ms(2250));
+    /// assert_eq!(limits(ms(1000), ms(10_000)).timing(60).lease, ms(3000));
+    /// assert_eq!(limits(ms(3000), ms(10_000)).timing(8).grant_duration, ms(4500));
+    /// assert_eq!(limits(ms(1000), ms(1000)).timing(8).grant_duration, ms(1000));
     /// ```
     pub fn timing(&self, vms: usize) -> ownership::Timing {
         let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
-        let lease = (LEASE * vms / BASELINE_VMS).min(LEASE_MOST);
+        let lease = (BASE_LEASE * vms / BASELINE_VMS).min(MAX_LEASE);
         let lease = lease.max(self.min_lease);
-        let grant_duration = ((lease + TAKEOVER) * RENEWALS / (RENEWALS - 1)).min(self.max_grant);
-        let outage_duration = HOLD_ALONE.min(self.max_grant);
+        let grant_duration = ((lease + TAKEOVER_TIME) * RENEWALS_PER_GRANT
+            / (RENEWALS_PER_GRANT - 1))
+            .min(self.max_grant);
+        let outage_duration = OUTAGE_GRANT_TIME.min(self.max_grant);
         ownership::Timing {
             lease,
             grant_duration,
             outage_duration,
-            renew_interval: grant_duration / RENEWALS,
-            latest_expiry: outage_duration + BEYOND_HOLD,
+            renew_interval: grant_duration / RENEWALS_PER_GRANT,
+            latest_expiry: outage_duration + EXPIRY_MARGIN,
         }
     }
 }
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets as the engine calls them: work, grants and releases.
+//! The protocol between the engine and targets: requests, grants and releases.
 
 use std::time::Duration;
 
@@ -12,43 +12,43 @@
     },
 };
 
-/// How loaded a target says it is; it may lag.
+/// The load that a target reports; it may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Requests that the target is processing.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests in the target's queue.
     pub waiting: u32,
 }
 
-/// How many requests a second a target takes from all VMs together while it is in need of relief.
+/// The requests per second that an overloaded target accepts from all VMs together.
 pub type Rate = f64;
 
-/// Why a target did not run a request.
+/// Why a target states that it did not run a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It is full, or the request's time was over.
+    /// The target is full, or the request's time had run out.
     Busy,
-    /// It doesn't hold the request's key, or isn't the target that was meant.
+    /// The target doesn't hold the request's key, or isn't the target that the request was sent for.
     NotOwner,
 }
 
-/// What the head of a target's answer says.
+/// What the engine reads from the head of a target's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// The target states that it did not run the request.
+    /// The reason if the target states that it did not run the request.
     pub refusal: Option<Refusal>,
-    /// The answer bears the target's signature.
+    /// Whether the response has the target's signature.
     pub signed: bool,
-    /// The request id that the answer belongs to.
+    /// The id of the request that the response belongs to.
     pub request_id: Option<String>,
     /// The load that the target reports.
     pub load: Option<LoadReport>,
-    /// The rate to which the target asks to be held; none if it takes whatever comes.
+    /// The rate limit that the target requests; none if it accepts any rate.
     pub rate: Option<Rate>,
 }
 
-/// A call to a target in the dialect's own form.
+/// A grant or release as an HTTP request of the platform's protocol.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
@@ -61,23 +61,23 @@
     pub body: Vec<u8>,
 }
 
-/// How targets are spoken to; implemented once for each dialect.
+/// The protocol that targets use; an adapter implements it for one platform.
 pub trait TargetProtocol {
     /// Returns the last key; the first is 0.
     fn last_point(&self) -> RequestKey;
 
-    /// Sets the headers of a request that is sent to a target with the time that is left.
-    fn set_headers(&self, headers: &mut HeaderMap, target: &TargetId, left: Duration);
+    /// Sets the headers of a request to a target; `remaining` is the time in which it must respond.
+    fn set_headers(&self, headers: &mut HeaderMap, target: &TargetId, remaining: Duration);
 
-    /// Reads the head of an answer.
+    /// Reads the head of a response.
     fn read(&self, status: StatusCode, headers: &HeaderMap) -> Reply;
 
-    /// Builds a grant.
+    /// Builds the call that grants a range of keys.
     fn grant(&self, order: &OwnershipCommand) -> Call;
 
-    /// Builds a release.
+    /// Builds the call that releases a range of keys.
     fn release(&self, order: &OwnershipCommand) -> Call;
 
-    /// Reads the answer of a grant or release.
+    /// Reads the result of a grant or release from its response.
     fn call_result(&self, status: StatusCode, headers: &HeaderMap) -> CallOutcome;
 }
