--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -28,12 +28,12 @@
 /// The remaining time assumed for a caller that states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What requests are handled with.
+/// The state and clients that request handling uses.
 #[derive(Clone)]
 pub struct Context {
     /// This VM's view of the fleet.
     pub shared_fleet: SharedFleet,
-    /// Whether the manager's sync exchange works, which relays changes of the store.
+    /// Whether the sync exchange with the manager works; the manager relays changes of the store.
     pub manager_health: Health,
     /// The protocol that callers use.
     pub callers: Rc<dyn CallerProtocol>,
--- a/engine/src/caller/startup.rs
+++ b/engine/src/caller/startup.rs
@@ -80,7 +80,7 @@
         let left = remaining.map_or(left, |it| it.min(left));
         // A timeout yields none, and the request is refused.
         clock
-            .timeout(left, first(shared_fleet))
+            .timeout(left, first_config(shared_fleet))
             .await
             .ok()
             .flatten()
@@ -88,7 +88,7 @@
 }
 
 /// Waits for the first configuration.
-async fn first(shared_fleet: &SharedFleet) -> Option<Rc<Config>> {
+async fn first_config(shared_fleet: &SharedFleet) -> Option<Rc<Config>> {
     let mut changes = shared_fleet.subscribe();
     loop {
         if let Some(config) = shared_fleet.get().config.clone() {
--- a/engine/src/process/signals.rs
+++ b/engine/src/process/signals.rs
@@ -26,7 +26,8 @@
 
 /// Reloads the settings when their file changes or a signal requests it.
 ///
-/// Only the log level takes effect at once; all other settings apply from the next start.
+/// Only the log level takes effect at once; all other settings apply from the next start. The log reports
+/// each reload, whether or not it succeeds.
 pub(super) async fn watch_settings(reload: Reload, first: Settings, clock: Clock, report: Report) {
     let mut known = Ok(first);
     loop {
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -24,7 +24,7 @@
     pub readiness: SocketAddr,
     /// The address that other VMs connect to.
     pub peers: SocketAddr,
-    /// Other VMs to connect to while neither the store nor the manager is reachable.
+    /// Other VMs to contact while neither the store nor the manager is reachable.
     pub seeds: Vec<SocketAddr>,
     /// The address that serves counters and latencies as text.
     pub metrics: SocketAddr,
@@ -49,7 +49,7 @@
 /// How long the manager's lease lasts with up to [`BASELINE_VMS`] VMs, if the store allows it.
 ///
 /// It is renewed after each quarter, so it survives two lost renewals. Until the lease of a failed manager
-/// has ended, no hot key moves and the keys of an unresponsive target get no owner.
+/// has ended, no hot key moves and the keys of an unresponsive target get no new owner.
 const BASE_LEASE: Duration = Duration::from_millis(1200);
 /// The longest lease for any number of VMs: keys must be served again within 4 s of a failure.
 const MAX_LEASE: Duration = Duration::from_secs(3);
@@ -59,7 +59,7 @@
 /// The duration of a grant while the manager can't renew its lease, if the platform allows it.
 ///
 /// Every key then keeps its owner in a store outage of about 9 s, even if the manager fails during it.
-/// In return, the keys of a target that becomes unresponsive soon after a takeover have no owner until the
+/// In return, the keys of a target that becomes unresponsive soon after a takeover get no new owner until the
 /// grant ends.
 const OUTAGE_GRANT_TIME: Duration = Duration::from_secs(10);
 /// The number of renewals within the duration of a grant; when the next one is due, enough time is left to
@@ -68,7 +68,7 @@
 /// How much later than a grant made at the end of the manager's lease its last grant may expire.
 ///
 /// With grants of 10 s, every key keeps its owner in a store outage of 14 s while the manager runs. In return,
-/// the keys of a target that becomes unresponsive at the moment of a takeover wait for all of this time.
+/// the keys of a target that becomes unresponsive at the moment of a takeover get no new owner for all of it.
 const EXPIRY_MARGIN: Duration = Duration::from_secs(2);
 
 /// The number of VMs above which the manager's lease and the interval of their sync requests grow in
@@ -91,7 +91,7 @@
     /// Returns the durations of the manager's lease and of its grants for a number of VMs.
     ///
     /// A grant outlasts the replacement of a manager that fails just when a renewal is due. It is no longer
-    /// than that, because the keys of a target that becomes unresponsive have no owner until it ends.
+    /// than that, because the keys of a target that becomes unresponsive get no new owner until it ends.
     ///
     /// # Example
     ///
