--- a/engine/src/owner/balance.rs
+++ b/engine/src/owner/balance.rs
@@ -1,12 +1,12 @@
-//! Which keys move to which target.
+//! Plans which keys move to which target, so that no target is overloaded.
 //!
 //! Load patterns that it answers:
 //!
-//! - *Busy keys lie close together and change*: the narrowest run of keys that carries the needed
-//!   load moves, since moving is paid by the share of keys that change hands.
-//! - *One key has more requests than a slow target can do*: it moves to a target on which it leaves
-//!   the lowest utilisation, usually the fastest; then that target's other keys move away.
-//! - *A target joins*: it gets some load at once, the rest as others grow busy.
+//! - *Hot keys lie close together and change*: the narrowest run of keys that carries the needed load
+//!   moves, since the cost of a move is the share of keys that change owner.
+//! - *One key has more requests than a slow target can serve*: it moves to the target on which it causes
+//!   the lowest utilisation, usually the fastest; then other keys of that target move away.
+//! - *A target joins*: it gets some load at once and the rest as other targets become busy.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -22,28 +22,28 @@
     record::{Incarnation, KeyRange, Record, RequestKey},
 };
 
-/// Up to which utilisation a target is left alone: below it, few requests wait.
-const CALM: f64 = 0.5;
-/// How far a target's utilisation may lie above the mean before keys move, as a factor.
+/// Targets up to this utilisation keep their keys, since few requests queue there.
+const CALM_UTILISATION: f64 = 0.5;
+/// Ratio of a target's utilisation to the mean above which keys move away.
 ///
-/// Rates over some seconds scatter by a tenth or two; below 1.25 the scatter alone would move keys.
-const TOLERANCE: f64 = 1.25;
-/// To which part a move must lower the higher of two utilisations to be worth its disturbance.
+/// Rates over some seconds scatter by 10 to 20 %; below 1.25 that scatter alone would move keys.
+const MAX_IMBALANCE: f64 = 1.25;
+/// Ratio by which a move must lower the higher of the two utilisations to be worth its cost.
 ///
-/// Powers are known to within some 15 %; at 0.9 a busy key went to and fro among fast targets.
-const WORTH: f64 = 0.8;
-/// Utilisations that differ by less count as even; then the run found first is taken.
-const EVEN: f64 = 0.01;
-/// The most moves begun at once: each makes its keys wait for a moment.
-const MOVES: usize = 5;
-/// The utilisation that a target without load is filled up to, as a part of the mean.
-const FILL: f64 = 0.5;
-/// The least part of the wanted load that a run of keys must carry, so that a narrower one is found.
-const LEAST_PART: f64 = 0.5;
-/// The most that it may carry beyond the wanted load.
-const MOST_PART: f64 = 1.25;
+/// Capacities are known to within some 15 %; at 0.9 a hot key moved back and forth among fast targets.
+const REQUIRED_RATIO: f64 = 0.8;
+/// Utilisations that differ by less count as equal; then the run found first is taken.
+const EQUAL_WITHIN: f64 = 0.01;
+/// The most moves begun at once: requests for the keys of each move wait for a moment.
+const MAX_MOVES: usize = 5;
+/// The utilisation up to which a target without load is filled, as a ratio to the mean.
+const IDLE_FILL_RATIO: f64 = 0.5;
+/// The least ratio of the wanted load that a run of keys must carry, so that a narrower one is found.
+const MIN_RUN_RATIO: f64 = 0.5;
+/// The largest ratio of the wanted load that a run of keys may carry.
+const MAX_RUN_RATIO: f64 = 1.25;
 
-/// A move of some keys to another owner.
+/// A move of a run of keys to another owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The first key.
@@ -57,15 +57,15 @@
 /// A target that may own keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How many requests a second it can do.
+    /// How many requests a second it can serve.
     pub capacity: f64,
 }
 
-/// Splits ranges that nobody owns among holders, in proportion to capacity, least loaded first.
+/// Splits ranges without an owner among candidates in proportion to capacity, the least loaded first.
 ///
-/// Ranges without measured load are cut evenly; owners of neighbouring keys are preferred to none.
+/// Ranges without measured load are split evenly by width; owners of neighbouring keys get no preference.
 ///
 /// # Example
 ///
@@ -76,79 +76,93 @@
 ///     record::{Incarnation, Record},
 /// };
 ///
-/// let holder = |id: &str| Candidate { incarnation: Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() }, capacity: 2.0 };
+/// let candidate = |id: &str| Candidate { incarnation: Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() }, capacity: 2.0 };
 /// let record = Record::unowned(99);
-/// let moves = balance::assign(&record, &record.ranges, &[holder("a"), holder("b")], &Load::default());
+/// let moves = balance::assign(&record, &record.ranges, &[candidate("a"), candidate("b")], &Load::default());
 /// let bounds: Vec<_> = moves.iter().map(|it| (it.from, it.to)).collect();
 /// assert_eq!(bounds, [(0, 49), (50, 99)]);
 /// ```
-pub fn assign(record: &Record, free: &[KeyRange], holders: &[Candidate], load: &Load) -> Vec<Move> {
-    if holders.is_empty() {
+pub fn assign(
+    record: &Record,
+    free: &[KeyRange],
+    candidates: &[Candidate],
+    load: &Load,
+) -> Vec<Move> {
+    if candidates.is_empty() {
         return Vec::new();
     }
-    let mut filled = fill(record, holders, load);
+    let mut weights = weights_of(record, candidates, load);
     let keys: u64 = record.ranges.iter().map(KeyRange::width).sum();
     let mut moves = Vec::new();
-    for part in free {
-        split(part, keys, holders, load, &mut filled, &mut moves);
+    for range in free {
+        assign_range(range, keys, candidates, load, &mut weights, &mut moves);
     }
     moves
 }
 
-/// What each holder carries, in parts of all load and keys.
-fn fill(record: &Record, holders: &[Candidate], load: &Load) -> IndexMap<Incarnation, f64> {
-    let mut filled: IndexMap<_, _> = holders
+/// Returns the weight that each candidate carries already, see [`weight_of`].
+fn weights_of(
+    record: &Record,
+    candidates: &[Candidate],
+    load: &Load,
+) -> IndexMap<Incarnation, f64> {
+    let mut weights: IndexMap<_, _> = candidates
         .iter()
         .map(|it| (it.incarnation.clone(), 0.0))
         .collect();
     let keys: u64 = record.ranges.iter().map(KeyRange::width).sum();
     let total = load.rate(0, RequestKey::MAX).max(1.0);
-    for part in &record.ranges {
-        let Some(sum) = part.owner.as_ref().and_then(|life| filled.get_mut(life)) else {
+    for range in &record.ranges {
+        let Some(sum) = range
+            .owner
+            .as_ref()
+            .and_then(|incarnation| weights.get_mut(incarnation))
+        else {
             continue;
         };
-        *sum += weigh(part.from, part.to, keys, total, load);
+        *sum += weight_of(range.from, range.to, keys, total, load);
     }
-    filled
+    weights
 }
 
-/// The weight of a range: mostly its load, a little its keys, which may become busy.
-fn weigh(from: RequestKey, to: RequestKey, keys: u64, total: f64, load: &Load) -> f64 {
-    const KEYS_PART: f64 = 0.2;
+/// Returns the weight of a range: its share of all load, plus a little for its width, since its keys may get load.
+fn weight_of(from: RequestKey, to: RequestKey, keys: u64, total: f64, load: &Load) -> f64 {
+    const WIDTH_WEIGHT: f64 = 0.2;
     let width = (to - from + 1) as f64 / keys.max(1) as f64;
-    load.rate(from, to) / total + KEYS_PART * width
+    load.rate(from, to) / total + WIDTH_WEIGHT * width
 }
 
-fn split(
-    part: &KeyRange,
+/// Gives a range without an owner to candidates, the least loaded first.
+fn assign_range(
+    range: &KeyRange,
     keys: u64,
-    holders: &[Candidate],
+    candidates: &[Candidate],
     load: &Load,
-    filled: &mut IndexMap<Incarnation, f64>,
+    weights: &mut IndexMap<Incarnation, f64>,
     moves: &mut Vec<Move>,
 ) {
     let total = load.rate(0, RequestKey::MAX).max(1.0);
-    let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
-    let whole: f64 = weigh(part.from, part.to, keys, total, load);
-    let all: f64 = filled.values().sum::<f64>() + whole;
-    let mut rest = part.clone();
+    let capacity: f64 = candidates.iter().map(|it| it.capacity).sum();
+    let whole: f64 = weight_of(range.from, range.to, keys, total, load);
+    let all: f64 = weights.values().sum::<f64>() + whole;
+    let mut rest = range.clone();
     loop {
-        let Some(holder) = emptiest(holders, filled) else {
+        let Some(candidate) = least_loaded(candidates, weights) else {
             return;
         };
-        let room = all * holder.capacity / capacity - filled[&holder.incarnation];
-        let left = weigh(rest.from, rest.to, keys, total, load);
-        let to = if room >= left * 0.95 {
+        let free_weight = all * candidate.capacity / capacity - weights[&candidate.incarnation];
+        let remaining = weight_of(rest.from, rest.to, keys, total, load);
+        let to = if free_weight >= remaining * 0.95 {
             rest.to
         } else {
-            reach(&rest, room, keys, total, load)
+            last_key_for(&rest, free_weight, keys, total, load)
         };
-        let weight = weigh(rest.from, to, keys, total, load);
-        *filled.entry(holder.incarnation.clone()).or_default() += weight;
+        let weight = weight_of(rest.from, to, keys, total, load);
+        *weights.entry(candidate.incarnation.clone()).or_default() += weight;
         moves.push(Move {
             from: rest.from,
             to,
-            owner: holder.incarnation.clone(),
+            owner: candidate.incarnation.clone(),
         });
         if to >= rest.to {
             return;
@@ -157,22 +171,31 @@
     }
 }
 
-fn emptiest<'a>(
-    holders: &'a [Candidate],
-    filled: &IndexMap<Incarnation, f64>,
+/// Returns the candidate with the lowest weight for its capacity.
+fn least_loaded<'a>(
+    candidates: &'a [Candidate],
+    weights: &IndexMap<Incarnation, f64>,
 ) -> Option<&'a Candidate> {
     let level = |it: &Candidate| {
-        filled.get(&it.incarnation).copied().unwrap_or(0.0) / it.capacity.max(0.01)
+        weights.get(&it.incarnation).copied().unwrap_or(0.0) / it.capacity.max(0.01)
     };
-    holders.iter().min_by(|a, b| level(a).total_cmp(&level(b)))
+    candidates
+        .iter()
+        .min_by(|a, b| level(a).total_cmp(&level(b)))
 }
 
-/// The last key of a prefix of `part` that weighs about `room`, by bisection.
-fn reach(part: &KeyRange, room: f64, keys: u64, total: f64, load: &Load) -> RequestKey {
-    let (mut low, mut high) = (part.from, part.to);
+/// Returns the last key of the prefix of a range that weighs about `free_weight`, by bisection.
+fn last_key_for(
+    range: &KeyRange,
+    free_weight: f64,
+    keys: u64,
+    total: f64,
+    load: &Load,
+) -> RequestKey {
+    let (mut low, mut high) = (range.from, range.to);
     while low < high {
         let middle = low + (high - low) / 2;
-        if weigh(part.from, middle, keys, total, load) < room {
+        if weight_of(range.from, middle, keys, total, load) < free_weight {
             low = middle + 1;
         } else {
             high = middle;
@@ -181,9 +204,10 @@
     low
 }
 
-/// Plans moves from the busiest holders to others.
+/// Plans moves from the busiest candidates to others.
 ///
-/// Returns nothing while no holder stands out: see the constants of this module.
+/// Keys in `cooling_down` stay where they are. Returns nothing while the load is even enough: see the constants of
+/// this module.
 ///
 /// # Example
 ///
@@ -196,38 +220,43 @@
 ///     record::{Incarnation, KeyRange, Record},
 /// };
 ///
-/// let life = |id: &str| Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() };
-/// let part = |from, to, id| KeyRange { from, to, fence: 1, owner: Some(life(id)) };
-/// let record = Record { ranges: vec![part(0, 49, "a"), part(50, 99, "b")], ..Record::default() };
+/// let incarnation = |id: &str| Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() };
+/// let range = |from, to, id| KeyRange { from, to, fence: 1, owner: Some(incarnation(id)) };
+/// let record = Record { ranges: vec![range(0, 49, "a"), range(50, 99, "b")], ..Record::default() };
 /// let mut load = Load::default();
 /// load.add(Duration::ZERO, [(1, 30), (9, 30), (60, 2)]);
-/// let holders = [Candidate { incarnation: life("a"), capacity: 20.0 }, Candidate { incarnation: life("b"), capacity: 20.0 }];
-/// let moves = balance::plan(&record, &holders, &load, &[]);
+/// let candidates = [Candidate { incarnation: incarnation("a"), capacity: 20.0 }, Candidate { incarnation: incarnation("b"), capacity: 20.0 }];
+/// let moves = balance::plan(&record, &candidates, &load, &[]);
 /// assert_eq!(moves.len(), 1);
 /// assert_eq!(moves[0].from, moves[0].to);
 /// assert_eq!(moves[0].owner.id, "b");
 /// ```
-pub fn plan(record: &Record, holders: &[Candidate], load: &Load, resting: &[Move]) -> Vec<Move> {
-    let mut plan = Plan::new(record, holders, load);
-    plan.resting = resting;
-    while plan.moves.len() < MOVES && plan.step() {}
+pub fn plan(
+    record: &Record,
+    candidates: &[Candidate],
+    load: &Load,
+    cooling_down: &[Move],
+) -> Vec<Move> {
+    let mut plan = Plan::new(record, candidates, load);
+    plan.cooling_down = cooling_down;
+    while plan.moves.len() < MAX_MOVES && plan.add_move() {}
     plan.moves
 }
 
-/// A plan under way.
+/// A plan that is being built.
 struct Plan<'a> {
     record: &'a Record,
-    holders: &'a [Candidate],
+    candidates: &'a [Candidate],
     load: &'a Load,
-    /// Rates by holder, as they will be after the moves.
+    /// Requests a second by candidate, as they will be after the moves.
     rates: Vec<f64>,
     mean: f64,
     moves: Vec<Move>,
-    /// Keys that moved lately and are left alone.
-    resting: &'a [Move],
+    /// Keys that moved recently and stay where they are.
+    cooling_down: &'a [Move],
 }
 
-/// A run of keys with its rate.
+/// A run of keys with its rate in requests a second.
 #[derive(Clone, Copy)]
 struct Run {
     from: RequestKey,
@@ -236,56 +265,60 @@
 }
 
 impl<'a> Plan<'a> {
-    fn new(record: &'a Record, holders: &'a [Candidate], load: &'a Load) -> Self {
-        let index: HashMap<&Incarnation, usize> = holders
+    fn new(record: &'a Record, candidates: &'a [Candidate], load: &'a Load) -> Self {
+        let index: HashMap<&Incarnation, usize> = candidates
             .iter()
             .enumerate()
             .map(|(at, it)| (&it.incarnation, at))
             .collect();
-        let mut rates = vec![0.0; holders.len()];
-        for part in &record.ranges {
-            if let Some(at) = part.owner.as_ref().and_then(|life| index.get(life)) {
-                rates[*at] += load.rate(part.from, part.to);
+        let mut rates = vec![0.0; candidates.len()];
+        for range in &record.ranges {
+            if let Some(at) = range
+                .owner
+                .as_ref()
+                .and_then(|incarnation| index.get(incarnation))
+            {
+                rates[*at] += load.rate(range.from, range.to);
             }
         }
-        let capacity: f64 = holders.iter().map(|it| it.capacity).sum();
+        let capacity: f64 = candidates.iter().map(|it| it.capacity).sum();
         Self {
             record,
-            holders,
+            candidates,
             load,
             mean: rates.iter().sum::<f64>() / capacity.max(0.01),
             rates,
             moves: Vec::new(),
-            resting: &[],
+            cooling_down: &[],
         }
     }
 
-    /// Returns whether some of a range moves already, or has moved lately.
-    fn is_taken(&self, from: RequestKey, to: RequestKey) -> bool {
-        let mut taken = self.moves.iter().chain(self.resting);
-        taken.any(|it| it.from <= to && from <= it.to)
+    /// Returns whether some of a range moves in this plan already or is in its cooldown.
+    fn is_excluded(&self, from: RequestKey, to: RequestKey) -> bool {
+        let mut excluded = self.moves.iter().chain(self.cooling_down);
+        excluded.any(|it| it.from <= to && from <= it.to)
     }
 
-    fn used(&self, at: usize) -> f64 {
-        self.rates[at] / self.holders[at].capacity.max(0.01)
+    fn utilisation(&self, at: usize) -> f64 {
+        self.rates[at] / self.candidates[at].capacity.max(0.01)
     }
 
     /// Adds one move; returns whether there was one worth making.
-    fn step(&mut self) -> bool {
-        let order = |a: &usize, b: &usize| self.used(*a).total_cmp(&self.used(*b));
-        let Some(busiest) = (0..self.holders.len()).max_by(order) else {
+    fn add_move(&mut self) -> bool {
+        let order = |a: &usize, b: &usize| self.utilisation(*a).total_cmp(&self.utilisation(*b));
+        let Some(busiest) = (0..self.candidates.len()).max_by(order) else {
             return false;
         };
-        let Some(idlest) = (0..self.holders.len()).min_by(order) else {
+        let Some(idlest) = (0..self.candidates.len()).min_by(order) else {
             return false;
         };
-        let used = self.used(busiest);
-        let hot = used > CALM && used > self.mean * TOLERANCE;
-        let empty = self.rates[idlest] < 0.2 && self.mean > 0.0;
-        let chosen = if hot {
+        let utilisation = self.utilisation(busiest);
+        let overloaded = utilisation > CALM_UTILISATION && utilisation > self.mean * MAX_IMBALANCE;
+        let idle = self.rates[idlest] < 0.2 && self.mean > 0.0;
+        let chosen = if overloaded {
             self.relieve(busiest)
-        } else if empty {
-            self.fill(busiest, idlest)
+        } else if idle {
+            self.fill_idle(busiest, idlest)
         } else {
             None
         };
@@ -297,48 +330,48 @@
         self.moves.push(Move {
             from: run.from,
             to: run.to,
-            owner: self.holders[to].incarnation.clone(),
+            owner: self.candidates[to].incarnation.clone(),
         });
         true
     }
 
-    /// The run of the busiest holder's keys, and its new owner, that lower the load most.
+    /// Returns the run of the busiest candidate's keys and the new owner that lower the utilisation most.
     fn relieve(&self, busiest: usize) -> Option<(Run, usize)> {
-        let before = self.used(busiest);
-        let hottest = self.hottest(busiest);
+        let before = self.utilisation(busiest);
+        let hottest_key = self.hottest_key(busiest);
         let mut best: Option<(Run, usize, f64)> = None;
-        for to in (0..self.holders.len()).filter(|to| *to != busiest) {
-            // Both ends would be used alike after a move of this rate.
-            let (from, into) = (&self.holders[busiest], &self.holders[to]);
+        for to in (0..self.candidates.len()).filter(|to| *to != busiest) {
+            // After a move of this rate both have the same utilisation.
+            let (from, into) = (&self.candidates[busiest], &self.candidates[to]);
             let want = (self.rates[busiest] * into.capacity - self.rates[to] * from.capacity)
                 / (from.capacity + into.capacity);
             if want <= 0.0 {
                 continue;
             }
-            let runs = [self.narrowest(busiest, want), hottest];
+            let runs = [self.narrowest_run(busiest, want), hottest_key];
             for run in runs.into_iter().flatten() {
-                let left = (self.rates[busiest] - run.rate) / from.capacity;
-                let filled = (self.rates[to] + run.rate) / into.capacity;
-                let after = left.max(filled);
-                if best.is_none_or(|(_, _, least)| after < least - EVEN) {
+                let kept = (self.rates[busiest] - run.rate) / from.capacity;
+                let added = (self.rates[to] + run.rate) / into.capacity;
+                let after = kept.max(added);
+                if best.is_none_or(|(_, _, least)| after < least - EQUAL_WITHIN) {
                     best = Some((run, to, after));
                 }
             }
         }
         let (run, to, after) = best?;
-        (after < before * WORTH).then_some((run, to))
+        (after < before * REQUIRED_RATIO).then_some((run, to))
     }
 
-    /// The busiest single key of a holder.
-    fn hottest(&self, owner: usize) -> Option<Run> {
-        let life = &self.holders[owner].incarnation;
+    /// Returns the single key of a candidate that has the highest rate and may move.
+    fn hottest_key(&self, owner: usize) -> Option<Run> {
+        let incarnation = &self.candidates[owner].incarnation;
         let own = self
             .record
             .ranges
             .iter()
-            .filter(|part| part.owner.as_ref() == Some(life));
-        let keys = own.flat_map(|part| self.load.key_rates(part.from, part.to));
-        let free = keys.filter(|(key, _)| !self.is_taken(*key, *key));
+            .filter(|range| range.owner.as_ref() == Some(incarnation));
+        let keys = own.flat_map(|range| self.load.key_rates(range.from, range.to));
+        let free = keys.filter(|(key, _)| !self.is_excluded(*key, *key));
         let (key, rate) = free.max_by(|a, b| a.1.total_cmp(&b.1))?;
         Some(Run {
             from: key,
@@ -347,32 +380,33 @@
         })
     }
 
-    /// A run of the busiest holder's keys for one that has nothing to do.
-    fn fill(&self, busiest: usize, idlest: usize) -> Option<(Run, usize)> {
-        let want = self.mean * self.holders[idlest].capacity * FILL;
-        let run = self.narrowest(busiest, want)?;
+    /// Returns a run of the busiest candidate's keys for one without load.
+    fn fill_idle(&self, busiest: usize, idlest: usize) -> Option<(Run, usize)> {
+        let want = self.mean * self.candidates[idlest].capacity * IDLE_FILL_RATIO;
+        let run = self.narrowest_run(busiest, want)?;
         Some((run, idlest))
     }
 
-    /// The narrowest run of a holder's keys that carries about `want`.
-    fn narrowest(&self, owner: usize, want: f64) -> Option<Run> {
-        let life = &self.holders[owner].incarnation;
+    /// Returns the narrowest run of a candidate's keys that carries about `want` requests a second.
+    fn narrowest_run(&self, owner: usize, want: f64) -> Option<Run> {
+        let incarnation = &self.candidates[owner].incarnation;
         let own = self
             .record
             .ranges
             .iter()
-            .filter(|part| part.owner.as_ref() == Some(life));
-        let runs = own.filter_map(|part| self.narrowest_of(part, want));
+            .filter(|range| range.owner.as_ref() == Some(incarnation));
+        let runs = own.filter_map(|range| self.narrowest_run_in(range, want));
         runs.min_by_key(|run| run.to - run.from)
     }
 
-    fn narrowest_of(&self, part: &KeyRange, want: f64) -> Option<Run> {
-        let keys = self.load.key_rates(part.from, part.to);
+    /// Returns the narrowest such run within one range, by a sliding window over its keys.
+    fn narrowest_run_in(&self, range: &KeyRange, want: f64) -> Option<Run> {
+        let keys = self.load.key_rates(range.from, range.to);
         let (mut start, mut rate) = (0, 0.0);
         let mut best: Option<Run> = None;
-        for (end, (last, own)) in keys.iter().enumerate() {
-            rate += own;
-            while start < end && (rate - keys[start].1 >= want || rate > want * MOST_PART) {
+        for (end, (last, key_rate)) in keys.iter().enumerate() {
+            rate += key_rate;
+            while start < end && (rate - keys[start].1 >= want || rate > want * MAX_RUN_RATIO) {
                 rate -= keys[start].1;
                 start += 1;
             }
@@ -381,10 +415,10 @@
                 to: *last,
                 rate,
             };
-            let fits = rate >= want * LEAST_PART && rate <= want * MOST_PART;
-            let taken = self.is_taken(run.from, run.to);
+            let fits = rate >= want * MIN_RUN_RATIO && rate <= want * MAX_RUN_RATIO;
+            let excluded = self.is_excluded(run.from, run.to);
             let narrower = best.is_none_or(|least| run.to - run.from < least.to - least.from);
-            if fits && !taken && narrower {
+            if fits && !excluded && narrower {
                 best = Some(run);
             }
         }
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -1,4 +1,4 @@
-//! The manager's calls to the store and to targets, and small sums over what it knows.
+//! The manager's calls to the store and to targets, and what it derives from its view of the fleet.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -18,38 +18,39 @@
     target::Rate,
 };
 
-/// How much later each next candidate bids, so that one bid usually does: a call takes some 5 ms.
+/// How much later each next VM bids, so that one bid is usually enough: a call takes some 5 ms.
 const BID_STEP: Duration = Duration::from_millis(40);
-/// The most by which a bid is put off.
-const BID_LATEST: Duration = Duration::from_millis(600);
+/// The longest delay of a bid.
+const MAX_BID_DELAY: Duration = Duration::from_millis(600);
 /// How long a target has to answer a grant.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a target has to answer a release: it ends the work on those keys first.
+/// How long a target has to answer a release: it finishes the requests for those keys first.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long after a target has closed a connection a refused one proves that its process ended.
+/// How long after a target has closed a connection a refused connection proves that its process ended.
 ///
-/// The manager calls within 50 ms of the end; the rest allows for packets sent again.
-const CLOSED_WITHIN: Duration = Duration::from_secs(1);
-/// How late after its decision a grant may be begun: a process that was frozen in between has an older
-/// lease than it knew. A VM that is slowed down eight times takes some 0.3 s to begin sixty calls.
-const DECISION_VALID: Duration = Duration::from_millis(400);
-/// The most bytes of an answer to a grant or release.
-const ANSWER_BYTES: usize = 64 * 1024;
-/// The targets of one service, also those that leave; those of an evacuated failure domain have to.
-pub(super) fn targets(fleet: &Fleet, service: &str) -> Vec<Target> {
+/// The manager calls within 50 ms of the end; the rest allows for retransmitted packets.
+const MAX_CLOSE_AGE: Duration = Duration::from_secs(1);
+/// How long after its decision a grant may be sent: if the process was frozen in between, its lease may
+/// have expired. A VM that is slowed down eight times takes some 0.3 s to begin sixty calls.
+const MAX_DECISION_AGE: Duration = Duration::from_millis(400);
+/// The most bytes of a response to a grant or release.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+
+/// Returns the targets of one service; those in an evacuated failure domain count as draining.
+pub(super) fn targets_of(fleet: &Fleet, service: &str) -> Vec<Target> {
     let of_service = fleet.targets.values().filter(|it| it.service == service);
-    let seen = of_service.map(|it| Target {
+    let targets = of_service.map(|it| Target {
         leaving: it.leaving || fleet.is_evacuated(&it.domain),
         ..it.clone()
     });
-    seen.collect()
+    targets.collect()
 }
 
-/// Until when targets of a service bear few requests; none of a service whose cold targets have no bound.
-pub(super) fn warming(fleet: &Fleet, service: &str) -> IndexMap<TargetId, Duration> {
+/// Returns until when targets of a service are in warm-up; none if the service has no warm-up limit.
+pub(super) fn warming_targets(fleet: &Fleet, service: &str) -> IndexMap<TargetId, Duration> {
     let config = fleet.config.as_ref();
-    let known = config.and_then(|it| it.services.get(service));
-    if known.is_none_or(|it| it.warmup.is_none()) {
+    let configured = config.and_then(|it| it.services.get(service));
+    if configured.is_none_or(|it| it.warmup.is_none()) {
         return IndexMap::new();
     }
     let of_service = |id: &TargetId| {
@@ -62,21 +63,21 @@
     cold.map(|(id, until)| (id.clone(), *until)).collect()
 }
 
-/// How long this VM waits before it bids: the strongest processors go first, ties by a hash of the start.
+/// Returns how long this VM waits before it bids: VMs with more CPU first, then by a hash of the process start.
 ///
-/// The manager hears all others and renews all grants: one with too little processor loses its lease over it.
-pub(super) fn rank(fleet: &Fleet, own: &Vm) -> Duration {
-    let rank = |vm: &Vm| {
+/// The manager answers all other VMs and renews all grants; with too little CPU it fails to renew its lease.
+pub(super) fn bid_delay(fleet: &Fleet, own: &Vm) -> Duration {
+    let priority = |vm: &Vm| {
         let hash = xxhash_rust::xxh3::xxh3_64(vm.start.as_bytes());
         (Reverse(vm.capacity_millicores), hash)
     };
-    let mine = rank(own);
-    let before = fleet.vms.values().filter(|vm| rank(vm) < mine).count();
+    let mine = priority(own);
+    let before = fleet.vms.values().filter(|vm| priority(vm) < mine).count();
     let steps = u32::try_from(before).unwrap_or(u32::MAX);
-    BID_STEP.saturating_mul(steps).min(BID_LATEST)
+    BID_STEP.saturating_mul(steps).min(MAX_BID_DELAY)
 }
 
-/// Takes a lease and writes the manager's entry under it, if there is none.
+/// Takes a lease and writes the manager's entry under it; returns none if there is an entry already.
 pub(super) async fn bid(context: &Context, span: Duration) -> Result<Option<Lease>, Error> {
     let lease = context.store.lease(span).await?;
     let key = context.keys.manager();
@@ -95,18 +96,18 @@
     }
 }
 
-/// Removes the manager's entry if it is that of an earlier process of this VM; returns whether it was.
+/// Removes the manager's entry if an earlier process of this VM wrote it; returns whether that was so.
 ///
-/// That process has ended, or this one couldn't run in its place. Its lease would keep others from bidding for
-/// seconds.
-pub(super) async fn clear_earlier(context: &Context) -> Result<bool, Error> {
+/// That process has ended, or this one couldn't run in its place. Its lease would keep all VMs from bidding
+/// for seconds.
+pub(super) async fn remove_stale_entry(context: &Context) -> Result<bool, Error> {
     let key = context.keys.manager();
     let item = context.store.get(&key).await?;
-    let of_earlier = |item: &Item| {
+    let is_stale = |item: &Item| {
         let manager = Vm::decode(&item.value);
         manager.is_some_and(|vm| vm.name == context.vm.name && vm.start != context.vm.start)
     };
-    let Some(item) = item.filter(of_earlier) else {
+    let Some(item) = item.filter(is_stale) else {
         return Ok(false);
     };
     let transaction = Transaction {
@@ -118,30 +119,30 @@
     Ok(matches!(commit, Commit::Done(_)))
 }
 
-/// Sends a grant or release and tells how it ended.
-pub(super) async fn send(
+/// Sends a grant or release and returns its outcome.
+pub(super) async fn send_command(
     context: &Context,
     service: &str,
-    order: &OwnershipCommand,
+    command: &OwnershipCommand,
     grant: bool,
 ) -> CallOutcome {
-    let age = context.clock.now().saturating_sub(order.decided_at);
-    if grant && age > DECISION_VALID {
+    let age = context.clock.now().saturating_sub(command.decided_at);
+    if grant && age > MAX_DECISION_AGE {
         context.report.line(&format!(
             "event=grant-dropped service={service} target={} from={} to={} fence={} age_ms={}",
-            order.owner.id,
-            order.from,
-            order.to,
-            order.fence,
+            command.owner.id,
+            command.from,
+            command.to,
+            command.fence,
             age.as_millis()
         ));
         return CallOutcome::Unsent;
     }
     let (call, timeout, name) = if grant {
-        let call = context.targets.grant(order);
+        let call = context.targets.grant(command);
         (call, GRANT_TIMEOUT, "grant")
     } else {
-        (context.targets.release(order), RELEASE_TIMEOUT, "release")
+        (context.targets.release(command), RELEASE_TIMEOUT, "release")
     };
     let mut request = Request::new(Body::from(call.body));
     *request.method_mut() = call.method;
@@ -150,44 +151,44 @@
     let started = context.clock.now();
     let result = context
         .client
-        .send(order.owner.address, request, timeout)
+        .send(command.owner.address, request, timeout)
         .await;
-    let ending = match result {
+    let outcome = match result {
         Ok(response) => {
-            let (head, rest) = response.into_parts();
-            let ending = context.targets.call_result(head.status, &head.headers);
-            // Read to its end so that the connection can be used again.
-            let _ = body::read(rest, ANSWER_BYTES).await;
-            ending
+            let (head, response_body) = response.into_parts();
+            let outcome = context.targets.call_result(head.status, &head.headers);
+            // The body is read to its end so that the connection can be reused.
+            let _ = body::read(response_body, MAX_RESPONSE_BYTES).await;
+            outcome
         }
         Err(error) => {
-            let closed = context.client.last_closed(order.owner.address);
-            let ending = classify(&error, closed, context.clock.now());
+            let closed = context.client.last_closed(command.owner.address);
+            let outcome = classify(&error, closed, context.clock.now());
             context.report.line(&format!(
-                "event={name}-failed service={service} target={} from={} to={} fence={} ending={ending:?} {error}",
-                order.owner.id, order.from, order.to, order.fence
+                "event={name}-failed service={service} target={} from={} to={} fence={} ending={outcome:?} {error}",
+                command.owner.id, command.from, command.to, command.fence
             ));
-            ending
+            outcome
         }
     };
     let took = context.clock.now().saturating_sub(started);
     context.report.time(name, took, &[("service", service)]);
-    if !matches!(ending, CallOutcome::Done(_)) {
+    if !matches!(outcome, CallOutcome::Done(_)) {
         context
             .report
             .count("grant.failed", &[("service", service)]);
     }
-    ending
+    outcome
 }
 
-/// Tells what a failed call means for the grant that it may have carried.
+/// Returns what a failed call says about the grant that it may have delivered.
 ///
-/// A refusal alone may come from a path that is cut while the target works on. Only together with
-/// the orderly end of a connection in use, which no path sends, does it prove that the process has
-/// ended.
+/// A refused connection alone may come from a broken network path while the target still runs. Only together
+/// with the orderly close of an open connection, which no network path sends, does it prove that the process
+/// has ended.
 fn classify(error: &client::Error, closed: Option<Duration>, now: Duration) -> CallOutcome {
-    let lately = closed.is_some_and(|at| now.saturating_sub(at) <= CLOSED_WITHIN);
-    if error.is_refused() && lately {
+    let recently = closed.is_some_and(|at| now.saturating_sub(at) <= MAX_CLOSE_AGE);
+    if error.is_refused() && recently {
         CallOutcome::Gone
     } else if error.unsent() {
         CallOutcome::Unsent
@@ -196,8 +197,8 @@
     }
 }
 
-/// The rates to which targets ask to be held, of those that do.
-pub(super) fn held(
+/// Returns the rate limits that targets of a list ask for, in requests a second.
+pub(super) fn rate_limits(
     rates: &IndexMap<TargetHash, Rate>,
     targets: &[Target],
 ) -> IndexMap<TargetId, Rate> {
@@ -208,8 +209,8 @@
     targets.iter().filter_map(rate).collect()
 }
 
-/// The time that one request takes, in seconds, at each target of which it is known.
-pub(super) fn measured(times: &ServiceTimes, targets: &[Target]) -> IndexMap<TargetId, f64> {
+/// Returns the time that one request takes, in seconds, at each target for which it is known.
+pub(super) fn service_times(times: &ServiceTimes, targets: &[Target]) -> IndexMap<TargetId, f64> {
     let time = |target: &Target| {
         let mean = times.mean(catalogue::hash(&target.id))?;
         Some((target.id.clone(), mean))
--- a/engine/src/owner/events.rs
+++ b/engine/src/owner/events.rs
@@ -1,29 +1,29 @@
-//! What goes into a keeper and what it wants done.
+//! The events, effects and timing of the ownership state machine.
 
 use std::{net::SocketAddr, time::Duration};
 
 use super::record::{Fence, Incarnation, Record, RequestKey};
 use crate::catalogue::Target;
 
-/// Spans by which a keeper works.
+/// The durations that ownership of a service works by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// How long the manager's lease lasts.
     pub lease: Duration,
-    /// How long a grant holds.
+    /// How long a grant lasts.
     pub grant_duration: Duration,
-    /// How long a grant holds while the manager can't renew its lease.
+    /// How long a grant lasts while the manager can't renew its lease.
     pub outage_duration: Duration,
-    /// The time from one renewal to the next.
+    /// The time from one renewal of a grant to the next.
     pub renew_interval: Duration,
-    /// How long after the end of a manager's lease its last grant may hold.
+    /// How long after the end of a manager's lease its last grant may expire.
     pub latest_expiry: Duration,
 }
 
 /// A grant or release to be sent to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnershipCommand {
-    /// To which life of a target.
+    /// The incarnation of the target that it is sent to.
     pub owner: Incarnation,
     /// The first key.
     pub from: RequestKey,
@@ -31,65 +31,65 @@
     pub to: RequestKey,
     /// The fence.
     pub fence: Fence,
-    /// How long a grant holds; zero for a release.
+    /// How long a grant lasts; zero for a release.
     pub grant_duration: Duration,
-    /// When it was decided.
+    /// When the manager decided to send it.
     pub decided_at: Duration,
-    /// What the last owner handed over, for a grant.
+    /// For a grant: what the previous owner returned at its release.
     pub handover: Option<String>,
 }
 
-/// How a call to a target ended.
+/// The outcome of a call to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was done; a release may bring a handover.
+    /// The target did it; a release may return a handover for the next owner.
     Done(Option<String>),
     /// The target has seen a higher fence.
     Fenced,
-    /// That life of the target has ended.
+    /// That incarnation of the target has ended.
     Gone,
     /// Nothing was sent.
     Unsent,
-    /// It got no answer, and can't arrive any more.
+    /// No response came in time; the call may have arrived, but can't arrive any more.
     Silent,
 }
 
-/// What happens to a keeper.
+/// An input of the ownership state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// These lives of targets are announced.
+    /// These targets are announced now.
     Targets(Vec<Target>),
-    /// A grant ended.
+    /// The call of a grant for the range that begins at this key ended.
     GrantEnded(RequestKey, CallOutcome),
-    /// A release ended.
+    /// The call of a release for the range that begins at this key ended.
     ReleaseEnded(RequestKey, CallOutcome),
-    /// A commit ended: the record stands at this revision.
+    /// The last commit took effect.
     Committed,
-    /// A commit failed and did not take effect; it is to be made again.
+    /// The last commit failed and did not take effect; it has to be made again.
     CommitFailed,
-    /// The manager's lease holds until then, by this VM's clock.
+    /// The manager's lease lasts until this time of this VM's clock.
     LeaseExtended(Duration),
-    /// A target at this address has closed a connection in use: its process may have ended.
+    /// The target at this address has closed an open connection: its process may have ended.
     ConnectionClosed(SocketAddr),
-    /// The manager before this one has stopped; its last grants may be under way.
+    /// The manager of the previous term has stopped; its last grants may still be in flight.
     PredecessorStopped,
-    /// Requests ran on these keys.
+    /// Counts of new requests by key.
     Load(Vec<(RequestKey, u32)>),
     /// Time passed.
     Tick,
 }
 
-/// What a keeper wants done.
+/// An action that the caller of the ownership state machine has to take.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a grant.
     Grant(OwnershipCommand),
     /// Send a release.
     Release(OwnershipCommand),
-    /// Write the record under the condition that it has not changed.
+    /// Write the record if the stored one has not changed.
     Commit(Record),
-    /// Another manager has taken over; nothing more may be sent.
+    /// Another manager has taken over; nothing more may be sent for this service.
     Deposed,
-    /// A belief changed: for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/engine/src/owner/load.rs
+++ b/engine/src/owner/load.rs
@@ -1,21 +1,22 @@
-//! How busy each key is, forgotten with time.
+//! Request rates of keys, from counts that decay exponentially.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use super::record::RequestKey;
 
-/// The times in which a key's two counts lose half their weight.
+/// The half-lives of a key's slow and fast count, in seconds.
 ///
-/// The slow one is steady for keys with two requests a second; the fast one shows within half a
-/// second that a key has become busy.
-const HALF_LIVES: [f64; 2] = [3.0, 0.6];
-/// The least fast count that is believed: below, chance alone makes keys look busy.
-const FAST_LEAST: f64 = 6.0;
-/// The least time over which a rate is taken.
-const SPAN_LEAST: Duration = Duration::from_millis(200);
-/// What is dropped as nothing, in requests.
-const NOTHING: f64 = 0.02;
+/// The slow count is steady for keys with two requests a second; the fast one shows within half a second that
+/// a key has become hot.
+const HALF_LIVES_S: [f64; 2] = [3.0, 0.6];
+/// The least fast count that is used: below it, chance alone makes keys look hot.
+const MIN_FAST_COUNT: f64 = 6.0;
+/// The shortest time over which a rate is computed.
+const MIN_SPAN: Duration = Duration::from_millis(200);
+/// Keys with a lower slow count are dropped, in requests.
+const DROP_BELOW: f64 = 0.02;
 
+/// The decaying counts of one key, in requests.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     slow: f64,
@@ -23,17 +24,17 @@
 }
 
 impl Counts {
-    /// The rate in requests a second, over so many seconds.
+    /// Returns the rate in requests a second; `spans` are the seconds that each count covers.
     fn rate(self, spans: [f64; 2]) -> f64 {
         let slow = self.slow / spans[0];
-        if self.fast < FAST_LEAST {
+        if self.fast < MIN_FAST_COUNT {
             return slow;
         }
         slow.max(self.fast / spans[1])
     }
 }
 
-/// Rates of requests by key.
+/// Request rates by key.
 ///
 /// # Example
 ///
@@ -53,12 +54,13 @@
 pub struct Load {
     counts: BTreeMap<RequestKey, Counts>,
     /// When the first request was counted.
-    since: Option<Duration>,
-    at: Duration,
+    first_at: Option<Duration>,
+    /// When the counts last decayed.
+    decayed_at: Duration,
 }
 
 impl Load {
-    /// Adds counts of requests by key, as of now.
+    /// Adds counts of requests by key and decays the older ones.
     ///
     /// # Example
     ///
@@ -67,34 +69,34 @@
     where
         I: IntoIterator<Item = (RequestKey, u32)>,
     {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        if passed > 0.0 {
-            self.at = now;
-            let kept = HALF_LIVES.map(|half| (-passed / half).exp2());
+        let elapsed = now.saturating_sub(self.decayed_at).as_secs_f64();
+        if elapsed > 0.0 {
+            self.decayed_at = now;
+            let decay = HALF_LIVES_S.map(|half| (-elapsed / half).exp2());
             self.counts.retain(|_, counts| {
-                counts.slow *= kept[0];
-                counts.fast *= kept[1];
-                counts.slow > NOTHING
+                counts.slow *= decay[0];
+                counts.fast *= decay[1];
+                counts.slow > DROP_BELOW
             });
         }
-        for (point, count) in counts {
-            self.since.get_or_insert(now);
-            let entry = self.counts.entry(point).or_default();
+        for (key, count) in counts {
+            self.first_at.get_or_insert(now);
+            let entry = self.counts.entry(key).or_default();
             entry.slow += f64::from(count);
             entry.fast += f64::from(count);
         }
     }
 
-    /// The time over which each count adds up, in seconds: less than its mean life at first.
+    /// Returns the time that each count covers, in seconds: less than its mean lifetime at first.
     fn spans(&self) -> [f64; 2] {
-        let passed = self
-            .since
-            .map_or(Duration::ZERO, |since| self.at.saturating_sub(since));
-        let passed = passed.max(SPAN_LEAST).as_secs_f64();
-        HALF_LIVES.map(|half| half / std::f64::consts::LN_2 * (1.0 - (-passed / half).exp2()))
+        let elapsed = self.first_at.map_or(Duration::ZERO, |first_at| {
+            self.decayed_at.saturating_sub(first_at)
+        });
+        let elapsed = elapsed.max(MIN_SPAN).as_secs_f64();
+        HALF_LIVES_S.map(|half| half / std::f64::consts::LN_2 * (1.0 - (-elapsed / half).exp2()))
     }
 
-    /// Returns how many requests were counted, less those forgotten.
+    /// Returns how many requests were counted, less those that have decayed.
     ///
     /// # Example
     ///
@@ -119,14 +121,14 @@
     pub fn rate(&self, from: RequestKey, to: RequestKey) -> f64 {
         let range = self.counts.range(from..=to);
         let spans = self.spans();
-        // A sum of nothing is negative zero, which reads oddly in logs.
+        // An empty sum is negative zero; adding zero keeps "-0.0" out of the logs.
         range.map(|(_, counts)| counts.rate(spans)).sum::<f64>() + 0.0
     }
 
-    /// Returns the same load with no key above a rate.
+    /// Returns the same load with each key's rate limited to `max_rate` requests a second.
     ///
-    /// What callers ask of one key beyond what any target can do is refused wherever the key lies, so
-    /// it says nothing of where other keys should lie.
+    /// Requests for one key beyond what any target can serve are refused whichever target owns the key, so they
+    /// must not influence which target owns other keys.
     ///
     /// # Example
     ///
@@ -142,18 +144,18 @@
     /// assert!((capped.rate(8, 8) - load.rate(8, 8)).abs() < 0.1);
     /// ```
     #[must_use]
-    pub fn capped(&self, most: f64) -> Self {
+    pub fn capped(&self, max_rate: f64) -> Self {
         let spans = self.spans();
         let mut capped = self.clone();
         for counts in capped.counts.values_mut() {
-            let part = (most / counts.rate(spans)).min(1.0);
-            counts.slow *= part;
-            counts.fast *= part;
+            let factor = (max_rate / counts.rate(spans)).min(1.0);
+            counts.slow *= factor;
+            counts.fast *= factor;
         }
         capped
     }
 
-    /// Returns the busy keys of a range with their rates, in order.
+    /// Returns the keys of a range that have load, with their rates in requests a second, in key order.
     ///
     /// # Example
     ///
@@ -171,7 +173,7 @@
         let spans = self.spans();
         let range = self.counts.range(from..=to);
         range
-            .map(|(point, counts)| (*point, counts.rate(spans)))
+            .map(|(key, counts)| (*key, counts.rate(spans)))
             .collect()
     }
 }
--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -27,7 +27,7 @@
         }
         let due = *self
             .bid_due
-            .get_or_insert_with(|| now + calls::rank(&fleet, &self.context.vm));
+            .get_or_insert_with(|| now + calls::bid_delay(&fleet, &self.context.vm));
         if now < due {
             return;
         }
@@ -58,7 +58,7 @@
         self.clear_due = now + BID_PAUSE;
         let context = self.context.clone();
         compio::runtime::spawn(async move {
-            let outcome = match calls::clear_earlier(&context).await {
+            let outcome = match calls::remove_stale_entry(&context).await {
                 Ok(cleared) => format!("cleared={cleared}"),
                 Err(error) => format!("{error}"),
             };
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -296,7 +296,7 @@
         let (context, sender) = (self.context.clone(), self.sender.clone());
         let service = service.to_owned();
         compio::runtime::spawn(async move {
-            let ending = calls::send(&context, &service, &order, grant).await;
+            let ending = calls::send_command(&context, &service, &order, grant).await;
             let _ =
                 sender.unbounded_send(Message::Called(service, term, order.from, grant, ending));
         })
--- a/engine/src/owner/manager/updates.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -33,9 +33,9 @@
             return;
         };
         let fleet = self.context.shared_fleet.get();
-        let targets = calls::targets(&fleet, service);
-        let times = calls::measured(&self.times, &targets);
-        let rates = calls::held(&self.rates, &targets);
+        let targets = calls::targets_of(&fleet, service);
+        let times = calls::service_times(&self.times, &targets);
+        let rates = calls::rate_limits(&self.rates, &targets);
         if let Some(kept) = self.kept.get_mut(service) {
             kept.keeper.set_service_times(times);
             kept.keeper.set_rate_limits(rates);
@@ -98,9 +98,10 @@
     /// Shows a keeper the targets of its service.
     pub(super) fn show_targets(&mut self, fleet: &Fleet, service: &str) {
         if let Some(kept) = self.kept.get_mut(service) {
-            kept.keeper.set_warming(calls::warming(fleet, service));
+            kept.keeper
+                .set_warming(calls::warming_targets(fleet, service));
         }
-        self.feed(service, Event::Targets(calls::targets(fleet, service)));
+        self.feed(service, Event::Targets(calls::targets_of(fleet, service)));
     }
 
     /// Stops at once when another start is known to be the manager.
--- a/engine/src/owner/mod.rs
+++ b/engine/src/owner/mod.rs
@@ -1,8 +1,9 @@
-//! Who owns which keys, decided by one manager and kept in the platform's store.
+//! Decides which target owns which keys, and keeps the decision in the platform's store.
 //!
-//! A *record* for each service names the owner of every range with its fence. [`ownership`] decides
-//! what is recorded, granted and released; [`balance`] decides which keys move; [`manager`] runs
-//! both on the VM that holds the manager's lease.
+//! One VM, the manager, decides for all. A *record* for each service names the owner and the fencing
+//! token of every range of keys. [`ownership`] decides what is recorded, granted and released;
+//! [`balance`] and [`redistribution`] decide which keys move; [`manager`] runs them on the VM that
+//! holds the manager's lease.
 
 pub mod balance;
 mod calls;
--- a/engine/src/owner/packed.rs
+++ b/engine/src/owner/packed.rs
@@ -1,23 +1,23 @@
-//! A record as it is stored and relayed: each owner once, and ranges by their widths.
+//! The compact form in which a record is stored and relayed: a table of owners, and ranges by their widths.
 //!
-//! A record goes to each VM at each change, so its size counts: an owner has many ranges, and its
-//! id and address would be most of the bytes.
+//! A record is sent to each VM at each change, so its size matters: an owner has many ranges, and its id and
+//! address would be most of the bytes.
 
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
 use super::record::{Error, Fence, Incarnation, KeyRange, Record, RequestKey, Term};
 
-/// A range; it begins where the one before it ends.
+/// A range; it begins after the end of the previous one.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct PackedRange {
     width: u64,
     fence: Fence,
-    /// The owner's place in the table.
+    /// The owner's index in the table.
     owner: Option<usize>,
 }
 
-/// A record's stored form.
+/// The stored form of a record.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Packed {
     term: Term,
@@ -33,10 +33,13 @@
 impl From<&Record> for Packed {
     fn from(record: &Record) -> Self {
         let mut owners: IndexSet<&Incarnation> = IndexSet::new();
-        let ranges = record.ranges.iter().map(|part| PackedRange {
-            width: part.width(),
-            fence: part.fence,
-            owner: part.owner.as_ref().map(|life| owners.insert_full(life).0),
+        let ranges = record.ranges.iter().map(|range| PackedRange {
+            width: range.width(),
+            fence: range.fence,
+            owner: range
+                .owner
+                .as_ref()
+                .map(|incarnation| owners.insert_full(incarnation).0),
         });
         let ranges = ranges.collect();
         Self {
@@ -56,23 +59,27 @@
     ///
     /// # Errors
     ///
-    /// [`Error::InvalidRange`] when a range has no width, goes beyond the last number, or names no owner
-    /// of the table.
+    /// [`Error::InvalidRange`] when a range has no width, exceeds the largest key, or names an owner that isn't in
+    /// the table.
     pub(super) fn unpack(self) -> Result<Record, Error> {
         let mut from: RequestKey = 0;
         let mut ranges = Vec::with_capacity(self.ranges.len());
-        for (place, part) in self.ranges.iter().enumerate() {
-            let last = part.width.checked_sub(1);
+        for (position, range) in self.ranges.iter().enumerate() {
+            let last = range.width.checked_sub(1);
             let to = last.and_then(|last| from.checked_add(last));
-            let to = to.ok_or(Error::InvalidRange(place))?;
-            let owner = match part.owner {
-                Some(index) => Some(self.owners.get(index).ok_or(Error::InvalidRange(place))?),
+            let to = to.ok_or(Error::InvalidRange(position))?;
+            let owner = match range.owner {
+                Some(index) => Some(
+                    self.owners
+                        .get(index)
+                        .ok_or(Error::InvalidRange(position))?,
+                ),
                 None => None,
             };
             ranges.push(KeyRange {
                 from,
                 to,
-                fence: part.fence,
+                fence: range.fence,
                 owner: owner.cloned(),
             });
             from = to.saturating_add(1);
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -1,4 +1,6 @@
-//! The record of one service's ranges, as it is kept in the store.
+//! The record of one service: its ranges of keys with their owners, as kept in the store.
+//!
+//! It is written by the manager only, by compare-and-swap, and sent to every VM.
 
 use std::net::SocketAddr;
 
@@ -8,55 +10,55 @@
 use super::packed::Packed;
 use crate::catalogue::{StartTime, Target, TargetId};
 
-/// A key's place.
+/// The number of a key, by which requests and ranges refer to it.
 pub type RequestKey = u64;
 /// A fencing token; a target refuses a grant below one that it has seen.
 pub type Fence = u64;
-/// A manager's turn; each takeover adds one.
+/// The number of a manager among all managers of a service; each takeover adds one.
 pub type Term = u64;
 
-/// How many low bits of a fence count within a term: 16 million changes a term.
+/// How many low bits of a fence count within a term; they allow 16 million changes.
 const COUNTER_BITS: u32 = 24;
 
 quick_error! {
     /// Why a record can't be read.
     #[derive(Debug)]
     pub enum Error {
-        /// The bytes are no record.
+        /// The bytes don't decode as a record.
         Unreadable(cause: rmp_serde::decode::Error) {
             display("step=decode peer=record cause={cause}")
             source(cause)
         }
-        /// A range is empty or has an owner that isn't there.
-        InvalidRange(place: usize) {
-            display("step=decode peer=record cause=range {place} is unsound")
+        /// The range at this index is empty, exceeds the last key or names an owner that isn't in the table.
+        InvalidRange(index: usize) {
+            display("step=decode peer=record cause=range {index} is empty, exceeds the last key or has an unknown owner")
         }
     }
 }
 
-/// One life of a target, as an owner.
+/// One incarnation of a target, that is one run of its process, as an owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Incarnation {
     /// The target's id.
     pub id: TargetId,
-    /// When the life began.
+    /// When this incarnation started.
     #[serde(rename = "born")]
     pub start_time: StartTime,
-    /// Where it answers.
+    /// The address at which it serves.
     pub address: SocketAddr,
 }
 
 impl Incarnation {
-    /// Returns the life that a target announced.
+    /// Returns the incarnation that a target announced.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier_engine::owner::record::Incarnation;
     ///
-    /// let life = Incarnation { id: "a".into(), start_time: 1, address: "127.0.0.1:1".parse().unwrap() };
-    /// assert_eq!(life, life.clone());
+    /// let incarnation = Incarnation { id: "a".into(), start_time: 1, address: "127.0.0.1:1".parse().unwrap() };
+    /// assert_eq!(incarnation, incarnation.clone());
     /// ```
     pub fn of(target: &Target) -> Self {
         Self {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Returns whether a target announced this life.
+    /// Returns whether a target announced this incarnation.
     ///
     /// # Example
     ///
@@ -97,8 +99,8 @@
     /// ```
     /// use bramleypier_engine::owner::record::KeyRange;
     ///
-    /// let part = KeyRange { from: 4, to: 7, fence: 1, owner: None };
-    /// assert_eq!(part.width(), 4);
+    /// let range = KeyRange { from: 4, to: 7, fence: 1, owner: None };
+    /// assert_eq!(range.width(), 4);
     /// ```
     pub fn width(&self) -> u64 {
         self.to - self.from + 1
@@ -108,22 +110,22 @@
 /// All ranges of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Record {
-    /// The manager's turn.
+    /// The term of the manager that wrote it.
     pub term: Term,
-    /// The start of a process that is the manager.
+    /// The process start of that manager, which identifies it.
     pub manager: String,
-    /// Whether that manager has stopped for good and renews nothing any more.
+    /// Whether that manager has stopped for good and renews no grant any more.
     pub resigned: bool,
     /// How many fences this term has used.
     pub counter: u64,
     /// The ranges in order; they cover all keys.
     pub ranges: Vec<KeyRange>,
-    /// Whether all managers of earlier terms have stopped for good.
+    /// Whether all managers of earlier terms are known to have stopped for good.
     pub settled: bool,
 }
 
 impl Record {
-    /// Creates the record of a service nobody has owned yet.
+    /// Creates the record of a service whose keys have never had an owner; its keys are 0 to `last`.
     ///
     /// # Example
     ///
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Returns the next fence, two above the last: the one between is for releases.
+    /// Returns the next fence, which is two above the last: the number between them is for a release.
     ///
     /// # Example
     ///
@@ -170,12 +172,12 @@
     /// assert_eq!(Record::unowned(9).find(3).unwrap().to, 9);
     /// assert!(Record::unowned(9).find(10).is_none());
     /// ```
-    pub fn find(&self, point: RequestKey) -> Option<&KeyRange> {
-        let index = self.ranges.partition_point(|part| part.to < point);
-        self.ranges.get(index).filter(|part| part.from <= point)
+    pub fn find(&self, key: RequestKey) -> Option<&KeyRange> {
+        let index = self.ranges.partition_point(|range| range.to < key);
+        self.ranges.get(index).filter(|range| range.from <= key)
     }
 
-    /// Cuts ranges so that one begins at `from` and one ends at `to`.
+    /// Splits ranges so that one begins at `from` and one ends at `to`.
     ///
     /// The pieces keep owner and fence.
     ///
@@ -186,28 +188,28 @@
     ///
     /// let mut record = Record::unowned(9);
     /// record.split(3, 5);
-    /// let bounds: Vec<_> = record.ranges.iter().map(|part| (part.from, part.to)).collect();
+    /// let bounds: Vec<_> = record.ranges.iter().map(|range| (range.from, range.to)).collect();
     /// assert_eq!(bounds, [(0, 2), (3, 5), (6, 9)]);
     /// ```
     pub fn split(&mut self, from: RequestKey, to: RequestKey) {
-        self.cut_before(from);
+        self.split_before(from);
         if let Some(next) = to.checked_add(1) {
-            self.cut_before(next);
+            self.split_before(next);
         }
     }
 
-    fn cut_before(&mut self, point: RequestKey) {
-        let index = self.ranges.partition_point(|part| part.to < point);
-        let Some(part) = self.ranges.get_mut(index) else {
+    fn split_before(&mut self, key: RequestKey) {
+        let index = self.ranges.partition_point(|range| range.to < key);
+        let Some(range) = self.ranges.get_mut(index) else {
             return;
         };
-        if part.from >= point {
+        if range.from >= key {
             return;
         }
-        let mut rest = part.clone();
-        rest.from = point;
-        part.to = point - 1;
-        self.ranges.insert(index + 1, rest);
+        let mut upper = range.clone();
+        upper.from = key;
+        range.to = key - 1;
+        self.ranges.insert(index + 1, upper);
     }
 
     /// Encodes the record for the store.
@@ -221,7 +223,7 @@
     /// assert_eq!(Record::decode(&record.encode()).unwrap(), record);
     /// ```
     pub fn encode(&self) -> Vec<u8> {
-        // Records hold numbers and text only, which always encode.
+        // Encoding can't fail: a record holds numbers and text only.
         rmp_serde::to_vec(&Packed::from(self)).unwrap_or_default()
     }
 
@@ -229,7 +231,7 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] when the bytes are no record, [`Error::InvalidRange`] when it makes no sense.
+    /// [`Error::Unreadable`] when the bytes don't decode, [`Error::InvalidRange`] when a range is invalid.
     ///
     /// # Example
     ///
--- a/engine/src/owner/service_times.rs
+++ b/engine/src/owner/service_times.rs
@@ -1,39 +1,42 @@
-//! How long one request takes at each target, as all VMs measured it lately.
+//! The service time of each target: how long one request takes there, as all VMs measured it recently.
 //!
-//! Load pattern: two in five targets of a service turn twelve times slower at one moment. A target with two
-//! slots answers three requests a second then, so an average over sixty would take it for twice as slow after
-//! three seconds, and busy keys would stay.
+//! Load pattern: two in five targets of a service become twelve times slower at the same moment. A target with
+//! two slots then answers three requests a second, so an average over sixty requests would show it as only twice
+//! as slow after three seconds, and hot keys would stay there. The average therefore drops old values early when
+//! new ones differ much.
 
 use std::{collections::HashMap, time::Duration};
 
 use crate::catalogue::TargetHash;
 
-/// The time in which older measurements lose half their weight against newer ones.
+/// The time in which a measurement loses half its weight.
 ///
-/// A target that does 17 requests a second is known by some hundred of them, to within a twentieth: with
-/// one second instead of four, the scatter alone moved a third more keys.
+/// The mean of a target that serves 17 requests a second then rests on some hundred of them and is exact to 5 %;
+/// with one second instead of four, the scatter alone moved a third more keys.
 const HALF_LIFE: Duration = Duration::from_secs(4);
-/// From which factor on, up or down, a measurement makes the older ones lose half their weight.
+/// The factor, up or down, by which an outlier differs from the mean; two outliers in a row halve the weight
+/// of all older measurements.
 ///
-/// One request in a hundred takes five times as long as usual, so one counts for nothing; two in a row
-/// are a target that has turned slow.
-const SURPRISE: f64 = 3.5;
-/// From how many measurements on a target's time counts as known: single times scatter by a third.
-const LEAST: u32 = 12;
+/// One request in a hundred takes five times as long as usual, so a single outlier has no effect; two in a row
+/// mean that the target has become slow.
+const OUTLIER_FACTOR: f64 = 3.5;
+/// How many measurements a target's mean needs: single times scatter by a third.
+const MIN_COUNT: u32 = 12;
 
+/// The weighted average of one target.
 #[derive(Clone, Copy, Debug, Default)]
-struct Total {
+struct Average {
     /// The weighted sum, in seconds.
     sum: f64,
     weight: f64,
-    /// How many were ever taken in.
+    /// How many measurements were ever added.
     count: u32,
-    /// Whether the last one differed by [`SURPRISE`].
-    surprised: bool,
-    at: Duration,
+    /// Whether the last measurement differed from the mean by [`OUTLIER_FACTOR`].
+    was_outlier: bool,
+    updated_at: Duration,
 }
 
-/// ServiceTimes that one request takes, without waiting, by target.
+/// Service times by target, without the time in a queue.
 ///
 /// # Example
 ///
@@ -48,39 +51,40 @@
 /// assert_eq!(times.mean(8), None);
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct ServiceTimes(HashMap<TargetHash, Total>);
+pub struct ServiceTimes(HashMap<TargetHash, Average>);
 
 impl ServiceTimes {
-    /// Takes in the sum in seconds and the count of some measurements.
+    /// Adds measurements of a target, given as their sum in seconds and their count.
     ///
     /// # Example
     ///
     /// See [`ServiceTimes`].
     pub fn add(&mut self, now: Duration, target: TargetHash, sum: f64, count: u32) {
-        let total = self.0.entry(target).or_default();
-        let passed = now.saturating_sub(total.at).as_secs_f64();
-        let mut kept = (-passed / HALF_LIFE.as_secs_f64()).exp2();
-        let ratio = sum * total.weight / (total.sum * f64::from(count)).max(f64::MIN_POSITIVE);
-        let surprises = total.count >= LEAST && !(SURPRISE.recip()..SURPRISE).contains(&ratio);
-        if surprises && total.surprised {
-            kept /= 2.0;
+        let average = self.0.entry(target).or_default();
+        let elapsed = now.saturating_sub(average.updated_at).as_secs_f64();
+        let mut decay = (-elapsed / HALF_LIFE.as_secs_f64()).exp2();
+        let ratio = sum * average.weight / (average.sum * f64::from(count)).max(f64::MIN_POSITIVE);
+        let is_outlier = average.count >= MIN_COUNT
+            && !(OUTLIER_FACTOR.recip()..OUTLIER_FACTOR).contains(&ratio);
+        if is_outlier && average.was_outlier {
+            decay /= 2.0;
         }
-        total.surprised = surprises;
-        total.sum = total.sum * kept + sum;
-        total.weight = total.weight * kept + f64::from(count);
-        total.count = total.count.saturating_add(count);
-        total.at = now;
+        average.was_outlier = is_outlier;
+        average.sum = average.sum * decay + sum;
+        average.weight = average.weight * decay + f64::from(count);
+        average.count = average.count.saturating_add(count);
+        average.updated_at = now;
     }
 
-    /// Returns the time that one request takes at a target, in seconds, if that is known.
+    /// Returns the mean service time of a target in seconds, if enough was measured.
     ///
-    /// It stays known while nothing new is measured.
+    /// It stays the same while nothing new is measured.
     ///
     /// # Example
     ///
     /// See [`ServiceTimes`].
     pub fn mean(&self, target: TargetHash) -> Option<f64> {
-        let total = self.0.get(&target)?;
-        (total.count >= LEAST).then(|| (total.sum / total.weight).max(0.001))
+        let average = self.0.get(&target)?;
+        (average.count >= MIN_COUNT).then(|| (average.sum / average.weight).max(0.001))
     }
 }
--- a/engine/src/owner/tally.rs
+++ b/engine/src/owner/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of requests by key, between two reports to the manager.
+//! Counts this VM's requests by key between two sync requests to the manager.
 
 use std::{cell::RefCell, collections::HashMap, rc::Rc};
 
@@ -27,16 +27,16 @@
     /// # Example
     ///
     /// See [`Tally`].
-    pub fn count(&self, service: &str, point: RequestKey) {
+    pub fn count(&self, service: &str, key: RequestKey) {
         let mut counts = self.0.borrow_mut();
         if let Some(keys) = counts.get_mut(service) {
-            *keys.entry(point).or_default() += 1;
+            *keys.entry(key).or_default() += 1;
         } else {
-            counts.insert(service.to_owned(), [(point, 1)].into());
+            counts.insert(service.to_owned(), [(key, 1)].into());
         }
     }
 
-    /// Takes all counts.
+    /// Returns all counts and resets them.
     ///
     /// # Example
     ///
