--- a/engine/src/owner/ownership/call_outcomes.rs
+++ b/engine/src/owner/ownership/call_outcomes.rs
@@ -1,170 +1,177 @@
-//! What a call's answer, or its lack, says of ranges and lives.
+//! What the outcome of a grant or release says about its range and about its owner.
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::{AGAIN, CallOutcome, Effect, ServiceOwnership};
+use super::{CallOutcome, Effect, RETRY_PAUSE, ServiceOwnership};
 use crate::owner::{range_state::Phase, record::RequestKey};
 
-/// How many grants in a row may go unanswered until only releases are tried.
+/// After how many grants in a row without a response only releases are sent.
 ///
-/// With three in ten unanswered, six in a row are one in 1,400.
-const SILENCES: u32 = 6;
+/// With three responses in ten lost, six lost in a row happen once in 1,400 times.
+const MAX_UNANSWERED: u32 = 6;
 
-/// How long a life that lost its ranges by silence or death gets no others.
+/// How long an incarnation that lost ranges by not responding or by its end gets no others.
 ///
-/// A target that is dark stays announced for a while, and each range given to it waits for nothing;
-/// one that starts again is another life and counts at once.
-const SHUN: Duration = Duration::from_secs(10);
+/// An unresponsive target stays announced for a while, and requests for each range given to it would wait in
+/// vain; a target that restarts is another incarnation and may own ranges at once.
+const AVOID_TIME: Duration = Duration::from_secs(10);
 
 impl ServiceOwnership {
-    pub(super) fn granted(
+    /// Handles the outcome of a grant for the range that begins at `from`.
+    pub(super) fn grant_ended(
         &mut self,
         now: Duration,
         from: RequestKey,
-        ending: &CallOutcome,
+        outcome: &CallOutcome,
         out: &mut Vec<Effect>,
     ) {
-        let (usual, renew) = (self.timing.grant_duration, self.timing.renew_interval);
-        let Some(live) = self.live.get_mut(&from) else {
+        let (usual, renew_interval) = (self.timing.grant_duration, self.timing.renew_interval);
+        let Some(state) = self.states.get_mut(&from) else {
             return;
         };
-        live.busy = false;
-        live.due = now + AGAIN;
-        if *ending != CallOutcome::Unsent {
-            live.unsent = 0;
+        state.in_flight = false;
+        state.next_call = now + RETRY_PAUSE;
+        if *outcome != CallOutcome::Unsent {
+            state.unsent = 0;
         }
-        match ending {
+        match outcome {
             CallOutcome::Done(_) => {
-                live.confirmed = true;
-                live.extend(now);
-                live.silences = 0;
-                live.handover = None;
-                // One that was silent has got a shorter hold.
-                let shorter = usual.saturating_sub(live.grant_duration);
-                live.due = now + renew.saturating_sub(shorter);
+                state.confirmed = true;
+                state.extend_expiry(now);
+                state.unanswered = 0;
+                state.handover = None;
+                // An owner that was unresponsive got a shorter grant, so the next one is due earlier.
+                let shorter = usual.saturating_sub(state.grant_duration);
+                state.next_call = now + renew_interval.saturating_sub(shorter);
             }
             CallOutcome::Fenced => {
                 self.stopped = true;
                 out.push(Effect::Deposed);
             }
-            CallOutcome::Gone => self.bury_all(now, from, out),
-            CallOutcome::Unsent => live.unsent += 1,
+            CallOutcome::Gone => self.on_process_ended(now, from, out),
+            CallOutcome::Unsent => state.unsent += 1,
             CallOutcome::Silent => {
-                live.extend(now);
-                live.silences += 1;
-                live.unsent = 0;
-                if live.silences >= SILENCES && live.phase == Phase::Held {
-                    live.phase = Phase::Releasing(None);
+                state.extend_expiry(now);
+                state.unanswered += 1;
+                state.unsent = 0;
+                if state.unanswered >= MAX_UNANSWERED && state.phase == Phase::Owned {
+                    state.phase = Phase::Releasing(None);
                     out.push(Effect::Log(format!("event=grant-silent from={from}")));
                 }
             }
         }
     }
 
-    pub(super) fn released(
+    /// Handles the outcome of a release for the range that begins at `from`.
+    pub(super) fn release_ended(
         &mut self,
         now: Duration,
         from: RequestKey,
-        ending: CallOutcome,
+        outcome: CallOutcome,
         out: &mut Vec<Effect>,
     ) {
-        let Some(live) = self.live.get_mut(&from) else {
+        let Some(state) = self.states.get_mut(&from) else {
             return;
         };
-        live.busy = false;
-        live.due = now + AGAIN;
-        match ending {
+        state.in_flight = false;
+        state.next_call = now + RETRY_PAUSE;
+        match outcome {
             CallOutcome::Done(handover) => {
-                let to = match &live.phase {
+                let to = match &state.phase {
                     Phase::Releasing(to) => to.clone(),
-                    Phase::Held | Phase::Free(_) => None,
+                    Phase::Owned | Phase::Free(_) => None,
                 };
-                live.phase = Phase::Free(to);
-                live.handover = handover;
-                live.until = None;
-                live.silences = 0;
-                live.unsent = 0;
+                state.phase = Phase::Free(to);
+                state.handover = handover;
+                state.expires_at = None;
+                state.unanswered = 0;
+                state.unsent = 0;
             }
-            CallOutcome::Gone => self.bury_all(now, from, out),
-            // A release extends no hold; the hold runs out meanwhile.
+            CallOutcome::Gone => self.on_process_ended(now, from, out),
+            // A release doesn't extend a grant; the grant expires meanwhile.
             CallOutcome::Fenced => {}
-            CallOutcome::Unsent => live.unsent += 1,
-            CallOutcome::Silent => live.silences += 1,
+            CallOutcome::Unsent => state.unsent += 1,
+            CallOutcome::Silent => state.unanswered += 1,
         }
     }
 
-    /// Makes grants to the owners at an address due at once: their answers tell whether they live.
+    /// Makes the grants to an owner at an address due at once, to learn whether its process still runs.
     ///
-    /// Keys of a target that has ended are without an owner for some 0.1 s instead of up to a whole
-    /// time between renewals.
-    pub(super) fn hurry(&mut self, now: Duration, address: SocketAddr) {
-        for part in &self.record.ranges {
-            let owned = part.owner.as_ref().is_some_and(|it| it.address == address);
-            if let Some(live) = self.live.get_mut(&part.from).filter(|_| owned) {
-                live.due = live.due.min(now);
+    /// The keys of a target that has ended are then without an owner for some 0.1 s instead of up to a whole renewal
+    /// interval.
+    pub(super) fn on_connection_closed(&mut self, now: Duration, address: SocketAddr) {
+        for range in &self.record.ranges {
+            let owned = range.owner.as_ref().is_some_and(|it| it.address == address);
+            if let Some(state) = self.states.get_mut(&range.from).filter(|_| owned) {
+                state.next_call = state.next_call.min(now);
             }
         }
     }
 
-    /// The owner of a range has ended, and with it the hold of each range that it owned.
-    fn bury_all(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
-        let owner = self.record.find(from).and_then(|part| part.owner.clone());
-        let its = self.record.ranges.iter().filter(|part| part.owner == owner);
-        // What a call is under way for is settled by that call's end.
-        let idle = its.filter(|part| {
-            let live = self.live.get(&part.from);
-            live.is_some_and(|live| !live.busy && !matches!(live.phase, Phase::Free(_)))
+    /// Ends the ownership of all ranges of an owner whose process has ended; `from` is in one of them.
+    fn on_process_ended(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
+        let owner = self.record.find(from).and_then(|range| range.owner.clone());
+        let owned = self
+            .record
+            .ranges
+            .iter()
+            .filter(|range| range.owner == owner);
+        // A range with a call in flight is handled when that call ends.
+        let idle = owned.filter(|range| {
+            let state = self.states.get(&range.from);
+            state.is_some_and(|state| !state.in_flight && !matches!(state.phase, Phase::Free(_)))
         });
-        let lost: Vec<RequestKey> = idle.map(|part| part.from).collect();
+        let lost: Vec<RequestKey> = idle.map(|range| range.from).collect();
         for from in lost {
-            self.bury(now, from, out);
+            self.end_owner(now, from, out);
         }
     }
 
-    /// A range's owner has ended. Its next life could be granted the range by an earlier manager.
-    fn bury(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
-        if self.earlier.is_over(now) {
-            return self.lose(now, from, "its life ended", out);
+    /// Frees a range whose owner has ended, unless an earlier manager could grant it to the owner's next
+    /// incarnation.
+    fn end_owner(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
+        if self.predecessors.have_stopped(now) {
+            return self.free_range(now, from, "its process ended", out);
         }
-        let Some(live) = self.live.get_mut(&from) else {
+        let Some(state) = self.states.get_mut(&from) else {
             return;
         };
-        live.confirmed = false;
-        live.inherited = true;
-        live.until = Some(now);
-        if live.phase == Phase::Held {
-            live.phase = Phase::Releasing(None);
+        state.confirmed = false;
+        state.inherited = true;
+        state.expires_at = Some(now);
+        if state.phase == Phase::Owned {
+            state.phase = Phase::Releasing(None);
             out.push(Effect::Log(format!(
                 "event=range-waits from={from} cause=\"an earlier manager may still grant\""
             )));
         }
     }
 
-    /// Frees a range whose owner can't hold it any more.
-    pub(super) fn lose(
+    /// Frees a range whose owner can't have a valid grant any more.
+    pub(super) fn free_range(
         &mut self,
         now: Duration,
         from: RequestKey,
-        why: &str,
+        cause: &str,
         out: &mut Vec<Effect>,
     ) {
-        let Some(live) = self.live.get_mut(&from) else {
+        let Some(state) = self.states.get_mut(&from) else {
             return;
         };
-        let to = match &live.phase {
+        let to = match &state.phase {
             Phase::Releasing(to) => to.clone(),
-            Phase::Held | Phase::Free(_) => None,
+            Phase::Owned | Phase::Free(_) => None,
         };
-        live.phase = Phase::Free(to);
-        live.until = None;
-        live.handover = None;
-        let owner = self.record.find(from).and_then(|part| part.owner.clone());
+        state.phase = Phase::Free(to);
+        state.expires_at = None;
+        state.handover = None;
+        let owner = self.record.find(from).and_then(|range| range.owner.clone());
         if let Some(owner) = owner {
             out.push(Effect::Log(format!(
-                "event=range-lost from={from} owner={} cause=\"{why}\"",
+                "event=range-lost from={from} owner={} cause=\"{cause}\"",
                 owner.id
             )));
-            self.shunned.insert(owner, now + SHUN);
+            self.avoided.insert(owner, now + AVOID_TIME);
         }
     }
 }
--- a/engine/src/owner/ownership/commit.rs
+++ b/engine/src/owner/ownership/commit.rs
@@ -1,28 +1,29 @@
-//! How the record changes: takeover, new owners, and what a commit makes true.
+//! Changes of the record: the takeover, new owners, and what takes effect once a commit has succeeded.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 
-use super::{AGAIN, Effect, ServiceOwnership};
+use super::{Effect, RETRY_PAUSE, ServiceOwnership};
 use crate::owner::{
     balance::{self, Candidate, Move},
-    range_state::{Live, Phase, lasting},
+    range_state::{Phase, RangeState, worst_case_duration},
     record::{Fence, Incarnation, KeyRange, Record, RequestKey},
 };
 
-/// The longest pause between two tries of a commit: each call to a store that is down is paid for.
-const COMMIT_PAUSE_MOST: Duration = Duration::from_millis(1200);
+/// The longest pause between two attempts of a commit: each call to a store that is down costs some time.
+const MAX_COMMIT_BACKOFF: Duration = Duration::from_millis(1200);
 
-/// How long the first assignment waits for more targets to announce themselves.
+/// How long the first assignment waits for more targets to be announced.
 ///
-/// All processes of a fleet start within some 0.3 s; a later target costs moves.
-const GATHER: Duration = Duration::from_millis(1500);
+/// All processes of a fleet start within some 0.3 s; each target that is announced later needs keys moved to it.
+const TARGET_WAIT: Duration = Duration::from_millis(1500);
 
-/// What a commit under way will change.
+/// A commit that is being written, and what it changes.
 #[derive(Clone, Debug)]
-pub(super) struct Pending {
+pub(super) struct PendingCommit {
     pub(super) record: Record,
+    /// The fence of the moved ranges.
     pub(super) fence: Fence,
     pub(super) moves: Vec<Move>,
     /// Whether this is the first commit of the term.
@@ -30,121 +31,141 @@
 }
 
 impl ServiceOwnership {
-    pub(super) fn retry_commit(&mut self, now: Duration) {
-        self.commit_due = Some(now + self.commit_pause);
-        self.commit_pause = (self.commit_pause * 2).min(COMMIT_PAUSE_MOST);
+    /// Schedules a retry of the commit with exponential backoff.
+    pub(super) fn on_commit_failed(&mut self, now: Duration) {
+        self.commit_retry_at = Some(now + self.commit_backoff);
+        self.commit_backoff = (self.commit_backoff * 2).min(MAX_COMMIT_BACKOFF);
     }
 
-    pub(super) fn committed(&mut self, now: Duration) {
-        self.commit_due = None;
-        self.commit_pause = AGAIN;
+    /// Applies the commit that has succeeded.
+    pub(super) fn on_committed(&mut self, now: Duration) {
+        self.commit_retry_at = None;
+        self.commit_backoff = RETRY_PAUSE;
         let Some(pending) = self.pending.take() else {
             return;
         };
         if pending.takeover {
             self.record = pending.record;
-            // The earlier manager may have been alone just now.
-            let alone = now + lasting(self.timing.outage_duration);
-            let until = alone.min(self.earlier.holds());
-            let live = self.record.ranges.iter().map(|part| {
-                let live = match part.owner {
-                    Some(_) => Live {
+            // The earlier manager may have sent grants of the longer duration until just now.
+            let longest = now + worst_case_duration(self.timing.outage_duration);
+            let expires_at = longest.min(self.predecessors.latest_expiry());
+            let states = self.record.ranges.iter().map(|range| {
+                let state = match range.owner {
+                    Some(_) => RangeState {
                         inherited: true,
-                        ..Live::held(now, Some(until), None)
+                        ..RangeState::owned(now, Some(expires_at), None)
                     },
-                    None => Live::free(),
+                    None => RangeState::free(),
                 };
-                (part.from, live)
+                (range.from, state)
             });
-            self.live = live.collect();
+            self.states = states.collect();
             return;
         }
         self.record.settled = pending.record.settled;
         for it in &pending.moves {
-            self.settle(now, it, pending.fence);
+            self.apply_move(now, it, pending.fence);
         }
-        join(&mut self.record, &mut self.live);
+        merge_adjacent(&mut self.record, &mut self.states);
     }
 
-    /// Makes a move of a commit that has taken effect live.
-    fn settle(&mut self, now: Duration, it: &Move, fence: Fence) {
-        let origin = self.record.find(it.from).map_or(it.from, |part| part.from);
+    /// Applies one move of a commit that has succeeded: its range gets the new owner and its grant is due.
+    fn apply_move(&mut self, now: Duration, it: &Move, fence: Fence) {
+        let origin = self
+            .record
+            .find(it.from)
+            .map_or(it.from, |range| range.from);
         let handover = self
-            .live
+            .states
             .get(&origin)
-            .and_then(|live| live.handover.clone());
-        assign(&mut self.record, it, fence);
-        for part in &self.record.ranges {
-            if !self.live.contains_key(&part.from) {
-                let rest = self.live.get(&origin).cloned().unwrap_or_else(Live::free);
-                self.live.insert(part.from, rest);
+            .and_then(|state| state.handover.clone());
+        set_owner(&mut self.record, it, fence);
+        for range in &self.record.ranges {
+            if !self.states.contains_key(&range.from) {
+                let state = self
+                    .states
+                    .get(&origin)
+                    .cloned()
+                    .unwrap_or_else(RangeState::free);
+                self.states.insert(range.from, state);
             }
         }
-        self.live.insert(it.from, Live::held(now, None, handover));
+        self.states
+            .insert(it.from, RangeState::owned(now, None, handover));
     }
 
-    /// Writes owners for ranges that nobody holds.
-    pub(super) fn reassign(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        if let Some(due) = self.commit_due {
-            if let Some(pending) = self.pending.as_ref().filter(|_| now >= due) {
+    /// Commits owners for free ranges, or retries a failed commit.
+    pub(super) fn assign_free(&mut self, now: Duration, out: &mut Vec<Effect>) {
+        if let Some(retry_at) = self.commit_retry_at {
+            if let Some(pending) = self.pending.as_ref().filter(|_| now >= retry_at) {
                 out.push(Effect::Commit(pending.record.clone()));
-                self.commit_due = None;
+                self.commit_retry_at = None;
             }
             return;
         }
-        let first = self.record.ranges.iter().all(|part| part.owner.is_none());
-        let gathering = first && now < self.started + GATHER;
-        if self.pending.is_some() || gathering {
+        let first = self.record.ranges.iter().all(|range| range.owner.is_none());
+        let waiting = first && now < self.started_at + TARGET_WAIT;
+        if self.pending.is_some() || waiting {
             return;
         }
-        if !first && !self.record.settled && self.earlier.is_over(now) {
-            let next = self.next(now, Vec::new());
+        if !first && !self.record.settled && self.predecessors.have_stopped(now) {
+            let next = self.next_commit(now, Vec::new());
             out.push(Effect::Commit(next.record.clone()));
             self.pending = Some(next);
             return;
         }
-        let is_free = |part: &&KeyRange| self.live.get(&part.from).is_some_and(Live::is_free);
+        let is_free = |range: &&KeyRange| {
+            self.states
+                .get(&range.from)
+                .is_some_and(RangeState::is_free)
+        };
         let free: Vec<KeyRange> = self.record.ranges.iter().filter(is_free).cloned().collect();
-        let holders = self.holders(now);
-        if free.is_empty() || holders.is_empty() {
+        let candidates = self.candidates(now);
+        if free.is_empty() || candidates.is_empty() {
             return;
         }
         let mut moves = Vec::new();
-        let mut open = Vec::new();
-        for part in free {
-            match self.intended(&part, &holders) {
+        let mut unassigned = Vec::new();
+        for range in free {
+            match self.intended_owner(&range, &candidates) {
                 Some(owner) => moves.push(Move {
-                    from: part.from,
-                    to: part.to,
+                    from: range.from,
+                    to: range.to,
                     owner,
                 }),
-                None => open.push(part),
+                None => unassigned.push(range),
             }
         }
-        moves.extend(balance::assign(&self.record, &open, &holders, &self.load));
-        let next = self.next(now, moves);
+        moves.extend(balance::assign(
+            &self.record,
+            &unassigned,
+            &candidates,
+            &self.load,
+        ));
+        let next = self.next_commit(now, moves);
         out.push(Effect::Commit(next.record.clone()));
         self.pending = Some(next);
     }
 
-    fn intended(&self, part: &KeyRange, holders: &[Candidate]) -> Option<Incarnation> {
-        let Phase::Free(Some(life)) = &self.live.get(&part.from)?.phase else {
+    /// Returns the owner that was chosen for a free range, if it may still own keys.
+    fn intended_owner(&self, range: &KeyRange, candidates: &[Candidate]) -> Option<Incarnation> {
+        let Phase::Free(Some(incarnation)) = &self.states.get(&range.from)?.phase else {
             return None;
         };
-        let known = holders.iter().any(|it| it.incarnation == *life);
-        known.then(|| life.clone())
+        let known = candidates.iter().any(|it| it.incarnation == *incarnation);
+        known.then(|| incarnation.clone())
     }
 
-    /// Builds the record after some moves.
-    fn next(&mut self, now: Duration, moves: Vec<Move>) -> Pending {
-        // The counter moves here too, so that no fence is given out twice.
+    /// Builds the commit of some moves.
+    fn next_commit(&mut self, now: Duration, moves: Vec<Move>) -> PendingCommit {
+        // The fence is taken from the current record, whose counter advances, so that no fence is used twice.
         let fence = self.record.next_fence();
         let mut record = self.record.clone();
-        record.settled = self.earlier.is_over(now);
+        record.settled = self.predecessors.have_stopped(now);
         for it in &moves {
-            assign(&mut record, it, fence);
+            set_owner(&mut record, it, fence);
         }
-        Pending {
+        PendingCommit {
             record,
             fence,
             moves,
@@ -153,16 +174,16 @@
     }
 }
 
-/// Gives a range of a record to another owner.
-fn assign(record: &mut Record, it: &Move, fence: Fence) {
+/// Sets the owner and the fence of a range of a record.
+fn set_owner(record: &mut Record, it: &Move, fence: Fence) {
     record.split(it.from, it.to);
-    if let Some(part) = record.ranges.iter_mut().find(|part| part.from == it.from) {
-        part.fence = fence;
-        part.owner = Some(it.owner.clone());
+    if let Some(range) = record.ranges.iter_mut().find(|range| range.from == it.from) {
+        range.fence = fence;
+        range.owner = Some(it.owner.clone());
     }
 }
 
-/// The record of the term after `earlier`: the same owners, every fence raised.
+/// Returns the record of the term after `earlier`: the same owners, with every fence raised.
 pub(super) fn successor(earlier: Record, manager: &str) -> Record {
     let mut record = Record {
         term: earlier.term + 1,
@@ -174,37 +195,45 @@
     };
     let fence = record.next_fence();
     let mut ranges: Vec<KeyRange> = Vec::new();
-    for mut part in record.ranges {
-        part.fence = fence;
+    for mut range in record.ranges {
+        range.fence = fence;
         match ranges.last_mut() {
-            Some(last) if last.owner == part.owner => last.to = part.to,
-            _ => ranges.push(part),
+            Some(last) if last.owner == range.owner => last.to = range.to,
+            _ => ranges.push(range),
         }
     }
     Record { ranges, ..record }
 }
 
-/// Joins neighbours that are alike in owner and fence and that nothing is under way for.
-fn join(record: &mut Record, live: &mut IndexMap<RequestKey, Live>) {
-    let calm = |live: Option<&Live>| live.is_some_and(|it| it.phase == Phase::Held && !it.busy);
+/// Merges adjacent ranges with the same owner and fence for which no call or handover is pending.
+fn merge_adjacent(record: &mut Record, states: &mut IndexMap<RequestKey, RangeState>) {
+    let is_steady = |state: Option<&RangeState>| {
+        state.is_some_and(|it| it.phase == Phase::Owned && !it.in_flight)
+    };
     let mut ranges: Vec<KeyRange> = Vec::new();
-    for part in record.ranges.drain(..) {
-        let alike = ranges.last().is_some_and(|last| {
-            let same = last.owner == part.owner && last.fence == part.fence;
-            let fresh = live.get(&last.from).is_some_and(|it| it.handover.is_none())
-                && live.get(&part.from).is_some_and(|it| it.handover.is_none());
-            same && fresh && calm(live.get(&last.from)) && calm(live.get(&part.from))
+    for range in record.ranges.drain(..) {
+        let mergeable = ranges.last().is_some_and(|last| {
+            let same = last.owner == range.owner && last.fence == range.fence;
+            let no_handover = states
+                .get(&last.from)
+                .is_some_and(|it| it.handover.is_none())
+                && states
+                    .get(&range.from)
+                    .is_some_and(|it| it.handover.is_none());
+            same && no_handover
+                && is_steady(states.get(&last.from))
+                && is_steady(states.get(&range.from))
         });
-        if let Some(last) = ranges.last_mut().filter(|_| alike) {
-            last.to = part.to;
-            let gone = live.shift_remove(&part.from);
-            if let (Some(kept), Some(gone)) = (live.get_mut(&last.from), gone) {
-                kept.until = kept.until.max(gone.until);
-                kept.confirmed &= gone.confirmed;
-                kept.due = kept.due.min(gone.due);
+        if let Some(last) = ranges.last_mut().filter(|_| mergeable) {
+            last.to = range.to;
+            let removed = states.shift_remove(&range.from);
+            if let (Some(kept), Some(removed)) = (states.get_mut(&last.from), removed) {
+                kept.expires_at = kept.expires_at.max(removed.expires_at);
+                kept.confirmed &= removed.confirmed;
+                kept.next_call = kept.next_call.min(removed.next_call);
             }
         } else {
-            ranges.push(part);
+            ranges.push(range);
         }
     }
     record.ranges = ranges;
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -1,22 +1,23 @@
-//! What a manager records, grants and releases for one service; free of I/O.
+//! The state machine by which a manager records, grants and releases the ranges of one service; free of I/O.
 //!
 //! The rules, and what each protects against:
 //!
-//! - An owner and its fence stand in the store before the first grant at that fence leaves, and the
-//!   record changes only by compare-and-swap. So a manager that was replaced unawares can only
-//!   renew pairs that once stood there.
-//! - A takeover raises every fence. The owners stay; earlier managers are refused by each target
-//!   that has heard of the new fence.
-//! - A range gets a new owner only once nobody can hold it: its owner has confirmed the release,
-//!   or that life of it has ended, or the last grant that can have arrived has run out. A shorter
-//!   grant doesn't end a longer one.
-//! - A manager that can't renew its lease goes on granting, with holds that all end by
-//!   [`Timing::horizon`] after the lease. A successor reckons with such grants, unless every manager
-//!   before it is known to have stopped; the end of the last one alone says nothing of those that
-//!   it had not waited for itself ([`Record::settled`]).
-//! - The next life of a target knows no fence, and an earlier manager could grant to it. So the end
-//!   of a life counts only once no earlier manager is left, or once the next life was fenced.
-//! - A grant without an answer may have arrived until the moment at which its connection was reset.
+//! - An owner and its fence are in the store before the first grant with that fence is sent, and the record
+//!   changes only by compare-and-swap. So a manager that was replaced without noticing can only renew grants
+//!   of owners and fences that were once in the store.
+//! - A takeover raises every fence and keeps the owners. Each target that has received the new fence refuses
+//!   earlier managers.
+//! - A range gets a new owner only once no target can have a valid grant for it: its owner has confirmed the
+//!   release, or that incarnation of the owner has ended, or the last grant that may have arrived has expired.
+//!   A shorter grant doesn't end a longer one.
+//! - A manager that can't renew its lease continues to grant, and all these grants expire by
+//!   [`Timing::latest_expiry`] after the end of the lease. A successor waits for them, unless every manager
+//!   before it is known to have stopped. The end of the previous manager alone says nothing about managers
+//!   for which that one had not waited itself ([`Record::settled`]).
+//! - The next incarnation of a target knows no fence, and an earlier manager could grant to it. So the end of an
+//!   incarnation frees its ranges only once all earlier managers have stopped, or once the next incarnation has
+//!   seen a higher fence.
+//! - A grant without a response may have arrived until the moment at which its connection was reset.
 
 mod call_outcomes;
 mod commit;
@@ -27,11 +28,11 @@
 
 use indexmap::IndexMap;
 
-use self::{commit::Pending, moves::Rested, predecessors::Earlier};
+use self::{commit::PendingCommit, moves::Cooldown, predecessors::Predecessors};
 pub use super::events::{CallOutcome, Effect, Event, OwnershipCommand, Timing};
 use super::{
     load::Load,
-    range_state::{Live, Phase, shrunk},
+    range_state::{Phase, RangeState, longest_grant_within},
     record::{Incarnation, Record, RequestKey, Term},
 };
 use crate::{
@@ -39,22 +40,22 @@
     target::Rate,
 };
 
-/// The shortest hold that is worth a grant: a renewal takes up to its timeout of 0.4 s.
-const HOLD_LEAST: Duration = Duration::from_millis(500);
-/// The hold of the first grant to an owner, which may have turned dark unnoticed.
+/// The shortest grant that is sent near the end of the lease: a renewal takes up to its timeout of 0.4 s.
+const MIN_GRANT_DURATION: Duration = Duration::from_millis(500);
+/// The duration of the first grant to an owner, which may have become unresponsive unnoticed.
 ///
-/// It outlasts the call's timeout of 0.4 s, and no key that was moved to a dark target waits for longer.
-const HOLD_FIRST: Duration = Duration::from_millis(600);
-/// The shortest hold by which a silent owner is asked whether it answers again.
-const HOLD_ASKING: Duration = Duration::from_millis(200);
-/// How little of the lease may be left until grants hold for longer: two renewals are late then.
-const ALONE_PART: f64 = 0.4;
-/// The pause before a call that got no answer is made again.
-const AGAIN: Duration = Duration::from_millis(150);
-/// How long after its decision a grant may arrive: it is begun within 0.4 s, and given up after 0.4 s.
-const LAST_GRANTS: Duration = Duration::from_millis(800);
+/// It is longer than the call's timeout of 0.4 s, and no key that was moved to an unresponsive target waits longer.
+const FIRST_GRANT_DURATION: Duration = Duration::from_millis(600);
+/// The shortest grant that is sent to an unresponsive owner to learn whether it responds again.
+const MIN_PROBE_DURATION: Duration = Duration::from_millis(200);
+/// The remaining ratio of the lease below which grants get the longer duration: two renewals are late then.
+const OUTAGE_LEASE_RATIO: f64 = 0.4;
+/// The pause before a call without a response is retried.
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// How long after its decision a grant may arrive: it is sent within 0.4 s and times out after 0.4 s.
+const MAX_GRANT_DELAY: Duration = Duration::from_millis(800);
 
-/// The manager's state for one service.
+/// The manager's ownership state of one service.
 ///
 /// # Example
 ///
@@ -74,48 +75,53 @@
 ///     latest_expiry: Duration::from_secs(12),
 /// };
 /// let now = Duration::ZERO;
-/// let (mut keeper, effects) = ServiceOwnership::take_over("vm-1", Record::unowned(99), timing, now);
+/// let (mut ownership, effects) = ServiceOwnership::take_over("vm-1", Record::unowned(99), timing, now);
 /// assert!(matches!(&effects[..], [Effect::Commit(record)] if record.term == 1));
-/// assert!(keeper.on(now, Event::Committed).is_empty());
+/// assert!(ownership.on(now, Event::Committed).is_empty());
 /// ```
 #[derive(Debug)]
 pub struct ServiceOwnership {
     timing: Timing,
+    /// The record as last known to be in the store.
     record: Record,
-    /// The commit under way.
-    pending: Option<Pending>,
-    /// When a failed commit is made again.
-    commit_due: Option<Duration>,
-    /// How long to wait after the next failed commit.
-    commit_pause: Duration,
-    /// Until when the manager's lease holds.
-    lease: Duration,
+    /// The commit that is being written.
+    pending: Option<PendingCommit>,
+    /// When a failed commit is retried.
+    commit_retry_at: Option<Duration>,
+    /// How long to wait after the next failure of a commit.
+    commit_backoff: Duration,
+    /// When the manager's lease ends.
+    lease_until: Duration,
     /// Managers of earlier terms.
-    earlier: Earlier,
-    live: IndexMap<RequestKey, Live>,
+    predecessors: Predecessors,
+    /// The state of each range, by its first key.
+    states: IndexMap<RequestKey, RangeState>,
+    /// The targets that are announced now.
     targets: IndexMap<TargetId, Target>,
-    shunned: IndexMap<Incarnation, Duration>,
-    /// Until when targets bear few requests: they are cold.
+    /// Until when incarnations that failed get no ranges.
+    avoided: IndexMap<Incarnation, Duration>,
+    /// Until when targets are in warm-up.
     warming: IndexMap<TargetId, Duration>,
     load: Load,
-    /// The times that one request takes at targets, in seconds, as measured by those who send.
-    times: IndexMap<TargetId, f64>,
-    /// The rates to which targets ask to be held.
-    rates: IndexMap<TargetId, Rate>,
-    started: Duration,
-    balanced: Duration,
-    /// When keys were last dealt anew.
-    dealt: Duration,
-    /// Moves for balance whose keys are left alone.
-    moved: Vec<Rested>,
+    /// The time that one request takes at each target, in seconds, as measured by all VMs.
+    service_times: IndexMap<TargetId, f64>,
+    /// The rate limits that targets ask for.
+    rate_limits: IndexMap<TargetId, Rate>,
+    started_at: Duration,
+    /// When moves were last planned.
+    balanced_at: Duration,
+    /// When all keys were last redistributed.
+    redistributed_at: Duration,
+    /// Keys that moved recently.
+    cooldowns: Vec<Cooldown>,
+    /// Whether nothing more may be sent.
     stopped: bool,
 }
 
 impl ServiceOwnership {
-    /// Takes a service over from the manager that wrote `record`.
+    /// Takes a service over from the manager that wrote the record `earlier`.
     ///
-    /// The first effect writes the record for the new term; until [`Event::Committed`] nothing is
-    /// granted.
+    /// The first effect writes the record of the new term; nothing is granted until [`Event::Committed`].
     ///
     /// # Example
     ///
@@ -126,42 +132,42 @@
         timing: Timing,
         now: Duration,
     ) -> (Self, Vec<Effect>) {
-        let past = Earlier::of(&earlier, timing, now);
+        let earlier_managers = Predecessors::from_record(&earlier, timing, now);
         let record = Record {
-            settled: past.is_over(now),
+            settled: earlier_managers.have_stopped(now),
             ..commit::successor(earlier, manager)
         };
-        let pending = Pending {
+        let pending = PendingCommit {
             record: record.clone(),
             fence: 0,
             moves: Vec::new(),
             takeover: true,
         };
-        let keeper = Self {
+        let ownership = Self {
             timing,
             record: Record::default(),
             pending: Some(pending),
-            commit_due: None,
-            commit_pause: AGAIN,
-            lease: now,
-            earlier: past,
-            live: IndexMap::new(),
+            commit_retry_at: None,
+            commit_backoff: RETRY_PAUSE,
+            lease_until: now,
+            predecessors: earlier_managers,
+            states: IndexMap::new(),
             targets: IndexMap::new(),
-            shunned: IndexMap::new(),
+            avoided: IndexMap::new(),
             warming: IndexMap::new(),
             load: Load::default(),
-            times: IndexMap::new(),
-            rates: IndexMap::new(),
-            started: now,
-            balanced: now,
-            dealt: Duration::ZERO,
-            moved: Vec::new(),
+            service_times: IndexMap::new(),
+            rate_limits: IndexMap::new(),
+            started_at: now,
+            balanced_at: now,
+            redistributed_at: Duration::ZERO,
+            cooldowns: Vec::new(),
             stopped: false,
         };
-        (keeper, vec![Effect::Commit(record)])
+        (ownership, vec![Effect::Commit(record)])
     }
 
-    /// Returns the record as it was last known to stand in the store.
+    /// Returns the record as last known to be in the store.
     ///
     /// # Example
     ///
@@ -170,7 +176,7 @@
         &self.record
     }
 
-    /// Returns the term.
+    /// Returns the term, also while its first commit is being written.
     ///
     /// # Example
     ///
@@ -180,25 +186,25 @@
         pending.unwrap_or(self.record.term)
     }
 
-    /// Sets the times that one request takes at targets, in seconds.
+    /// Sets the time that one request takes at each target, in seconds.
     ///
     /// # Example
     ///
     /// See [`ServiceOwnership`].
     pub fn set_service_times(&mut self, times: IndexMap<TargetId, f64>) {
-        self.times = times;
+        self.service_times = times;
     }
 
-    /// Sets the rates to which targets ask to be held; such a target counts as able to do no more.
+    /// Sets the rate limits that targets ask for; the capacity of such a target is no higher than its limit.
     ///
     /// # Example
     ///
     /// See [`ServiceOwnership`].
     pub fn set_rate_limits(&mut self, rates: IndexMap<TargetId, Rate>) {
-        self.rates = rates;
+        self.rate_limits = rates;
     }
 
-    /// Sets until when targets bear few requests; they own keys only if there is no other.
+    /// Sets until when targets are in warm-up; such a target owns keys only if all targets are in warm-up.
     ///
     /// # Example
     ///
@@ -207,81 +213,82 @@
         self.warming = warming;
     }
 
-    /// Stops for good and returns the record that tells so, if it can be written now.
+    /// Stops for good and returns the record that says so, if it can be written now.
     ///
-    /// After this no grant leaves; the next manager need not wait for this one.
+    /// After this no grant is sent, and the next manager need not wait for this one.
     ///
     /// # Example
     ///
     /// See [`ServiceOwnership`].
     pub fn resign(&mut self, now: Duration) -> Option<Record> {
         self.stopped = true;
-        if self.pending.is_some() || self.live.values().any(|live| live.busy) {
+        if self.pending.is_some() || self.states.values().any(|state| state.in_flight) {
             return None;
         }
         let mut record = self.record.clone();
         record.resigned = true;
-        record.settled = self.earlier.is_over(now);
+        record.settled = self.predecessors.have_stopped(now);
         Some(record)
     }
 
-    /// Takes an event and returns what is to be done.
+    /// Handles an event and returns what is to be done.
     ///
     /// # Example
     ///
     /// See [`ServiceOwnership`].
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
-        let mut effects = Vec::new();
+        let mut out = Vec::new();
         match event {
-            Event::Targets(targets) => self.targets(targets),
-            Event::GrantEnded(from, ending) => self.granted(now, from, &ending, &mut effects),
-            Event::ReleaseEnded(from, ending) => self.released(now, from, ending, &mut effects),
-            Event::Committed => self.committed(now),
-            Event::CommitFailed => self.retry_commit(now),
-            Event::LeaseExtended(until) => self.lease = until,
-            Event::PredecessorStopped => self.earlier.on_stopped(now),
+            Event::Targets(targets) => self.set_targets(targets),
+            Event::GrantEnded(from, outcome) => self.grant_ended(now, from, &outcome, &mut out),
+            Event::ReleaseEnded(from, outcome) => self.release_ended(now, from, outcome, &mut out),
+            Event::Committed => self.on_committed(now),
+            Event::CommitFailed => self.on_commit_failed(now),
+            Event::LeaseExtended(until) => self.lease_until = until,
+            Event::PredecessorStopped => self.predecessors.on_stopped(now),
             Event::Load(counts) => self.load.add(now, counts),
-            Event::ConnectionClosed(address) => self.hurry(now, address),
+            Event::ConnectionClosed(address) => self.on_connection_closed(now, address),
             Event::Tick => {}
         }
         if !self.stopped {
-            self.free_lapsed(now, &mut effects);
-            self.empty_unfit(now, &mut effects);
-            self.balance(now, &mut effects);
-            self.reassign(now, &mut effects);
-            self.call(now, &mut effects);
+            self.free_expired(now, &mut out);
+            self.release_unsuitable(now, &mut out);
+            self.balance(now, &mut out);
+            self.assign_free(now, &mut out);
+            self.send_due_calls(now, &mut out);
         }
-        effects
+        out
     }
 
-    fn targets(&mut self, targets: Vec<Target>) {
+    fn set_targets(&mut self, targets: Vec<Target>) {
         let by_id = targets.into_iter().map(|it| (it.id.clone(), it));
         self.targets = by_id.collect();
     }
 
-    /// Returns when a range's last grant has run out for certain.
-    fn lapse(&self, live: &Live) -> Option<Duration> {
-        let until = live.until?;
-        if live.confirmed || !live.inherited {
+    /// Returns when the last grant of a range has surely expired; none if none was sent.
+    fn expiry(&self, state: &RangeState) -> Option<Duration> {
+        let until = state.expires_at?;
+        if state.confirmed || !state.inherited {
             return Some(until);
         }
-        Some(until.max(self.earlier.holds()))
+        Some(until.max(self.predecessors.latest_expiry()))
     }
 
-    fn free_lapsed(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let lapsed: Vec<RequestKey> = self
-            .live
+    /// Frees ranges whose grants have expired.
+    fn free_expired(&mut self, now: Duration, out: &mut Vec<Effect>) {
+        let expired: Vec<RequestKey> = self
+            .states
             .iter()
-            .filter(|(_, live)| !live.busy && !matches!(live.phase, Phase::Free(_)))
-            .filter(|(_, live)| match self.lapse(live) {
-                Some(lapse) => now >= lapse,
-                // Nothing was ever sent that arrived: whoever can't be reached twice is left.
-                None => live.unsent >= 2,
+            .filter(|(_, state)| !state.in_flight && !matches!(state.phase, Phase::Free(_)))
+            .filter(|(_, state)| match self.expiry(state) {
+                Some(expiry) => now >= expiry,
+                // No grant was ever delivered: the range is free after two calls that could not be sent.
+                None => state.unsent >= 2,
             })
             .map(|(from, _)| *from)
             .collect();
-        for from in lapsed {
-            self.lose(now, from, "no answer until its hold ran out", out);
+        for from in expired {
+            self.free_range(now, from, "no response before its last grant expired", out);
         }
     }
 
@@ -289,42 +296,46 @@
         self.warming.get(target).is_some_and(|until| now < *until)
     }
 
-    /// The owners that are to let go: they leave, are no longer announced, or are cold while others aren't.
-    fn unfit(&self, now: Duration) -> HashSet<Incarnation> {
+    /// Returns the owners that have to release their ranges: they are draining, no longer announced, or in
+    /// warm-up while another target isn't.
+    fn unsuitable_owners(&self, now: Duration) -> HashSet<Incarnation> {
         let ready = |it: &Target| !it.leaving;
         let warm = self
             .targets
             .values()
             .any(|it| ready(it) && !self.is_warming(now, &it.id));
         let owners = self.record.ranges.iter().filter_map(|it| it.owner.as_ref());
-        let stays = |owner: &Incarnation| {
+        let is_suitable = |owner: &Incarnation| {
             let target = self.targets.get(&owner.id);
-            let there = target.is_some_and(|it| owner.is_announced_by(it) && ready(it));
-            there && !(warm && self.is_warming(now, &owner.id))
+            let announced = target.is_some_and(|it| owner.is_announced_by(it) && ready(it));
+            announced && !(warm && self.is_warming(now, &owner.id))
         };
-        owners.filter(|owner| !stays(owner)).cloned().collect()
+        owners
+            .filter(|owner| !is_suitable(owner))
+            .cloned()
+            .collect()
     }
 
-    /// Asks owners to let go that are to.
-    fn empty_unfit(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let unfit = self.unfit(now);
-        for part in &self.record.ranges {
-            let Some(live) = self.live.get_mut(&part.from) else {
+    /// Begins the release of all ranges of unsuitable owners.
+    fn release_unsuitable(&mut self, now: Duration, out: &mut Vec<Effect>) {
+        let unsuitable_owners = self.unsuitable_owners(now);
+        for range in &self.record.ranges {
+            let Some(state) = self.states.get_mut(&range.from) else {
                 continue;
             };
-            let Some(owner) = &part.owner else {
+            let Some(owner) = &range.owner else {
                 continue;
             };
-            if live.phase != Phase::Held || live.busy {
+            if state.phase != Phase::Owned || state.in_flight {
                 continue;
             }
-            if unfit.contains(owner) {
-                live.phase = Phase::Releasing(None);
-                live.due = now;
+            if unsuitable_owners.contains(owner) {
+                state.phase = Phase::Releasing(None);
+                state.next_call = now;
                 out.push(Effect::Log(format!(
                     "event=release-begun from={} to={} owner={} announced={}",
-                    part.from,
-                    part.to,
+                    range.from,
+                    range.to,
                     owner.id,
                     self.targets.contains_key(&owner.id)
                 )));
@@ -332,76 +343,85 @@
         }
     }
 
-    /// Returns how long a grant that is sent now is to hold; none if it may not be sent.
+    /// Returns how long a grant that is sent now lasts; none if it may not be sent.
     ///
-    /// Without the store nobody can replace the manager, and when it goes too, keys are served only
-    /// until their holds run out: so these are longer then.
-    fn grant_duration(&self, now: Duration) -> Option<Duration> {
-        if now + self.timing.lease.mul_f64(ALONE_PART) < self.lease {
+    /// While the store is down nobody can replace the manager, and if the manager fails too, keys are served only
+    /// until their grants expire: so grants are longer then.
+    fn next_grant_duration(&self, now: Duration) -> Option<Duration> {
+        if now + self.timing.lease.mul_f64(OUTAGE_LEASE_RATIO) < self.lease_until {
             return Some(self.timing.grant_duration);
         }
-        let end = self.lease + self.timing.latest_expiry;
-        let left = end.saturating_sub(now + LAST_GRANTS);
-        let grant_duration = shrunk(left).min(self.timing.outage_duration);
-        (grant_duration >= HOLD_LEAST).then_some(grant_duration)
+        let end = self.lease_until + self.timing.latest_expiry;
+        let left = end.saturating_sub(now + MAX_GRANT_DELAY);
+        let grant_duration = longest_grant_within(left).min(self.timing.outage_duration);
+        (grant_duration >= MIN_GRANT_DURATION).then_some(grant_duration)
     }
 
-    /// Sends what is due: renewals of what is held, releases of what is to be let go.
-    fn call(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let grant_duration = self.grant_duration(now);
-        for part in &self.record.ranges {
-            let (Some(live), Some(owner)) = (self.live.get_mut(&part.from), &part.owner) else {
+    /// Sends the calls that are due: grants for owned ranges, releases for ranges in [`Phase::Releasing`].
+    fn send_due_calls(&mut self, now: Duration, out: &mut Vec<Effect>) {
+        let grant_duration = self.next_grant_duration(now);
+        for range in &self.record.ranges {
+            let (Some(state), Some(owner)) = (self.states.get_mut(&range.from), &range.owner)
+            else {
                 continue;
             };
-            if live.busy || now < live.due {
+            if state.in_flight || now < state.next_call {
                 continue;
             }
-            let order = |fence, grant_duration, handover| OwnershipCommand {
+            let command = |fence, grant_duration, handover| OwnershipCommand {
                 owner: owner.clone(),
-                from: part.from,
-                to: part.to,
+                from: range.from,
+                to: range.to,
                 fence,
                 grant_duration,
                 decided_at: now,
                 handover,
             };
-            let grant_duration =
-                grant_duration.and_then(|grant_duration| bounded(now, live, grant_duration));
-            if grant_duration.is_none() && live.phase == Phase::Held && live.is_silent() {
-                live.phase = Phase::Releasing(None);
+            let grant_duration = grant_duration
+                .and_then(|grant_duration| limit_grant_duration(now, state, grant_duration));
+            if grant_duration.is_none() && state.phase == Phase::Owned && state.is_unresponsive() {
+                state.phase = Phase::Releasing(None);
                 out.push(Effect::Log(format!(
                     "event=grant-silent from={}",
-                    part.from
+                    range.from
                 )));
             }
-            match (&live.phase, grant_duration) {
-                (Phase::Held, Some(grant_duration)) => {
-                    live.busy = true;
-                    live.grant_duration = grant_duration;
-                    let order = order(part.fence, grant_duration, live.handover.clone());
-                    out.push(Effect::Grant(order));
+            match (&state.phase, grant_duration) {
+                (Phase::Owned, Some(grant_duration)) => {
+                    state.in_flight = true;
+                    state.grant_duration = grant_duration;
+                    let command = command(range.fence, grant_duration, state.handover.clone());
+                    out.push(Effect::Grant(command));
                 }
                 (Phase::Releasing(_), _) => {
-                    live.busy = true;
-                    out.push(Effect::Release(order(part.fence + 1, Duration::ZERO, None)));
+                    state.in_flight = true;
+                    out.push(Effect::Release(command(
+                        range.fence + 1,
+                        Duration::ZERO,
+                        None,
+                    )));
                 }
-                (Phase::Held | Phase::Free(_), _) => {}
+                (Phase::Owned | Phase::Free(_), _) => {}
             }
         }
     }
 }
 
-/// Shortens a hold so that a silent owner gets none beyond the one that it may have, and a new owner a
-/// short one until it has answered.
+/// Shortens a grant: to an unresponsive owner it doesn't last beyond the one that the owner may have already, and
+/// to a new owner it is short until the owner has responded.
 ///
-/// A dark owner's range waits for the last grant that may have arrived: each one that is sent while it is
-/// silent makes it wait longer.
-fn bounded(now: Duration, live: &Live, grant_duration: Duration) -> Option<Duration> {
-    let until = match live.until {
-        None => return Some(grant_duration.min(HOLD_FIRST)),
-        Some(_) if !live.is_silent() => return Some(grant_duration),
+/// The range of an unresponsive owner is free only after the last grant that may have arrived: a longer grant
+/// that is sent meanwhile would delay that.
+fn limit_grant_duration(
+    now: Duration,
+    state: &RangeState,
+    grant_duration: Duration,
+) -> Option<Duration> {
+    let until = match state.expires_at {
+        None => return Some(grant_duration.min(FIRST_GRANT_DURATION)),
+        Some(_) if !state.is_unresponsive() => return Some(grant_duration),
         Some(until) => until,
     };
-    let left = shrunk(until.saturating_sub(now + LAST_GRANTS));
-    (left >= HOLD_ASKING).then(|| left.min(grant_duration))
+    let left = longest_grant_within(until.saturating_sub(now + MAX_GRANT_DELAY));
+    (left >= MIN_PROBE_DURATION).then(|| left.min(grant_duration))
 }
--- a/engine/src/owner/ownership/moves.rs
+++ b/engine/src/owner/ownership/moves.rs
@@ -1,4 +1,4 @@
-//! Which keys move for balance, and when.
+//! Which keys move to balance the load, and when.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -12,165 +12,193 @@
     owner::{
         balance::{self, Candidate, Move},
         load::Load,
-        range_state::{Live, Phase},
+        range_state::{Phase, RangeState},
         record::Incarnation,
         redistribution,
     },
     placement::rates,
 };
 
-/// The least time between two rounds of moves for balance: a move takes some 100 ms, and the counts
-/// that show its effect come every 40 ms.
-const BALANCE_PAUSE: Duration = Duration::from_millis(400);
+/// The least time between two rounds of moves: a move takes some 100 ms, and the counts that show its effect come
+/// every 40 ms.
+const BALANCE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long keys that have moved for balance are left alone: a busy key's requests wait at each
-/// move, and its new owner's power is known better after a few seconds.
-const REST: Duration = Duration::from_secs(3);
+/// How long keys that have moved stay where they are: requests for a hot key wait at each move, and the capacity
+/// of its new owner is known better after a few seconds.
+const COOLDOWN: Duration = Duration::from_secs(3);
 
-/// By how much the rate of keys that have moved must have grown for them to move again at once.
+/// The growth of the rate of moved keys that ends their cooldown early, as a factor.
 ///
-/// Twice is more than rates scatter; a key that turned busy within a range that had just moved stayed
-/// 3 s on a target that could answer a seventh of its requests.
-const GROWN: f64 = 2.0;
+/// A factor of 2 is above the scatter of rates. Without this rule a key that became hot within a range that had
+/// just moved stayed for 3 s on a target that could serve a seventh of its requests.
+const GROWTH_FACTOR: f64 = 2.0;
 
-/// The least growth that counts, in requests a second: fewer are counted too slowly to tell.
-const GROWN_LEAST: f64 = 8.0;
+/// The least growth that ends a cooldown early, in requests a second: smaller rates are not known quickly enough.
+const MIN_GROWTH: f64 = 8.0;
 
-/// The least time between two deals of all keys, which wait for a moment each time.
-const DEAL_PAUSE: Duration = Duration::from_secs(5);
+/// The least time between two redistributions: requests for all keys wait for a moment each time.
+const REDISTRIBUTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The part of its power that a target counts for while it is cold.
-const COLD_POWER: f64 = 0.5;
+/// The ratio of its capacity that a cold target counts for.
+const COLD_CAPACITY_RATIO: f64 = 0.5;
 
-/// The time that one request takes, in seconds, while nothing was measured.
-const USUAL_TIME: f64 = 0.1;
+/// The time that one request is assumed to take, in seconds, while nothing was measured.
+const DEFAULT_SERVICE_TIME_S: f64 = 0.1;
 
-/// Keys that moved lately and are left alone for a while.
+/// Keys that moved recently and stay where they are for a while.
 #[derive(Debug)]
-pub(super) struct Rested {
+pub(super) struct Cooldown {
     keys: Move,
     until: Duration,
-    /// Their rate when they moved, in requests a second.
+    /// The rate of the keys when they moved, in requests a second.
     rate: f64,
 }
 
-impl Rested {
-    /// Returns whether the keys are so much busier that what was known when they moved is void.
+impl Cooldown {
+    /// Returns whether the rate of the keys has grown so much that they may move again.
     fn has_grown(&self, load: &Load) -> bool {
         let rate = load.rate(self.keys.from, self.keys.to);
-        rate > self.rate * GROWN + GROWN_LEAST
+        rate > self.rate * GROWTH_FACTOR + MIN_GROWTH
     }
 }
 
 impl ServiceOwnership {
-    /// Returns the targets that may own keys.
-    pub(super) fn holders(&self, now: Duration) -> Vec<Candidate> {
-        let usual = median(self.times.values().copied().collect()).unwrap_or(USUAL_TIME);
+    /// Returns the targets that may get keys, with their capacities.
+    ///
+    /// Targets that are avoided, unresponsive or in warm-up are returned only if there is no other.
+    pub(super) fn candidates(&self, now: Duration) -> Vec<Candidate> {
+        let default = median(self.service_times.values().copied().collect())
+            .unwrap_or(DEFAULT_SERVICE_TIME_S);
         let ready = self.targets.values().filter(|it| !it.leaving);
-        let holders = ready.map(|it| {
-            let time = self.times.get(&it.id).copied().unwrap_or(usual);
-            let cold = if it.cold.is_zero() { 1.0 } else { COLD_POWER };
-            let power = it.slots.max(1) as f64 / time * cold;
-            let rate = self.rates.get(&it.id).copied();
+        let candidates = ready.map(|it| {
+            let time = self.service_times.get(&it.id).copied().unwrap_or(default);
+            let ratio = if it.cold.is_zero() {
+                1.0
+            } else {
+                COLD_CAPACITY_RATIO
+            };
+            let capacity = it.slots.max(1) as f64 / time * ratio;
+            let rate = self.rate_limits.get(&it.id).copied();
             Candidate {
                 incarnation: Incarnation::of(it),
-                capacity: rate.map_or(power, |rate| power.min(rates::effective_rate(rate))),
+                capacity: rate.map_or(capacity, |rate| capacity.min(rates::effective_rate(rate))),
             }
         });
-        let shunned = |life: &Incarnation| self.shunned.get(life).is_some_and(|until| now < *until);
-        let silent = self.silent();
-        let (bad, good): (Vec<_>, Vec<_>) = holders.partition(|it| {
-            let life = &it.incarnation;
-            shunned(life) || silent.contains(life) || self.is_warming(now, &life.id)
+        let avoided = |incarnation: &Incarnation| {
+            self.avoided
+                .get(incarnation)
+                .is_some_and(|until| now < *until)
+        };
+        let unresponsive = self.unresponsive_owners();
+        let (unsuitable, suitable): (Vec<_>, Vec<_>) = candidates.partition(|it| {
+            let incarnation = &it.incarnation;
+            avoided(incarnation)
+                || unresponsive.contains(incarnation)
+                || self.is_warming(now, &incarnation.id)
         });
-        if good.is_empty() { bad } else { good }
+        if suitable.is_empty() {
+            unsuitable
+        } else {
+            suitable
+        }
     }
 
-    /// Returns the owners that did not answer when they were last called.
+    /// Returns the owners whose last call could not be sent or got no response.
     ///
-    /// One that is dark stays announced for a while, and looks idle.
-    fn silent(&self) -> HashSet<&Incarnation> {
-        let parts = self.record.ranges.iter();
-        let silent = parts.filter(|part| self.live.get(&part.from).is_some_and(Live::is_silent));
-        silent.filter_map(|part| part.owner.as_ref()).collect()
+    /// Such an owner stays announced for a while, and has little load.
+    fn unresponsive_owners(&self) -> HashSet<&Incarnation> {
+        let ranges = self.record.ranges.iter();
+        let unresponsive = ranges.filter(|range| {
+            self.states
+                .get(&range.from)
+                .is_some_and(RangeState::is_unresponsive)
+        });
+        unresponsive
+            .filter_map(|range| range.owner.as_ref())
+            .collect()
     }
 
-    /// Begins moves for balance, one round at a time.
+    /// Begins moves that balance the load, one round at a time.
     ///
-    /// A range whose owner doesn't answer waits seconds for its hold to run out. The others go on
-    /// meanwhile: a busy key that fell on a slow target then was answered in time hardly ever.
+    /// The range of an unresponsive owner is free only once its grant has expired, seconds later. Other keys move
+    /// meanwhile: otherwise almost all requests for a hot key on a slow target would time out.
     pub(super) fn balance(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let settled = |live: &Live| live.phase == Phase::Held || live.is_silent();
-        let rested = now >= self.balanced + BALANCE_PAUSE;
-        if !self.live.values().all(settled) || !rested || self.pending.is_some() {
+        let is_idle = |state: &RangeState| state.phase == Phase::Owned || state.is_unresponsive();
+        let due = now >= self.balanced_at + BALANCE_INTERVAL;
+        if !self.states.values().all(is_idle) || !due || self.pending.is_some() {
             return;
         }
-        let calm = self.live.values().all(|live| live.phase == Phase::Held);
-        self.balanced = now;
-        let holders = self.holders(now);
-        let fastest = holders.iter().map(|it| it.capacity).fold(0.0, f64::max);
+        let all_owned = self
+            .states
+            .values()
+            .all(|state| state.phase == Phase::Owned);
+        self.balanced_at = now;
+        let candidates = self.candidates(now);
+        let fastest = candidates.iter().map(|it| it.capacity).fold(0.0, f64::max);
         let load = self.load.capped(fastest);
-        self.moved
+        self.cooldowns
             .retain(|it| now < it.until && !it.has_grown(&load));
-        if calm && now >= self.dealt + DEAL_PAUSE {
-            let moves = redistribution::plan(&self.record, &holders, &load);
+        if all_owned && now >= self.redistributed_at + REDISTRIBUTION_INTERVAL {
+            let moves = redistribution::plan(&self.record, &candidates, &load);
             if !moves.is_empty() {
-                self.dealt = now;
+                self.redistributed_at = now;
                 out.push(Effect::Log(format!(
                     "event=dealt-anew moves={}",
                     moves.len()
                 )));
                 for it in moves {
-                    self.begin(now, it, Duration::ZERO, out);
+                    self.begin_move(now, it, Duration::ZERO, out);
                 }
                 return;
             }
         }
-        let resting: Vec<Move> = self.moved.iter().map(|it| it.keys.clone()).collect();
-        for it in balance::plan(&self.record, &holders, &load, &resting) {
-            self.begin(now, it, REST, out);
+        let cooling_down: Vec<Move> = self.cooldowns.iter().map(|it| it.keys.clone()).collect();
+        for it in balance::plan(&self.record, &candidates, &load, &cooling_down) {
+            self.begin_move(now, it, COOLDOWN, out);
         }
     }
 
-    /// Begins a move: cuts the range out and asks its owner to let go.
-    fn begin(&mut self, now: Duration, it: Move, rest: Duration, out: &mut Vec<Effect>) {
-        let Some(from) = self.record.find(it.from).map(|part| part.from) else {
+    /// Begins a move: splits off the range and asks its owner to release it.
+    fn begin_move(&mut self, now: Duration, it: Move, cooldown: Duration, out: &mut Vec<Effect>) {
+        let Some(from) = self.record.find(it.from).map(|range| range.from) else {
             return;
         };
         let within = self
             .record
             .find(it.to)
-            .is_some_and(|part| part.from == from);
+            .is_some_and(|range| range.from == from);
         let idle = self
-            .live
+            .states
             .get(&from)
-            .is_some_and(|live| !live.busy && live.phase == Phase::Held);
+            .is_some_and(|state| !state.in_flight && state.phase == Phase::Owned);
         if !within || !idle {
             return;
         }
-        let whole = self.live[&from].clone();
+        let whole = self.states[&from].clone();
         self.record.split(it.from, it.to);
-        for part in &self.record.ranges {
-            self.live.entry(part.from).or_insert_with(|| whole.clone());
+        for range in &self.record.ranges {
+            self.states
+                .entry(range.from)
+                .or_insert_with(|| whole.clone());
         }
         let rate = self.load.rate(it.from, it.to);
         out.push(Effect::Log(format!(
             "event=move-begun from={} to={} owner={} load={rate:.1}",
             it.from, it.to, it.owner.id,
         )));
-        self.moved.push(Rested {
+        self.cooldowns.push(Cooldown {
             keys: it.clone(),
-            until: now + rest,
+            until: now + cooldown,
             rate,
         });
-        if let Some(live) = self.live.get_mut(&it.from) {
-            live.phase = Phase::Releasing(Some(it.owner));
-            live.due = now;
+        if let Some(state) = self.states.get_mut(&it.from) {
+            state.phase = Phase::Releasing(Some(it.owner));
+            state.next_call = now;
         }
     }
 }
 
-/// The middle of some values.
+/// Returns the median; of an even count the upper of the two middle values.
 fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
--- a/engine/src/owner/ownership/predecessors.rs
+++ b/engine/src/owner/ownership/predecessors.rs
@@ -1,61 +1,63 @@
-//! What managers of earlier terms may still do.
+//! What managers of earlier terms may still do: send grants, and have grants that are still valid.
 
 use std::time::Duration;
 
-use super::{LAST_GRANTS, Timing};
-use crate::owner::{range_state::lasting, record::Record};
+use super::{MAX_GRANT_DELAY, Timing};
+use crate::owner::{range_state::worst_case_duration, record::Record};
 
-/// Until when managers before this one may send grants, and until when those may hold.
+/// Until when managers of earlier terms may send grants, and until when those grants may be valid.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Earlier {
-    sends: Duration,
-    holds: Duration,
-    /// Whether the manager before this one knew that those before it had stopped.
+pub(super) struct Predecessors {
+    sends_until: Duration,
+    grants_until: Duration,
+    /// Whether the previous manager knew that all managers before it had stopped.
     settled: bool,
     outage_duration: Duration,
 }
 
-impl Earlier {
-    /// Judges by the record that the manager before this one left.
-    pub(super) fn of(record: &Record, timing: Timing, now: Duration) -> Self {
+impl Predecessors {
+    /// Computes both times from the record that the previous manager left.
+    pub(super) fn from_record(record: &Record, timing: Timing, now: Duration) -> Self {
         let first = record.term == 0;
         let settled = first || record.settled;
         let stopped = first || record.resigned && settled;
-        let horizon = now + timing.latest_expiry;
-        let holds = if first {
+        let latest = now + timing.latest_expiry;
+        let grants_until = if first {
             now
         } else if stopped {
-            now + lasting(timing.outage_duration)
+            now + worst_case_duration(timing.outage_duration)
         } else {
-            horizon
+            latest
         };
         Self {
-            sends: if stopped { now } else { horizon },
-            holds,
+            sends_until: if stopped { now } else { latest },
+            grants_until,
             settled,
             outage_duration: timing.outage_duration,
         }
     }
 
-    /// Takes note that the manager before this one sends nothing any more.
+    /// Records that the previous manager has stopped sending.
     ///
-    /// That says nothing of those before it, unless it had waited for them.
+    /// Managers before that one may still send, unless it had recorded that they had stopped.
     pub(super) fn on_stopped(&mut self, now: Duration) {
         if !self.settled {
             return;
         }
-        let last = now + LAST_GRANTS;
-        self.sends = self.sends.min(last);
-        self.holds = self.holds.min(last + lasting(self.outage_duration));
+        let last = now + MAX_GRANT_DELAY;
+        self.sends_until = self.sends_until.min(last);
+        self.grants_until = self
+            .grants_until
+            .min(last + worst_case_duration(self.outage_duration));
     }
 
-    /// Returns whether none of them sends grants any more.
-    pub(super) fn is_over(&self, now: Duration) -> bool {
-        now >= self.sends
+    /// Returns whether all of them have stopped sending grants.
+    pub(super) fn have_stopped(&self, now: Duration) -> bool {
+        now >= self.sends_until
     }
 
-    /// Returns until when grants of theirs may hold.
-    pub(super) fn holds(&self) -> Duration {
-        self.holds
+    /// Returns when the last of their grants has expired.
+    pub(super) fn latest_expiry(&self) -> Duration {
+        self.grants_until
     }
 }
--- a/engine/src/owner/range_state.rs
+++ b/engine/src/owner/range_state.rs
@@ -1,95 +1,106 @@
-//! How far a range's owner has been asked and has answered.
+//! The state of one range beside its record: what its owner was sent, and what it has confirmed.
 
 use std::time::Duration;
 
 use super::record::Incarnation;
 
-/// How much slower than true a target's clock may run, as a factor on holds.
-const DRIFT: f64 = 1.03;
-/// What is added to a hold before a range counts as free, for scheduling at the target.
-const MARGIN: Duration = Duration::from_millis(100);
+/// How much slower than real time a target's clock may run, as a factor on the duration of grants.
+const MAX_CLOCK_DRIFT: f64 = 1.03;
+/// The delay that is added to a grant's duration before its range counts as free, for scheduling at the target.
+const SCHEDULING_MARGIN: Duration = Duration::from_millis(100);
 
-/// How long a hold may last by this VM's clock.
-pub(super) fn lasting(grant_duration: Duration) -> Duration {
-    grant_duration.mul_f64(DRIFT) + MARGIN
+/// Returns how long a grant may last at most by this VM's clock.
+pub(super) fn worst_case_duration(grant_duration: Duration) -> Duration {
+    grant_duration.mul_f64(MAX_CLOCK_DRIFT) + SCHEDULING_MARGIN
 }
 
-/// The hold that lasts for so long at the most; the inverse of [`lasting`].
-pub(super) fn shrunk(span: Duration) -> Duration {
-    span.saturating_sub(MARGIN).div_f64(DRIFT)
+/// Returns the longest grant duration that surely ends within a span; the inverse of [`worst_case_duration`].
+pub(super) fn longest_grant_within(span: Duration) -> Duration {
+    span.saturating_sub(SCHEDULING_MARGIN)
+        .div_f64(MAX_CLOCK_DRIFT)
 }
 
-/// Whether a range's owner is to hold it.
+/// Whether a range is granted to its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// The owner is to hold the range.
-    Held,
-    /// The owner is asked to let go, in favour of this life if any.
+    /// The owner's grants are renewed.
+    Owned,
+    /// The owner is asked to release the range, for this new owner if one is chosen.
     Releasing(Option<Incarnation>),
-    /// Nobody holds the range.
+    /// No target can have a valid grant; the range is for this new owner if one is chosen.
     Free(Option<Incarnation>),
 }
 
-/// What is known of a range beside its record.
+/// The state of one range that its record doesn't contain.
 #[derive(Clone, Debug)]
-pub(super) struct Live {
+pub(super) struct RangeState {
     pub(super) phase: Phase,
-    /// A call is under way.
-    pub(super) busy: bool,
-    /// The owner has confirmed the fence, so that no earlier manager can renew.
+    /// Whether a call to the owner is in flight.
+    pub(super) in_flight: bool,
+    /// Whether the owner has confirmed the fence, so that no earlier manager can renew its grant.
     pub(super) confirmed: bool,
-    /// An earlier manager may have granted the range to its owner.
+    /// Whether an earlier manager may have granted the range to its owner.
     pub(super) inherited: bool,
-    /// When the last grant that can have arrived runs out for certain; none if none was sent.
-    pub(super) until: Option<Duration>,
-    /// The hold of the grant that was sent last.
+    /// When the last grant that may have arrived has surely expired; none if none was sent.
+    pub(super) expires_at: Option<Duration>,
+    /// The duration of the grant that was sent last.
     pub(super) grant_duration: Duration,
-    /// When the next call is due.
-    pub(super) due: Duration,
-    /// Calls in a row without an answer.
-    pub(super) silences: u32,
-    /// Calls in a row that could not be sent.
+    /// When the next call to the owner is due.
+    pub(super) next_call: Duration,
+    /// How many calls in a row got no response.
+    pub(super) unanswered: u32,
+    /// How many calls in a row could not be sent.
     pub(super) unsent: u32,
+    /// What the previous owner returned for the next one.
     pub(super) handover: Option<String>,
 }
 
-impl Live {
+impl RangeState {
+    /// Returns the state of a range without an owner.
     pub(super) fn free() -> Self {
         Self {
             phase: Phase::Free(None),
-            busy: false,
+            in_flight: false,
             confirmed: false,
             inherited: false,
-            until: None,
+            expires_at: None,
             grant_duration: Duration::ZERO,
-            due: Duration::ZERO,
-            silences: 0,
+            next_call: Duration::ZERO,
+            unanswered: 0,
             unsent: 0,
             handover: None,
         }
     }
 
-    pub(super) fn held(now: Duration, until: Option<Duration>, handover: Option<String>) -> Self {
+    /// Returns the state of a range whose owner is to be granted it now.
+    pub(super) fn owned(
+        now: Duration,
+        expires_at: Option<Duration>,
+        handover: Option<String>,
+    ) -> Self {
         Self {
-            phase: Phase::Held,
-            until,
-            due: now,
+            phase: Phase::Owned,
+            expires_at,
+            next_call: now,
             handover,
             ..Self::free()
         }
     }
 
-    /// Takes note that the grant sent last may have arrived until now.
-    pub(super) fn extend(&mut self, now: Duration) {
-        self.until = self.until.max(Some(now + lasting(self.grant_duration)));
+    /// Moves the expiry: the grant that was sent last may have arrived until now.
+    pub(super) fn extend_expiry(&mut self, now: Duration) {
+        self.expires_at = self
+            .expires_at
+            .max(Some(now + worst_case_duration(self.grant_duration)));
     }
 
-    /// Returns whether the owner did not answer when it was last called.
-    pub(super) fn is_silent(&self) -> bool {
-        self.silences > 0 || self.unsent > 0
+    /// Returns whether the owner's last call could not be sent or got no response.
+    pub(super) fn is_unresponsive(&self) -> bool {
+        self.unanswered > 0 || self.unsent > 0
     }
 
+    /// Returns whether the range can get a new owner.
     pub(super) fn is_free(&self) -> bool {
-        matches!(self.phase, Phase::Free(_)) && !self.busy
+        matches!(self.phase, Phase::Free(_)) && !self.in_flight
     }
 }
