--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -1,4 +1,4 @@
-//! The manager's lease: bids, renewals, and its end.
+//! The manager's lease: bids, renewals, and resignation.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
     store::{Error, Lease, Transaction},
 };
 
-/// How many renewals fit into the lease.
-const RENEWALS: u32 = 4;
-/// The longest time between two renewals: by them the manager knows that it follows the store, and the other
-/// VMs rest on its word.
-const RENEW_MOST: Duration = Duration::from_millis(400);
-/// How long a manager that stops waits for its last writes.
+/// How many renewals are sent within the duration of a lease.
+const RENEWALS_PER_LEASE: u32 = 4;
+/// The longest time between two renewals: they show the manager that it receives changes from the store, and the
+/// other VMs rely on the manager for these.
+const MAX_RENEW_INTERVAL: Duration = Duration::from_millis(400);
+/// How long a manager that resigns waits for its last writes.
 const RESIGN_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Manager {
-    /// Bids for the lease when nobody has it, in an order that differs by VM.
-    pub(super) fn seek(&mut self, now: Duration) {
+    /// Bids for the lease when no VM holds it, after a delay that differs by VM.
+    pub(super) fn bid_if_vacant(&mut self, now: Duration) {
         let fleet = self.context.shared_fleet.get();
         let vacant = fleet.manager.is_none() && fleet.is_ready() && self.lease.is_none();
         if !vacant || self.bidding || self.stopping.is_some() {
             return;
         }
         let due = *self
-            .bid_due
+            .bid_at
             .get_or_insert_with(|| now + calls::bid_delay(&fleet, &self.context.vm));
         if now < due {
             return;
@@ -34,32 +34,32 @@
         self.bidding = true;
         self.timing = self.context.spans.timing(fleet.vms.len());
         let span = self.timing.lease;
-        self.bid_due = Some(now + BID_PAUSE);
+        self.bid_at = Some(now + BID_PAUSE);
         let (context, sender) = (self.context.clone(), self.sender.clone());
         compio::runtime::spawn(async move {
             let sent = context.clock.now();
             let result = calls::bid(&context, span).await;
-            // The manager's task ends with the process only.
-            let _ = sender.unbounded_send(Message::Bid(result, sent));
+            // The receiver exists as long as the process, so sending can't fail.
+            let _ = sender.unbounded_send(Message::BidEnded(result, sent));
         })
         .detach();
     }
 
-    /// Ends what an earlier process of this VM holds of the lease, so that it can be bid for at once.
+    /// Removes the manager's entry of an earlier process of this VM, so that VMs can bid for the lease at once.
     ///
-    /// Load pattern: all VMs lose power and come back within a second, and the lease outlasts that.
-    pub(super) fn clear_earlier(&mut self, now: Duration) {
+    /// Load pattern: all VMs lose power and restart within a second, before the lease has expired.
+    pub(super) fn remove_stale_entry(&mut self, now: Duration) {
         let own = &self.context.vm;
         let fleet = self.context.shared_fleet.get();
-        let earlier = |vm: &Vm| vm.name == own.name && vm.start != own.start;
-        if now < self.clear_due || !fleet.manager.as_ref().is_some_and(earlier) {
+        let is_stale = |vm: &Vm| vm.name == own.name && vm.start != own.start;
+        if now < self.cleanup_at || !fleet.manager.as_ref().is_some_and(is_stale) {
             return;
         }
-        self.clear_due = now + BID_PAUSE;
+        self.cleanup_at = now + BID_PAUSE;
         let context = self.context.clone();
         compio::runtime::spawn(async move {
             let outcome = match calls::remove_stale_entry(&context).await {
-                Ok(cleared) => format!("cleared={cleared}"),
+                Ok(removed) => format!("cleared={removed}"),
                 Err(error) => format!("{error}"),
             };
             let line = format!("event=earlier-lease {outcome}");
@@ -68,10 +68,11 @@
         .detach();
     }
 
-    fn renew_pause(&self) -> Duration {
-        (self.timing.lease / RENEWALS).min(RENEW_MOST)
+    fn renew_interval(&self) -> Duration {
+        (self.timing.lease / RENEWALS_PER_LEASE).min(MAX_RENEW_INTERVAL)
     }
 
+    /// Forgets the lease: this VM isn't the manager any more.
     pub(super) fn drop_lease(&mut self) {
         self.lease = None;
         self.context.leading.set(false);
@@ -84,10 +85,10 @@
                 self.log(&format!("event=manager-elected lease={}", lease.id));
                 self.lease = Some((lease.id, sent + lease.duration));
                 self.context.leading.set(true);
-                self.renew_due = self.now() + self.renew_pause();
-                // What was kept under an earlier lease goes on if nobody has changed it since.
-                for kept in self.kept.values_mut() {
-                    kept.verified = false;
+                self.renew_at = self.now() + self.renew_interval();
+                // Services from an earlier lease are resumed if their records are unchanged.
+                for managed in self.services.values_mut() {
+                    managed.verified = false;
                 }
             }
             Ok(None) => {}
@@ -95,29 +96,30 @@
         }
     }
 
-    /// Renews the lease in time, and gives it up when it has run out.
-    pub(super) fn keep_lease(&mut self, now: Duration) {
+    /// Renews the lease in time, and stops acting as the manager when it has expired.
+    pub(super) fn renew_lease(&mut self, now: Duration) {
         let Some((id, until)) = self.lease else {
             return;
         };
         if now >= until && self.context.leading.replace(false) {
-            // It may still stand in the store, whose leases can pause: only the store tells.
+            // The lease may still exist in the store, where expiry can be suspended; the next renewal shows whether
+            // it does.
             self.log("event=lease-uncertain cause=not-renewed-in-time");
         }
-        if now < self.renew_due {
+        if now < self.renew_at {
             return;
         }
-        self.renew_due = now + self.renew_pause();
+        self.renew_at = now + self.renew_interval();
         let (context, sender) = (self.context.clone(), self.sender.clone());
         compio::runtime::spawn(async move {
             let sent = context.clock.now();
             let result = context.store.renew(id).await;
-            let _ = sender.unbounded_send(Message::Renewed(result, sent));
+            let _ = sender.unbounded_send(Message::RenewalEnded(result, sent));
         })
         .detach();
     }
 
-    pub(super) fn renewed(&mut self, result: Result<Duration, Error>, sent: Duration) {
+    pub(super) fn renewal_ended(&mut self, result: Result<Duration, Error>, sent: Duration) {
         match result {
             Ok(span) => {
                 self.context.store_health.record_answer(sent);
@@ -125,7 +127,7 @@
                     return;
                 };
                 *until = (*until).max(sent + span);
-                self.extend();
+                self.extend_grants();
             }
             Err(Error::NoLease(_)) => {
                 self.log("event=lease-lost cause=ended-in-store");
@@ -135,31 +137,31 @@
         }
     }
 
-    /// Lets keepers grant for as long as the lease holds.
-    pub(super) fn extend(&mut self) {
+    /// Passes the end of the lease to all verified services, so that they continue to grant.
+    pub(super) fn extend_grants(&mut self) {
         let Some((_, until)) = self.lease else {
             return;
         };
         if self.now() < until && !self.context.leading.replace(true) {
             self.log("event=lease-regained");
         }
-        let verified = self.kept.iter().filter(|(_, kept)| kept.verified);
+        let verified = self.services.iter().filter(|(_, managed)| managed.verified);
         let services: Vec<_> = verified.map(|(name, _)| name.clone()).collect();
         for service in services {
-            self.feed(&service, Event::LeaseExtended(until));
+            self.handle_event(&service, Event::LeaseExtended(until));
         }
     }
 
-    /// Hands over: no grant leaves any more, the records say so, the lease ends.
-    pub(super) async fn resigned(&mut self) -> bool {
+    /// Resigns: stops all grants, writes that into the records and ends the lease.
+    pub(super) async fn resign(&mut self) -> bool {
         let context = self.context.clone();
         let work = async {
-            for (service, kept) in &mut self.kept {
-                let Some(record) = kept.keeper.resign(context.clock.now()) else {
+            for (service, managed) in &mut self.services {
+                let Some(record) = managed.ownership.resign(context.clock.now()) else {
                     continue;
                 };
                 let key = context.keys.record(service);
-                let transaction = Transaction::replace(key, kept.revision, record.encode());
+                let transaction = Transaction::replace(key, managed.revision, record.encode());
                 let result = context.store.commit(transaction).await;
                 if let Err(error) = result {
                     context
@@ -174,9 +176,9 @@
                     .line(&format!("event=manager-resigned ended={}", ended.is_ok()));
             }
         };
-        // What could not be written in time is settled by the lease's own end.
+        // Whatever could not be written in time is covered by the expiry of the lease.
         let _ = context.clock.timeout(RESIGN_TIMEOUT, work).await;
-        self.kept.clear();
+        self.services.clear();
         self.drop_lease();
         if let Some(done) = self.stopping.take() {
             let _ = done.send(());
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -1,4 +1,7 @@
-//! The task that seeks the manager's lease, and keeps the owners while it holds it.
+//! The task that bids for the manager's lease and, while this VM holds it, manages the owners of all services.
+//!
+//! `lease` obtains and renews the lease, `records` reads and writes the services' records, and `updates`
+//! passes changes of the fleet and its load to the services.
 
 mod lease;
 mod records;
@@ -30,65 +33,65 @@
     target::{Rate, TargetProtocol},
 };
 
-/// The time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
-/// The pause after a bid that failed.
+/// The time between two checks for due work.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// The pause after a failed bid, and after a failed read of a record.
 const BID_PAUSE: Duration = Duration::from_millis(700);
 
-/// What the manager's task is told.
+/// A message to the manager's task.
 #[derive(Debug)]
 pub enum Message {
-    /// What a VM counted since its last word.
+    /// What a VM counted since its last sync request.
     Load {
         /// Requests by service and key.
         counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
-        /// Sums in seconds and counts of service times without waiting, by target.
+        /// Service times without the time in a queue, as a sum in seconds and a count, by target.
         times: Vec<(TargetHash, f64, u32)>,
-        /// The rates that targets ask to be held to, as all VMs know.
+        /// The rate limits that targets ask for, as known from all VMs.
         rates: Vec<(TargetHash, Rate)>,
     },
-    /// The process stops: hand over, and tell when done.
+    /// The process stops: resign, then answer on the channel.
     Stop(oneshot::Sender<()>),
-    /// This start of a VM's process tells this VM, so it knows that it isn't the manager.
+    /// The process with this start sent a sync request to this VM, so it knows that it isn't the manager itself.
     SyncReceived(String),
-    /// A call to a target ended.
-    Called(ServiceId, Term, RequestKey, bool, CallOutcome),
-    /// A commit of a record ended.
-    Committed(ServiceId, Term, Result<Commit, Error>),
-    /// A service's record was read.
-    Read(ServiceId, Result<Option<Item>, Error>),
+    /// A grant (`true`) or release (`false`) for the range that begins at this key ended.
+    CallEnded(ServiceId, Term, RequestKey, bool, CallOutcome),
+    /// The commit of a record ended.
+    CommitEnded(ServiceId, Term, Result<Commit, Error>),
+    /// The read of a service's record ended.
+    RecordRead(ServiceId, Result<Option<Item>, Error>),
     /// A bid for the lease ended; the time is when it was sent.
-    Bid(Result<Option<Lease>, Error>, Duration),
-    /// The lease was renewed, or not; the time is when the call was sent.
-    Renewed(Result<Duration, Error>, Duration),
+    BidEnded(Result<Option<Lease>, Error>, Duration),
+    /// A renewal of the lease ended; the time is when the call was sent.
+    RenewalEnded(Result<Duration, Error>, Duration),
 }
 
-/// What the task needs.
+/// What the manager's task works with.
 #[derive(Clone)]
 pub struct Context {
-    /// This start of this VM.
+    /// This VM, with the start of this process.
     pub vm: Vm,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// How targets are spoken to.
+    /// Builds and reads the calls to targets.
     pub targets: Rc<dyn TargetProtocol>,
     /// Connections to targets for grants and releases.
     pub client: Client,
     /// What is believed of the fleet.
     pub shared_fleet: SharedFleet,
-    /// Decodes what is stored.
+    /// Decodes entries of the store.
     pub catalogue: Rc<dyn Catalogue>,
-    /// Whether this VM holds the lease; told here.
+    /// Whether this VM holds the lease; set by this task.
     pub leading: Rc<Cell<bool>>,
-    /// When the store last answered; told here.
+    /// When the store last answered; set by this task.
     pub store_health: Health,
     /// Keys in the store.
     pub keys: Rc<StoreKeys>,
     /// The clock.
     pub clock: Clock,
-    /// Logs and counters.
+    /// The log and the metrics.
     pub report: Report,
-    /// What the platform sets for leases and holds.
+    /// The platform's limits for leases and grants.
     pub spans: LeaseLimits,
 }
 
@@ -100,62 +103,70 @@
     }
 }
 
-/// A service that this VM keeps.
-struct Kept {
-    keeper: ServiceOwnership,
-    /// The start of the process that was the manager before, while it may still be.
-    earlier: Option<String>,
+/// A service that this VM manages.
+struct ManagedService {
+    ownership: ServiceOwnership,
+    /// The process start of the previous manager, until it is known to have stopped.
+    predecessor: Option<String>,
+    /// The revision of the record in the store.
     revision: Revision,
-    /// The record that is being written.
+    /// The record that was written last or is being written.
     written: Option<Record>,
-    /// Whether the record is known to be unchanged since this VM won its present lease.
+    /// Whether the record is known to be unchanged since this VM won its current lease.
     verified: bool,
 }
 
+/// The state of the manager's task.
 struct Manager {
     context: Context,
     sender: mpsc::UnboundedSender<Message>,
-    kept: IndexMap<ServiceId, Kept>,
-    times: ServiceTimes,
-    /// The rates that targets ask to be held to.
-    rates: IndexMap<TargetHash, Rate>,
-    /// The spans of the lease and of grants, by the number of VMs at the last bid.
+    services: IndexMap<ServiceId, ManagedService>,
+    service_times: ServiceTimes,
+    /// The rate limits that targets ask for.
+    rate_limits: IndexMap<TargetHash, Rate>,
+    /// The durations of the lease and of grants, for the number of VMs at the last bid.
     timing: Timing,
+    /// Services whose records are being read.
     reading: Vec<ServiceId>,
+    /// The lease and its end.
     lease: Option<(LeaseId, Duration)>,
+    /// Whether a bid is in flight.
     bidding: bool,
-    bid_due: Option<Duration>,
-    /// When the entry of an earlier process of this VM may be removed again.
-    clear_due: Duration,
-    renew_due: Duration,
-    /// When closed connections were last looked for.
-    looked: Duration,
-    /// When what is due was last looked at.
-    ticked: Duration,
-    /// Requests by service and key that keepers weren't told of yet.
+    /// When the next bid may be sent, if one is planned.
+    bid_at: Option<Duration>,
+    /// When the next attempt to remove the entry of an earlier process of this VM may be made.
+    cleanup_at: Duration,
+    /// When the lease is renewed next.
+    renew_at: Duration,
+    /// When closed connections were last checked for.
+    connections_checked_at: Duration,
+    /// When due work was last done.
+    ticked_at: Duration,
+    /// Counts of requests by service and key since the last tick.
     counts: IndexMap<ServiceId, Vec<(RequestKey, u32)>>,
+    /// Where to answer once the manager has resigned, if the process stops.
     stopping: Option<oneshot::Sender<()>>,
 }
 
-/// Starts the task and returns the way to talk to it.
+/// Starts the task and returns the sender of its messages.
 pub fn start(context: Context) -> mpsc::UnboundedSender<Message> {
     let (sender, receiver) = mpsc::unbounded();
     let timing = context.spans.timing(1);
     let manager = Manager {
         context,
         sender: sender.clone(),
-        kept: IndexMap::new(),
-        times: ServiceTimes::default(),
-        rates: IndexMap::new(),
+        services: IndexMap::new(),
+        service_times: ServiceTimes::default(),
+        rate_limits: IndexMap::new(),
         timing,
         reading: Vec::new(),
         lease: None,
         bidding: false,
-        bid_due: None,
-        clear_due: Duration::ZERO,
-        renew_due: Duration::ZERO,
-        looked: Duration::ZERO,
-        ticked: Duration::ZERO,
+        bid_at: None,
+        cleanup_at: Duration::ZERO,
+        renew_at: Duration::ZERO,
+        connections_checked_at: Duration::ZERO,
+        ticked_at: Duration::ZERO,
         counts: IndexMap::new(),
         stopping: None,
     };
@@ -168,25 +179,25 @@
         let mut changes = self.context.shared_fleet.subscribe();
         loop {
             let clock = self.context.clock.clone();
-            let idle = self.kept.is_empty() && self.bid_due.is_none() && self.lease.is_none();
-            let span = if idle { BID_PAUSE } else { TICK };
+            let idle = self.services.is_empty() && self.bid_at.is_none() && self.lease.is_none();
+            let span = if idle { BID_PAUSE } else { TICK_INTERVAL };
             let wait = Box::pin(clock.sleep(span));
-            let heard = future::select(messages.next(), changes.next());
-            match future::select(heard, wait).await {
+            let input = future::select(messages.next(), changes.next());
+            match future::select(input, wait).await {
                 Either::Left((Either::Left((None, _)), _)) => return,
-                Either::Left((Either::Left((Some(message), _)), _)) => self.hear(message),
+                Either::Left((Either::Left((Some(message), _)), _)) => self.handle(message),
                 Either::Left((Either::Right(_), _)) => {
-                    self.look();
-                    // A manager may be gone: who bids late leaves the lease to a VM with less power.
+                    self.fleet_changed();
+                    // The manager may have ended: a late bid would leave the lease to a VM with less CPU.
                     self.tick();
                 }
                 Either::Right(_) => self.tick(),
             }
-            // Not for each message: every VM sends several a second.
-            if self.now() >= self.ticked + TICK {
+            // Not after each message: every VM sends several a second.
+            if self.now() >= self.ticked_at + TICK_INTERVAL {
                 self.tick();
             }
-            if self.stopping.is_some() && self.resigned().await {
+            if self.stopping.is_some() && self.resign().await {
                 return;
             }
         }
@@ -200,105 +211,114 @@
         self.context.report.line(text);
     }
 
-    fn hear(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
             Message::Load {
                 counts,
                 times,
                 rates,
             } => {
-                self.rates = rates.into_iter().collect();
-                self.loaded(counts, &times);
+                self.rate_limits = rates.into_iter().collect();
+                self.add_load(counts, &times);
             }
-            Message::SyncReceived(start) => self.told(&start),
+            Message::SyncReceived(start) => self.sync_received(&start),
             Message::Stop(done) => self.stopping = Some(done),
-            Message::Called(service, term, from, grant, ending) => {
-                self.called(&service, term, from, grant, ending);
+            Message::CallEnded(service, term, from, grant, outcome) => {
+                self.call_ended(&service, term, from, grant, outcome);
             }
-            Message::Committed(service, term, result) => self.committed(&service, term, result),
-            Message::Read(service, result) => self.read(&service, result),
-            Message::Bid(result, sent) => self.bid_ended(result, sent),
-            Message::Renewed(result, sent) => self.renewed(result, sent),
+            Message::CommitEnded(service, term, result) => {
+                self.commit_ended(&service, term, result)
+            }
+            Message::RecordRead(service, result) => self.record_read(&service, result),
+            Message::BidEnded(result, sent) => self.bid_ended(result, sent),
+            Message::RenewalEnded(result, sent) => self.renewal_ended(result, sent),
         }
     }
 
-    /// Feeds one event to a service's keeper and does what it wants done.
-    fn feed(&mut self, service: &str, event: Event) {
+    /// Passes an event to a service's ownership state and carries out the effects.
+    fn handle_event(&mut self, service: &str, event: Event) {
         let now = self.now();
-        let Some(kept) = self.kept.get_mut(service) else {
+        let Some(managed) = self.services.get_mut(service) else {
             return;
         };
-        let effects = kept.keeper.on(now, event);
-        self.apply(service, effects);
+        let effects = managed.ownership.on(now, event);
+        self.apply_effects(service, effects);
     }
 
-    fn apply(&mut self, service: &str, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, service: &str, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Grant(order) => self.call(service, order, true),
-                Effect::Release(order) => self.call(service, order, false),
+                Effect::Grant(command) => self.start_call(service, command, true),
+                Effect::Release(command) => self.start_call(service, command, false),
                 Effect::Commit(record) => self.commit(service, &record),
                 Effect::Log(text) => self.log(&format!("{text} service={service}")),
                 Effect::Deposed => {
                     self.log(&format!(
                         "event=deposed service={service} cause=higher-fence"
                     ));
-                    self.kept.shift_remove(service);
+                    self.services.shift_remove(service);
                 }
             }
         }
     }
 
-    fn called(
+    fn call_ended(
         &mut self,
         service: &str,
         term: Term,
         from: RequestKey,
         grant: bool,
-        ending: CallOutcome,
+        outcome: CallOutcome,
     ) {
         if self
-            .kept
+            .services
             .get(service)
-            .is_none_or(|kept| kept.keeper.term() != term)
+            .is_none_or(|managed| managed.ownership.term() != term)
         {
             return;
         }
         let event = if grant {
-            Event::GrantEnded(from, ending)
+            Event::GrantEnded(from, outcome)
         } else {
-            Event::ReleaseEnded(from, ending)
+            Event::ReleaseEnded(from, outcome)
         };
-        self.feed(service, event);
+        self.handle_event(service, event);
     }
 
+    /// Does the work that is due.
     fn tick(&mut self) {
         let now = self.now();
-        self.ticked = now;
-        self.clear_earlier(now);
-        self.seek(now);
-        self.keep_lease(now);
+        self.ticked_at = now;
+        self.remove_stale_entry(now);
+        self.bid_if_vacant(now);
+        self.renew_lease(now);
         if self.context.leading.get() {
-            self.take_services();
+            self.take_over_services();
         }
-        self.look_for_closed(now);
-        let services: Vec<_> = self.kept.keys().cloned().collect();
+        self.forward_closed_connections(now);
+        let services: Vec<_> = self.services.keys().cloned().collect();
         for service in services {
-            self.tell_load(&service);
+            self.forward_load(&service);
         }
     }
 
-    fn call(&mut self, service: &str, order: OwnershipCommand, grant: bool) {
-        let Some(kept) = self.kept.get(service) else {
+    /// Sends a grant or release in a task of its own.
+    fn start_call(&mut self, service: &str, command: OwnershipCommand, grant: bool) {
+        let Some(managed) = self.services.get(service) else {
             return;
         };
-        let term = kept.keeper.term();
+        let term = managed.ownership.term();
         let (context, sender) = (self.context.clone(), self.sender.clone());
         let service = service.to_owned();
         compio::runtime::spawn(async move {
-            let ending = calls::send_command(&context, &service, &order, grant).await;
-            let _ =
-                sender.unbounded_send(Message::Called(service, term, order.from, grant, ending));
+            let outcome = calls::send_command(&context, &service, &command, grant).await;
+            let _ = sender.unbounded_send(Message::CallEnded(
+                service,
+                term,
+                command.from,
+                grant,
+                outcome,
+            ));
         })
         .detach();
     }
--- a/engine/src/owner/manager/records.rs
+++ b/engine/src/owner/manager/records.rs
@@ -1,6 +1,6 @@
-//! Services' records: read at a takeover, written by compare-and-swap, told to other VMs.
+//! The records of services: read at a takeover, written by compare-and-swap, and passed on to other VMs.
 
-use super::{BID_PAUSE, Kept, Manager, Message};
+use super::{BID_PAUSE, ManagedService, Manager, Message};
 use crate::{
     owner::{
         ownership::{Event, ServiceOwnership},
@@ -10,8 +10,8 @@
 };
 
 impl Manager {
-    /// Takes over each service with owners that isn't kept yet.
-    pub(super) fn take_services(&mut self) {
+    /// Takes over each service with owners that isn't managed yet under the current lease.
+    pub(super) fn take_over_services(&mut self) {
         let fleet = self.context.shared_fleet.get();
         let Some(config) = &fleet.config else {
             return;
@@ -19,8 +19,11 @@
         let keyed = config.services.values().filter(|it| it.keyed);
         for service in keyed {
             let name = &service.name;
-            let is_kept = self.kept.get(name).is_some_and(|kept| kept.verified);
-            if is_kept || self.reading.contains(name) {
+            let is_managed = self
+                .services
+                .get(name)
+                .is_some_and(|managed| managed.verified);
+            if is_managed || self.reading.contains(name) {
                 continue;
             }
             self.reading.push(name.clone());
@@ -32,16 +35,20 @@
                 if result.is_err() {
                     context.clock.sleep(BID_PAUSE).await;
                 }
-                let _ = sender.unbounded_send(Message::Read(name, result));
+                let _ = sender.unbounded_send(Message::RecordRead(name, result));
             })
             .detach();
         }
     }
 
-    pub(super) fn read(&mut self, service: &str, result: Result<Option<Item>, Error>) {
+    /// Takes a service over, or resumes it, from its record as read from the store.
+    pub(super) fn record_read(&mut self, service: &str, result: Result<Option<Item>, Error>) {
         self.reading.retain(|it| it != service);
-        let is_kept = self.kept.get(service).is_some_and(|kept| kept.verified);
-        if self.lease.is_none() || is_kept {
+        let is_managed = self
+            .services
+            .get(service)
+            .is_some_and(|managed| managed.verified);
+        if self.lease.is_none() || is_managed {
             return;
         }
         let item = match result {
@@ -52,11 +59,11 @@
             }
         };
         let revision = item.as_ref().map_or(0, |item| item.revision);
-        if self.goes_on(service, revision, item.as_ref()) {
+        if self.resume(service, revision, item.as_ref()) {
             return;
         }
-        let known = item.map(|item| Record::decode(&item.value));
-        let record = match known {
+        let decoded = item.map(|item| Record::decode(&item.value));
+        let record = match decoded {
             Some(Ok(record)) => record,
             Some(Err(error)) => {
                 self.log(&format!(
@@ -68,92 +75,99 @@
         };
         let timing = self.timing;
         let now = self.now();
-        let earlier = Some(record.manager.clone());
-        let (keeper, effects) =
+        let predecessor = Some(record.manager.clone());
+        let (ownership, effects) =
             ServiceOwnership::take_over(&self.context.vm.start, record, timing, now);
         self.log(&format!(
             "event=takeover service={service} term={} revision={revision}",
-            keeper.term()
+            ownership.term()
         ));
-        let kept = Kept {
-            keeper,
-            earlier,
+        let managed = ManagedService {
+            ownership,
+            predecessor,
             revision,
             written: None,
             verified: true,
         };
-        self.kept.insert(service.to_owned(), kept);
-        self.apply(service, effects);
+        self.services.insert(service.to_owned(), managed);
+        self.apply_effects(service, effects);
         let until = self.lease.map_or(now, |(_, until)| until);
-        self.feed(service, Event::LeaseExtended(until));
+        self.handle_event(service, Event::LeaseExtended(until));
         let fleet = self.context.shared_fleet.get();
-        self.look_for_earlier(&fleet);
-        self.show_targets(&fleet, service);
+        self.check_predecessors(&fleet);
+        self.update_targets(&fleet, service);
     }
 
-    /// Goes on with a service that was kept under an earlier lease, if its record is unchanged.
+    /// Resumes a service that was managed under an earlier lease if its record is unchanged; returns whether it was.
     ///
-    /// Another manager in between would have changed it: it writes before it grants.
-    fn goes_on(&mut self, service: &str, revision: Revision, item: Option<&Item>) -> bool {
-        let Some(kept) = self.kept.get_mut(service) else {
+    /// Another manager in between would have changed the record, which it writes before it grants.
+    fn resume(&mut self, service: &str, revision: Revision, item: Option<&Item>) -> bool {
+        let Some(managed) = self.services.get_mut(service) else {
             return false;
         };
-        let written = kept.written.as_ref().map(Record::encode);
-        let landed = item.is_some_and(|item| Some(&item.value) == written.as_ref());
-        if revision != kept.revision && !landed {
-            self.kept.shift_remove(service);
+        let written = managed.written.as_ref().map(Record::encode);
+        let was_written = item.is_some_and(|item| Some(&item.value) == written.as_ref());
+        if revision != managed.revision && !was_written {
+            self.services.shift_remove(service);
             return false;
         }
-        kept.verified = true;
-        let late = landed && revision != kept.revision;
-        kept.revision = revision;
+        managed.verified = true;
+        let newly_written = was_written && revision != managed.revision;
+        managed.revision = revision;
         self.log(&format!(
             "event=service-kept service={service} revision={revision}"
         ));
-        if late {
-            self.feed(service, Event::Committed);
+        if newly_written {
+            self.handle_event(service, Event::Committed);
         }
-        self.extend();
+        self.extend_grants();
         true
     }
 
+    /// Writes a record if the stored one is unchanged.
     pub(super) fn commit(&mut self, service: &str, record: &Record) {
-        let Some(kept) = self.kept.get_mut(service) else {
+        let Some(managed) = self.services.get_mut(service) else {
             return;
         };
-        kept.written = Some(record.clone());
-        let term = kept.keeper.term();
+        managed.written = Some(record.clone());
+        let term = managed.ownership.term();
         let key = self.context.keys.record(service);
-        let transaction = Transaction::replace(key, kept.revision, record.encode());
+        let transaction = Transaction::replace(key, managed.revision, record.encode());
         let (context, sender) = (self.context.clone(), self.sender.clone());
         let service = service.to_owned();
         compio::runtime::spawn(async move {
             let result = context.store.commit(transaction).await;
-            let _ = sender.unbounded_send(Message::Committed(service, term, result));
+            let _ = sender.unbounded_send(Message::CommitEnded(service, term, result));
         })
         .detach();
     }
 
-    pub(super) fn committed(&mut self, service: &str, term: Term, result: Result<Commit, Error>) {
-        let Some(kept) = self.kept.get_mut(service) else {
+    /// Handles the end of a commit: a conflict means that another manager has taken over.
+    pub(super) fn commit_ended(
+        &mut self,
+        service: &str,
+        term: Term,
+        result: Result<Commit, Error>,
+    ) {
+        let Some(managed) = self.services.get_mut(service) else {
             return;
         };
-        if kept.keeper.term() != term {
+        if managed.ownership.term() != term {
             return;
         }
         let revision = match result {
             Ok(Commit::Done(revision)) => Some(revision),
             Ok(Commit::Conflict(items)) => {
-                // An earlier try of the same write, whose answer was lost, may have landed.
-                let written = kept.written.as_ref().map(Record::encode);
-                let own = items
+                // An earlier attempt of the same write, whose response was lost, may have succeeded.
+                let written = managed.written.as_ref().map(Record::encode);
+                let own_item = items
                     .iter()
                     .find(|item| Some(&item.value) == written.as_ref());
-                own.map(|item| item.revision)
+                own_item.map(|item| item.revision)
             }
             Err(error) => {
                 self.log(&format!("event=commit-failed service={service} {error}"));
-                self.feed(service, Event::CommitFailed);
+                self.handle_event(service, Event::CommitFailed);
                 return;
             }
         };
@@ -161,17 +175,17 @@
             self.log(&format!(
                 "event=deposed service={service} cause=record-changed"
             ));
-            self.kept.shift_remove(service);
+            self.services.shift_remove(service);
             return;
         };
-        kept.revision = revision;
-        let record = kept.written.as_ref().map(Record::encode);
-        self.tell(service, revision, record.unwrap_or_default());
-        self.feed(service, Event::Committed);
+        managed.revision = revision;
+        let record = managed.written.as_ref().map(Record::encode);
+        self.publish(service, revision, record.unwrap_or_default());
+        self.handle_event(service, Event::Committed);
     }
 
-    /// Takes a record that was written into this VM's beliefs, from where other VMs hear it.
-    fn tell(&self, service: &str, revision: Revision, value: Vec<u8>) {
+    /// Adds a written record to this VM's view of the fleet, from which it is sent to other VMs.
+    fn publish(&self, service: &str, revision: Revision, value: Vec<u8>) {
         let context = &self.context;
         let change = Change::Put(Item {
             key: context.keys.record(service),
--- a/engine/src/owner/manager/updates.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -1,8 +1,8 @@
-//! What the manager hears of the fleet: load, other managers, targets, closed connections.
+//! Passes changes of the fleet to the services: load, targets, closed connections, and the end of other managers.
 
 use std::time::Duration;
 
-use super::{Kept, Manager};
+use super::{ManagedService, Manager};
 use crate::{
     catalogue::{ServiceId, TargetHash},
     fleet::Fleet,
@@ -10,125 +10,134 @@
 };
 
 impl Manager {
-    pub(super) fn loaded(
+    /// Adds what a VM counted and measured.
+    pub(super) fn add_load(
         &mut self,
         counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
         times: &[(TargetHash, f64, u32)],
     ) {
         let now = self.now();
         for (target, sum, count) in times {
-            self.times.add(now, *target, *sum, *count);
+            self.service_times.add(now, *target, *sum, *count);
         }
         for (service, counts) in counts {
-            if self.kept.contains_key(&service) {
+            if self.services.contains_key(&service) {
                 self.counts.entry(service).or_default().extend(counts);
             }
         }
     }
 
-    /// Tells a service's keeper what all VMs have counted since the last tick.
-    pub(super) fn tell_load(&mut self, service: &str) {
+    /// Passes what all VMs have counted since the last tick to a service.
+    pub(super) fn forward_load(&mut self, service: &str) {
         let Some(counts) = self.counts.swap_remove(service) else {
-            self.feed(service, Event::Tick);
+            self.handle_event(service, Event::Tick);
             return;
         };
         let fleet = self.context.shared_fleet.get();
         let targets = calls::targets_of(&fleet, service);
-        let times = calls::service_times(&self.times, &targets);
-        let rates = calls::rate_limits(&self.rates, &targets);
-        if let Some(kept) = self.kept.get_mut(service) {
-            kept.keeper.set_service_times(times);
-            kept.keeper.set_rate_limits(rates);
+        let times = calls::service_times(&self.service_times, &targets);
+        let rates = calls::rate_limits(&self.rate_limits, &targets);
+        if let Some(managed) = self.services.get_mut(service) {
+            managed.ownership.set_service_times(times);
+            managed.ownership.set_rate_limits(rates);
         }
-        self.feed(service, Event::Load(counts));
+        self.handle_event(service, Event::Load(counts));
     }
 
-    /// Takes note that a process knows of this manager: an earlier one has stopped then.
-    pub(super) fn told(&mut self, start: &str) {
-        let earlier = |kept: &Kept| kept.earlier.as_deref() == Some(start);
-        let services = self.kept.iter().filter(|(_, kept)| earlier(kept));
+    /// Handles a sync request from the process with this start: it knows this manager, so if it was the previous
+    /// manager itself, it has stopped.
+    pub(super) fn sync_received(&mut self, start: &str) {
+        let was_manager = |managed: &ManagedService| managed.predecessor.as_deref() == Some(start);
+        let services = self
+            .services
+            .iter()
+            .filter(|(_, managed)| was_manager(managed));
         let services: Vec<_> = services.map(|(name, _)| name.clone()).collect();
         for service in services {
-            self.earlier_stopped(&service, "it knows its successor");
+            self.predecessor_stopped(&service, "it knows the new manager");
         }
     }
 
-    fn earlier_stopped(&mut self, service: &str, cause: &str) {
-        let earlier = self
-            .kept
+    fn predecessor_stopped(&mut self, service: &str, cause: &str) {
+        let predecessor = self
+            .services
             .get_mut(service)
-            .and_then(|kept| kept.earlier.take());
-        if let Some(start) = earlier {
+            .and_then(|managed| managed.predecessor.take());
+        if let Some(start) = predecessor {
             self.log(&format!(
                 "event=earlier-manager-stopped start={start} cause=\"{cause}\""
             ));
-            self.feed(service, Event::PredecessorStopped);
+            self.handle_event(service, Event::PredecessorStopped);
         }
     }
 
-    /// Looks whether earlier managers' processes have been followed by later starts.
-    pub(super) fn look_for_earlier(&mut self, fleet: &Fleet) {
+    /// Checks whether the VMs of previous managers have restarted since.
+    pub(super) fn check_predecessors(&mut self, fleet: &Fleet) {
         let own = &self.context.vm;
         let ended = |start: &str| {
             let name = start.rsplit_once('/').map_or(start, |(name, _)| name);
-            let later = fleet.vms.get(name).is_some_and(|vm| vm.start != start);
-            start != own.start && (name == own.name || later)
+            let restarted = fleet.vms.get(name).is_some_and(|vm| vm.start != start);
+            start != own.start && (name == own.name || restarted)
         };
         let services = self
-            .kept
+            .services
             .iter()
-            .filter(|(_, kept)| kept.earlier.as_deref().is_some_and(ended));
+            .filter(|(_, managed)| managed.predecessor.as_deref().is_some_and(ended));
         let services: Vec<_> = services.map(|(name, _)| name.clone()).collect();
         for service in services {
-            self.earlier_stopped(&service, "its VM has started again");
+            self.predecessor_stopped(&service, "its VM has restarted");
         }
     }
 
-    /// Takes a change of beliefs in.
-    pub(super) fn look(&mut self) {
+    /// Handles a change of this VM's view of the fleet.
+    pub(super) fn fleet_changed(&mut self) {
         let fleet = self.context.shared_fleet.get();
-        self.look_for_earlier(&fleet);
-        self.yield_to_other(&fleet);
-        let services: Vec<_> = self.kept.keys().cloned().collect();
+        self.check_predecessors(&fleet);
+        self.step_down(&fleet);
+        let services: Vec<_> = self.services.keys().cloned().collect();
         for service in services {
-            self.show_targets(&fleet, &service);
+            self.update_targets(&fleet, &service);
         }
     }
 
-    /// Shows a keeper the targets of its service.
-    pub(super) fn show_targets(&mut self, fleet: &Fleet, service: &str) {
-        if let Some(kept) = self.kept.get_mut(service) {
-            kept.keeper
+    /// Passes the targets of a service to it.
+    pub(super) fn update_targets(&mut self, fleet: &Fleet, service: &str) {
+        if let Some(managed) = self.services.get_mut(service) {
+            managed
+                .ownership
                 .set_warming(calls::warming_targets(fleet, service));
         }
-        self.feed(service, Event::Targets(calls::targets_of(fleet, service)));
+        self.handle_event(service, Event::Targets(calls::targets_of(fleet, service)));
     }
 
-    /// Stops at once when another start is known to be the manager.
-    fn yield_to_other(&mut self, fleet: &Fleet) {
+    /// Stops managing at once when another process is known to be the manager.
+    fn step_down(&mut self, fleet: &Fleet) {
         let Some(manager) = &fleet.manager else {
             return;
         };
-        self.bid_due = None;
-        if manager.start != self.context.vm.start && !self.kept.is_empty() {
+        self.bid_at = None;
+        if manager.start != self.context.vm.start && !self.services.is_empty() {
             self.log(&format!(
                 "event=deposed cause=manager-is vm={}",
                 manager.name
             ));
-            self.kept.clear();
+            self.services.clear();
             self.drop_lease();
         }
     }
 
-    /// Tells keepers which targets have closed connections since the last look.
-    pub(super) fn look_for_closed(&mut self, now: Duration) {
-        let closed = self.context.client.peers_closed_since(self.looked);
-        self.looked = now;
-        let services: Vec<_> = self.kept.keys().cloned().collect();
+    /// Tells all services which targets have closed connections since the last check.
+    pub(super) fn forward_closed_connections(&mut self, now: Duration) {
+        let closed = self
+            .context
+            .client
+            .peers_closed_since(self.connections_checked_at);
+        self.connections_checked_at = now;
+        let services: Vec<_> = self.services.keys().cloned().collect();
         for address in closed {
             self.log(&format!("event=target-closed address={address}"));
             for service in &services {
-                self.feed(service, Event::ConnectionClosed(address));
+                self.handle_event(service, Event::ConnectionClosed(address));
             }
         }
     }
--- a/engine/src/owner/ownership/call_outcomes.rs
+++ b/engine/src/owner/ownership/call_outcomes.rs
@@ -48,7 +48,7 @@
                 self.stopped = true;
                 out.push(Effect::Deposed);
             }
-            CallOutcome::Gone => self.on_process_ended(now, from, out),
+            CallOutcome::Gone => self.process_ended(now, from, out),
             CallOutcome::Unsent => state.unsent += 1,
             CallOutcome::Silent => {
                 state.extend_expiry(now);
@@ -87,7 +87,7 @@
                 state.unanswered = 0;
                 state.unsent = 0;
             }
-            CallOutcome::Gone => self.on_process_ended(now, from, out),
+            CallOutcome::Gone => self.process_ended(now, from, out),
             // A release doesn't extend a grant; the grant expires meanwhile.
             CallOutcome::Fenced => {}
             CallOutcome::Unsent => state.unsent += 1,
@@ -99,7 +99,7 @@
     ///
     /// The keys of a target that has ended are then without an owner for some 0.1 s instead of up to a whole renewal
     /// interval.
-    pub(super) fn on_connection_closed(&mut self, now: Duration, address: SocketAddr) {
+    pub(super) fn connection_closed(&mut self, now: Duration, address: SocketAddr) {
         for range in &self.record.ranges {
             let owned = range.owner.as_ref().is_some_and(|it| it.address == address);
             if let Some(state) = self.states.get_mut(&range.from).filter(|_| owned) {
@@ -109,7 +109,7 @@
     }
 
     /// Ends the ownership of all ranges of an owner whose process has ended; `from` is in one of them.
-    fn on_process_ended(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
+    fn process_ended(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
         let owner = self.record.find(from).and_then(|range| range.owner.clone());
         let owned = self
             .record
--- a/engine/src/owner/ownership/commit.rs
+++ b/engine/src/owner/ownership/commit.rs
@@ -32,13 +32,13 @@
 
 impl ServiceOwnership {
     /// Schedules a retry of the commit with exponential backoff.
-    pub(super) fn on_commit_failed(&mut self, now: Duration) {
+    pub(super) fn commit_failed(&mut self, now: Duration) {
         self.commit_retry_at = Some(now + self.commit_backoff);
         self.commit_backoff = (self.commit_backoff * 2).min(MAX_COMMIT_BACKOFF);
     }
 
     /// Applies the commit that has succeeded.
-    pub(super) fn on_committed(&mut self, now: Duration) {
+    pub(super) fn committed(&mut self, now: Duration) {
         self.commit_retry_at = None;
         self.commit_backoff = RETRY_PAUSE;
         let Some(pending) = self.pending.take() else {
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -242,12 +242,12 @@
             Event::Targets(targets) => self.set_targets(targets),
             Event::GrantEnded(from, outcome) => self.grant_ended(now, from, &outcome, &mut out),
             Event::ReleaseEnded(from, outcome) => self.release_ended(now, from, outcome, &mut out),
-            Event::Committed => self.on_committed(now),
-            Event::CommitFailed => self.on_commit_failed(now),
+            Event::Committed => self.committed(now),
+            Event::CommitFailed => self.commit_failed(now),
             Event::LeaseExtended(until) => self.lease_until = until,
             Event::PredecessorStopped => self.predecessors.on_stopped(now),
             Event::Load(counts) => self.load.add(now, counts),
-            Event::ConnectionClosed(address) => self.on_connection_closed(now, address),
+            Event::ConnectionClosed(address) => self.connection_closed(now, address),
             Event::Tick => {}
         }
         if !self.stopped {
