--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -52,7 +52,7 @@
     },
     /// The process stops: resign, then answer on the channel.
     Stop(oneshot::Sender<()>),
-    /// The process with this start sent a sync request to this VM, so it knows that it isn't the manager itself.
+    /// The process with this start sent a sync request to this VM, so it knows that it isn't the manager.
     SyncReceived(String),
     /// A grant (`true`) or release (`false`) for the range that begins at this key ended.
     CallEnded(ServiceId, Term, RequestKey, bool, CallOutcome),
@@ -77,7 +77,7 @@
     pub targets: Rc<dyn TargetProtocol>,
     /// Connections to targets for grants and releases.
     pub client: Client,
-    /// What is believed of the fleet.
+    /// This VM's view of the fleet.
     pub shared_fleet: SharedFleet,
     /// Decodes entries of the store.
     pub catalogue: Rc<dyn Catalogue>,
@@ -226,9 +226,7 @@
             Message::CallEnded(service, term, from, grant, outcome) => {
                 self.call_ended(&service, term, from, grant, outcome);
             }
-            Message::CommitEnded(service, term, result) => {
-                self.commit_ended(&service, term, result)
-            }
+            Message::CommitEnded(name, term, result) => self.commit_ended(&name, term, result),
             Message::RecordRead(service, result) => self.record_read(&service, result),
             Message::BidEnded(result, sent) => self.bid_ended(result, sent),
             Message::RenewalEnded(result, sent) => self.renewal_ended(result, sent),
--- a/engine/src/owner/ownership/call_outcomes.rs
+++ b/engine/src/owner/ownership/call_outcomes.rs
@@ -111,13 +111,13 @@
     /// Ends the ownership of all ranges of an owner whose process has ended; `from` is in one of them.
     fn process_ended(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
         let owner = self.record.find(from).and_then(|range| range.owner.clone());
-        let owned = self
+        let ranges = self
             .record
             .ranges
             .iter()
             .filter(|range| range.owner == owner);
         // A range with a call in flight is handled when that call ends.
-        let idle = owned.filter(|range| {
+        let idle = ranges.filter(|range| {
             let state = self.states.get(&range.from);
             state.is_some_and(|state| !state.in_flight && !matches!(state.phase, Phase::Free(_)))
         });
