--- a/engine/src/owner/balance.rs
+++ b/engine/src/owner/balance.rs
@@ -76,7 +76,8 @@
 ///     record::{Incarnation, Record},
 /// };
 ///
-/// let candidate = |id: &str| Candidate { incarnation: Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() }, capacity: 2.0 };
+/// let incarnation = |id: &str| Incarnation { id: id.into(), start_time: 0, address: "127.0.0.1:1".parse().unwrap() };
+/// let candidate = |id: &str| Candidate { incarnation: incarnation(id), capacity: 2.0 };
 /// let record = Record::unowned(99);
 /// let moves = balance::assign(&record, &record.ranges, &[candidate("a"), candidate("b")], &Load::default());
 /// let bounds: Vec<_> = moves.iter().map(|it| (it.from, it.to)).collect();
@@ -225,7 +226,7 @@
 /// let record = Record { ranges: vec![range(0, 49, "a"), range(50, 99, "b")], ..Record::default() };
 /// let mut load = Load::default();
 /// load.add(Duration::ZERO, [(1, 30), (9, 30), (60, 2)]);
-/// let candidates = [Candidate { incarnation: incarnation("a"), capacity: 20.0 }, Candidate { incarnation: incarnation("b"), capacity: 20.0 }];
+/// let candidates = ["a", "b"].map(|id| Candidate { incarnation: incarnation(id), capacity: 20.0 });
 /// let moves = balance::plan(&record, &candidates, &load, &[]);
 /// assert_eq!(moves.len(), 1);
 /// assert_eq!(moves[0].from, moves[0].to);
@@ -250,6 +251,7 @@
     load: &'a Load,
     /// Requests a second by candidate, as they will be after the moves.
     rates: Vec<f64>,
+    /// The mean utilisation.
     mean: f64,
     moves: Vec<Move>,
     /// Keys that moved recently and stay where they are.
@@ -299,6 +301,7 @@
         excluded.any(|it| it.from <= to && from <= it.to)
     }
 
+    /// Returns the utilisation of a candidate, as it will be after the moves.
     fn utilisation(&self, at: usize) -> f64 {
         self.rates[at] / self.candidates[at].capacity.max(0.01)
     }
--- a/engine/src/owner/events.rs
+++ b/engine/src/owner/events.rs
@@ -39,7 +39,7 @@
     pub handover: Option<String>,
 }
 
-/// The outcome of a call to a target.
+/// The outcome of a call to a target; the log shows the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The target did it; a release may return a handover for the next owner.
@@ -50,7 +50,7 @@
     Gone,
     /// Nothing was sent.
     Unsent,
-    /// No response came in time; the call may have arrived, but can't arrive any more.
+    /// No response came in time; the call may have arrived before, but can't arrive any more.
     Silent,
 }
 
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -55,7 +55,7 @@
 /// How long after its decision a grant may arrive: it is sent within 0.4 s and times out after 0.4 s.
 const MAX_GRANT_DELAY: Duration = Duration::from_millis(800);
 
-/// The manager's ownership state of one service.
+/// The state machine of one service: takes events and returns what is to be done.
 ///
 /// # Example
 ///
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -29,9 +29,9 @@
             display("step=decode peer=record cause={cause}")
             source(cause)
         }
-        /// The range at this index is empty, exceeds the last key or names an owner that isn't in the table.
+        /// The range at this index is empty, exceeds the largest key or names an owner that isn't in the table.
         InvalidRange(index: usize) {
-            display("step=decode peer=record cause=range {index} is empty, exceeds the last key or has an unknown owner")
+            display("step=decode peer=record cause=range {index} is empty, overflows or has an unknown owner")
         }
     }
 }
--- a/engine/src/owner/redistribution.rs
+++ b/engine/src/owner/redistribution.rs
@@ -21,13 +21,13 @@
 
 /// How many requests must have been counted before the load counts as known: with fifteen targets, three each.
 const MIN_REQUESTS: f64 = 40.0;
-/// The ratio of all load that must exceed its owners' fair shares before keys are redistributed.
+/// The ratio of the excess load, see [`excess`], to all load above which keys are redistributed.
 ///
 /// A redistribution moves most keys; single runs of keys move for a smaller excess.
 const MIN_EXCESS_RATIO: f64 = 0.25;
 /// Ratio of a candidate's load to its fair share above which the rest counts as excess.
 const MAX_IMBALANCE: f64 = 1.4;
-/// The least mean utilisation at which keys are redistributed.
+/// The least mean utilisation at which a redistribution is worth its cost.
 const MIN_UTILISATION: f64 = 0.15;
 /// The ratio of the weight that is spread evenly over all keys, since any key may become hot.
 const WIDTH_WEIGHT: f64 = 0.15;
