--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -68,6 +68,7 @@
         .detach();
     }
 
+    /// Returns the time between two renewals of the lease.
     fn renew_interval(&self) -> Duration {
         (self.timing.lease / RENEWALS_PER_LEASE).min(MAX_RENEW_INTERVAL)
     }
@@ -78,6 +79,7 @@
         self.context.leading.set(false);
     }
 
+    /// Handles the end of a bid, which was sent at `sent`; on success this VM is the manager.
     pub(super) fn bid_ended(&mut self, result: Result<Option<Lease>, Error>, sent: Duration) {
         self.bidding = false;
         match result {
@@ -119,6 +121,7 @@
         .detach();
     }
 
+    /// Handles the end of a renewal, which was sent at `sent`.
     pub(super) fn renewal_ended(&mut self, result: Result<Duration, Error>, sent: Duration) {
         match result {
             Ok(span) => {
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -175,6 +175,7 @@
 }
 
 impl Manager {
+    /// Handles messages and changes of the fleet until the process stops.
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         let mut changes = self.context.shared_fleet.subscribe();
         loop {
@@ -211,6 +212,7 @@
         self.context.report.line(text);
     }
 
+    /// Handles one message.
     fn handle(&mut self, message: Message) {
         match message {
             Message::Load {
@@ -243,6 +245,7 @@
         self.apply_effects(service, effects);
     }
 
+    /// Carries out the effects that a service asks for.
     fn apply_effects(&mut self, service: &str, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
@@ -260,6 +263,7 @@
         }
     }
 
+    /// Passes the outcome of a call to its service, unless the service has entered another term since.
     fn call_ended(
         &mut self,
         service: &str,
--- a/engine/src/owner/manager/updates.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -58,6 +58,7 @@
         }
     }
 
+    /// Records that the previous manager of a service has stopped.
     fn predecessor_stopped(&mut self, service: &str, cause: &str) {
         let predecessor = self
             .services
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -260,6 +260,7 @@
         out
     }
 
+    /// Replaces the announced targets.
     fn set_targets(&mut self, targets: Vec<Target>) {
         let by_id = targets.into_iter().map(|it| (it.id.clone(), it));
         self.targets = by_id.collect();
@@ -292,6 +293,7 @@
         }
     }
 
+    /// Returns whether a target is in warm-up.
     fn is_warming(&self, now: Duration, target: &TargetId) -> bool {
         self.warming.get(target).is_some_and(|until| now < *until)
     }
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -198,6 +198,7 @@
         }
     }
 
+    /// Splits the range that contains `key`, so that one begins at `key`.
     fn split_before(&mut self, key: RequestKey) {
         let index = self.ranges.partition_point(|range| range.to < key);
         let Some(range) = self.ranges.get_mut(index) else {
