--- a/engine/src/placement/bucket.rs
+++ b/engine/src/placement/bucket.rs
@@ -11,10 +11,10 @@
 use super::rates;
 use crate::target::Rate;
 
-/// How many requests may follow one another without a pause when none came before, beside those of [`EXCHANGE`].
+/// How many requests may follow one another without a pause when none came before, beside those of [`MAX_ACCRUAL`].
 const BURST: f64 = 2.0;
 /// For how long what may go adds up: VMs ask for it that seldom.
-const EXCHANGE: Duration = Duration::from_millis(250);
+const MAX_ACCRUAL: Duration = Duration::from_millis(250);
 
 /// How many requests may go to a target now, by a rate: what the manager shares out among all VMs.
 ///
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl TokenBucket {
@@ -47,7 +47,7 @@
     pub fn new(now: Duration) -> Self {
         Self {
             tokens: 0.0,
-            at: now,
+            updated_at: now,
         }
     }
 
@@ -57,11 +57,11 @@
     ///
     /// See [`TokenBucket`].
     pub fn available(&mut self, now: Duration, rate: Rate) -> u32 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.at = now;
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = now;
         let rate = rates::effective_rate(rate);
-        let most = BURST + rate * EXCHANGE.as_secs_f64();
-        self.tokens = (self.tokens + passed * rate).min(most);
+        let capacity = BURST + rate * MAX_ACCRUAL.as_secs_f64();
+        self.tokens = (self.tokens + elapsed * rate).min(capacity);
         self.tokens as u32
     }
 
@@ -80,7 +80,7 @@
     ///
     /// See [`TokenBucket`].
     pub fn wait_time(&self, rate: Rate) -> Duration {
-        let lacking = (1.0 - self.tokens).max(0.0);
-        Duration::from_secs_f64(lacking / rates::effective_rate(rate))
+        let missing = (1.0 - self.tokens).max(0.0);
+        Duration::from_secs_f64(missing / rates::effective_rate(rate))
     }
 }
--- a/engine/src/placement/budget.rs
+++ b/engine/src/placement/budget.rs
@@ -10,9 +10,9 @@
 use std::{collections::VecDeque, fmt, time::Duration};
 
 /// The part of this VM's allowance that is used: VMs' counts of each other differ for a while.
-const USED: f64 = 0.8;
+const USED_FRACTION: f64 = 0.8;
 /// The part that a process uses in its first window, in which its VM may have used that of an earlier process.
-const USED_NEW: f64 = 0.15;
+const NEW_PROCESS_FRACTION: f64 = 0.15;
 /// Into how many slices the window is cut.
 const SLICES: u32 = 10;
 
@@ -33,7 +33,7 @@
     /// How many repeats this VM has sent within the window.
     pub spent: u32,
     /// How many it may send.
-    pub most: u32,
+    pub limit: u32,
     /// Among how many VMs the slack is divided.
     pub vms: usize,
 }
@@ -46,18 +46,18 @@
     /// ```
     /// use bramleypier_engine::placement::budget::Balance;
     ///
-    /// assert!(Balance { spent: 2, most: 3, vms: 10 }.allows_retry());
-    /// assert!(!Balance { spent: 3, most: 3, vms: 10 }.allows_retry());
+    /// assert!(Balance { spent: 2, limit: 3, vms: 10 }.allows_retry());
+    /// assert!(!Balance { spent: 3, limit: 3, vms: 10 }.allows_retry());
     /// ```
     pub fn allows_retry(&self) -> bool {
-        self.spent < self.most
+        self.spent < self.limit
     }
 }
 
 impl fmt::Display for Balance {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { spent, most, vms } = self;
-        write!(f, "repeats={spent}/{most} vms={vms}")
+        let Self { spent, limit, vms } = self;
+        write!(f, "repeats={spent}/{limit} vms={vms}")
     }
 }
 
@@ -77,20 +77,20 @@
 /// use bramleypier_engine::placement::budget::{Allowance, RetryBudget};
 ///
 /// let allowance = Allowance { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
-/// let repeats = |now| {
+/// let retries = |now| {
 ///     let mut budget = RetryBudget::new(Duration::ZERO);
 ///     for _ in 0..100 {
 ///         budget.count(now, allowance);
 ///     }
 ///     (0..100).filter(|_| budget.spend(now, allowance, 1).allows_retry()).count()
 /// };
-/// assert_eq!(repeats(Duration::from_secs(9)), 3);
-/// assert_eq!(repeats(Duration::from_secs(10)), 16);
+/// assert_eq!(retries(Duration::from_secs(9)), 3);
+/// assert_eq!(retries(Duration::from_secs(10)), 16);
 /// ```
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// When the process started.
-    since: Duration,
+    started_at: Duration,
     /// Slices of the window, the oldest first; that one may have left it in part.
     slices: VecDeque<Slice>,
 }
@@ -101,7 +101,7 @@
     /// Its number since the clock's origin.
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 impl RetryBudget {
@@ -110,9 +110,9 @@
     /// # Example
     ///
     /// See [`RetryBudget`].
-    pub fn new(since: Duration) -> Self {
+    pub fn new(started_at: Duration) -> Self {
         Self {
-            since,
+            started_at,
             slices: VecDeque::new(),
         }
     }
@@ -134,7 +134,7 @@
     pub fn spend(&mut self, now: Duration, allowance: Allowance, vms: usize) -> Balance {
         let balance = self.balance(now, allowance, vms);
         if balance.allows_retry() {
-            self.slice(now, allowance).repeats += 1;
+            self.slice(now, allowance).retries += 1;
         }
         balance
     }
@@ -142,8 +142,8 @@
     fn balance(&mut self, now: Duration, allowance: Allowance, vms: usize) -> Balance {
         let newest = self.slice(now, allowance).number;
         // The oldest slice's repeats may count still; its requests earn nothing any more.
-        let within = |it: &&Slice| it.number + u64::from(SLICES) > newest;
-        let slices = self.slices.iter().filter(within);
+        let in_window = |it: &&Slice| it.number + u64::from(SLICES) > newest;
+        let slices = self.slices.iter().filter(in_window);
         let requests: u32 = slices.map(|it| it.requests).sum();
         let earned = f64::from(requests) * allowance.ratio;
         // A VM that knows of none, not even of itself, can't tell which part is its own.
@@ -152,24 +152,24 @@
         } else {
             allowance.slack / vms as f64
         };
-        let age = now.saturating_sub(self.since);
-        let most = if age < allowance.window {
+        let age = now.saturating_sub(self.started_at);
+        let limit = if age < allowance.window {
             // The slack grows with the age, so that several starts within a window have one part together.
-            (earned + slack * age.div_duration_f64(allowance.window)) * USED_NEW
+            (earned + slack * age.div_duration_f64(allowance.window)) * NEW_PROCESS_FRACTION
         } else {
-            (earned + slack) * USED
+            (earned + slack) * USED_FRACTION
         };
         Balance {
-            spent: self.slices.iter().map(|it| it.repeats).sum(),
-            most: most as u32,
+            spent: self.slices.iter().map(|it| it.retries).sum(),
+            limit: limit as u32,
             vms,
         }
     }
 
     /// The slice of a time; those that have left the window whole are forgotten.
     fn slice(&mut self, now: Duration, allowance: Allowance) -> &mut Slice {
-        let span = (allowance.window / SLICES).max(Duration::from_millis(1));
-        let number = u64::try_from(now.as_nanos() / span.as_nanos()).unwrap_or(u64::MAX);
+        let slice_length = (allowance.window / SLICES).max(Duration::from_millis(1));
+        let number = u64::try_from(now.as_nanos() / slice_length.as_nanos()).unwrap_or(u64::MAX);
         let has_left = |it: &Slice| it.number + u64::from(SLICES) < number;
         while self.slices.front().is_some_and(has_left) {
             self.slices.pop_front();
--- a/engine/src/placement/dispatch/choose.rs
+++ b/engine/src/placement/dispatch/choose.rs
@@ -10,8 +10,8 @@
 use rand::{Rng, seq::index};
 
 use super::{
-    Basis, COME_BACK_UNOWNED, DispatchRequest, Dispatcher, RefusalReason,
-    admission::{Choice, Place, Standing},
+    Basis, DispatchRequest, Dispatcher, RETRY_AFTER_NO_OWNER, RefusalReason,
+    admission::{Candidate, Decision, QueueState},
 };
 use crate::{
     catalogue::{Target, TargetId},
@@ -19,190 +19,214 @@
     placement::{
         quota::Quota,
         refused_keys,
-        target_state::{Member, UNKNOWN_TIME},
+        target_state::{DEFAULT_SERVICE_TIME, TargetState},
     },
 };
 
-/// How long a request waits for its key to have an owner, as a part of the route's goal.
+/// How long a request waits for its key to have an owner, as a range of the route's goal.
 ///
 /// A planned move takes one release, one write and one grant, some 50 to 200 ms; a lost owner takes
 /// seconds, for which no request should be held.
-const OWNER_WAIT_PART: f64 = 0.6;
-/// The least time to come back that is told: a caller is some 10 ms away.
+const OWNER_WAIT_FRACTION: f64 = 0.6;
+/// The least time to come back that is told: a caller is some 10 ms remote.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// By how much estimates are varied, so that VMs with the same news don't all pick the same target.
+/// By how much estimates are varied, so that VMs with the same reports don't all pick the same target.
 const JITTER: f64 = 0.12;
 /// How much longer a request in another failure domain counts as taking: the way there and back is
 /// some 3 ms of 60.
-const AWAY: f64 = 1.04;
+const REMOTE_FACTOR: f64 = 1.04;
 
-/// How many targets are drawn for a request, of which those that are near and a few others are compared.
+/// How many targets are sampled for a request, of which those that are local and a few others are compared.
 ///
 /// All VMs hear the same counts at the same time, and each would send to the same few that look best. With
-/// some drawn at random for each request they spread, and one of the faster is nearly always among them.
-const DRAWN: usize = 12;
+/// some sampled at random for each request they spread, and one of the faster is nearly always among them.
+const SAMPLE_SIZE: usize = 12;
 /// How many of those in other failure domains are compared.
-const DRAWN_AWAY: usize = 3;
+const MAX_REMOTE_SAMPLED: usize = 3;
 /// How many service times a goal is usually worth: what is assumed while nothing was measured.
-const GOAL_TIMES: f64 = 5.0;
+const SERVICE_TIMES_PER_GOAL: f64 = 5.0;
 /// How long a median of service times counts: it changes slowly, and hundreds of targets are in it.
-const USUAL_LIFE: Duration = Duration::from_millis(50);
+const MEDIAN_LIFETIME: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
     pub(super) fn choose(
         &mut self,
         now: Duration,
-        ask: &DispatchRequest,
-        standing: Standing,
-    ) -> Choice {
-        if self.view.evacuated.contains(&ask.service) {
-            return Choice::Refuse(
+        request: &DispatchRequest,
+        queue_state: QueueState,
+    ) -> Decision {
+        if self.view.evacuated.contains(&request.service) {
+            return Decision::Refuse(
                 RefusalReason::Evacuated,
-                COME_BACK_UNOWNED,
-                self.owner_basis(ask),
+                RETRY_AFTER_NO_OWNER,
+                self.owner_basis(request),
             );
         }
-        match (ask.point, self.view.records.get(&ask.service)) {
+        match (request.point, self.view.records.get(&request.service)) {
             (Some(point), Some(record)) => {
                 let record = record.clone();
-                self.choose_owner(now, ask, standing, point, &record)
+                self.choose_owner(now, request, queue_state, point, &record)
             }
-            (Some(_), None) => self.unowned(now, ask),
-            (None, _) => self.choose_any(now, ask, standing),
+            (Some(_), None) => self.wait_for_owner(now, request),
+            (None, _) => self.choose_any(now, request, queue_state),
         }
     }
 
     fn choose_owner(
         &self,
         now: Duration,
-        ask: &DispatchRequest,
-        standing: Standing,
+        request: &DispatchRequest,
+        queue_state: QueueState,
         point: RequestKey,
         record: &Record,
-    ) -> Choice {
-        let Some(part) = record.find(point) else {
-            return self.unowned(now, ask);
+    ) -> Decision {
+        let Some(range) = record.find(point) else {
+            return self.wait_for_owner(now, request);
         };
-        match self.unowned.standing(now, &ask.service, part, point) {
+        match self.refused_keys.state(now, &request.service, range, point) {
             // A move ends within a few hundred milliseconds, a loss doesn't.
-            refused_keys::KeyState::Moving if now < ask.goal.min(ask.deadline) => {
-                return Choice::Wait(None);
+            refused_keys::KeyState::Moving if now < request.goal.min(request.deadline) => {
+                return Decision::Queue(None);
             }
             refused_keys::KeyState::Moving | refused_keys::KeyState::Lost => {
-                return self.unowned(now, ask);
+                return self.wait_for_owner(now, request);
             }
             refused_keys::KeyState::Open => {}
         }
-        if ask.refused_by(part) {
-            // Its owner takes others by now, or another request finds out. To ask once more would be a
+        if request.refused_by(range) {
+            // Its owner takes others by now, or another request finds out. To request once more would be a
             // repeat, perhaps at another service's target.
-            return Choice::Refuse(RefusalReason::Moved, MIN_RETRY_AFTER, self.owner_basis(ask));
+            return Decision::Refuse(
+                RefusalReason::Moved,
+                MIN_RETRY_AFTER,
+                self.owner_basis(request),
+            );
         }
-        let member = part.owner.as_ref().and_then(|life| {
-            let member = self.members.get(&life.id);
-            member.filter(|it| life.is_announced_by(&it.target))
+        let state = range.owner.as_ref().and_then(|life| {
+            let state = self.target_states.get(&life.id);
+            state.filter(|it| life.is_announced_by(&it.target))
         });
-        let Some(member) = member else {
-            return self.unowned(now, ask);
+        let Some(state) = state else {
+            return self.wait_for_owner(now, request);
         };
-        if !member.is_open(now) || ask.tried.contains(&member.target.id) {
-            return self.unowned(now, ask);
+        if !state.is_available(now) || request.tried.contains(&state.target.id) {
+            return self.wait_for_owner(now, request);
         }
-        let place = Place {
-            member,
-            usual: self.usual(ask),
-            fence: part.fence,
-            standing,
-            before: self.line(&member.target.id),
+        let candidate = Candidate {
+            state,
+            typical_time: self.typical_time(request),
+            fence: range.fence,
+            queue_state,
+            queued_here: self.queued_within_goal(&state.target.id),
         };
-        place.fit(now, ask)
+        candidate.decide(now, request)
     }
 
     /// What to do for a request whose key has no owner that can be reached.
-    fn unowned(&self, now: Duration, ask: &DispatchRequest) -> Choice {
-        let goal = ask.goal.saturating_sub(ask.received_at);
-        let patience = ask.received_at + goal.mul_f64(OWNER_WAIT_PART);
-        if now < patience.min(ask.deadline) {
-            return Choice::Wait(None);
+    fn wait_for_owner(&self, now: Duration, request: &DispatchRequest) -> Decision {
+        let goal = request.goal.saturating_sub(request.received_at);
+        let wait_until = request.received_at + goal.mul_f64(OWNER_WAIT_FRACTION);
+        if now < wait_until.min(request.deadline) {
+            return Decision::Queue(None);
         }
-        Choice::Refuse(
+        Decision::Refuse(
             RefusalReason::NoOwner,
-            COME_BACK_UNOWNED,
-            self.owner_basis(ask),
+            RETRY_AFTER_NO_OWNER,
+            self.owner_basis(request),
         )
     }
 
     /// Tells which owner was known for a request that none could serve.
-    fn owner_basis(&self, ask: &DispatchRequest) -> Basis {
-        let record = self.view.records.get(&ask.service);
-        let part = record
-            .zip(ask.point)
+    fn owner_basis(&self, request: &DispatchRequest) -> Basis {
+        let record = self.view.records.get(&request.service);
+        let range = record
+            .zip(request.point)
             .and_then(|(record, point)| record.find(point));
-        let owner = part.and_then(|part| part.owner.as_ref());
+        let owner = range.and_then(|range| range.owner.as_ref());
         Basis {
             target: owner.map_or_else(|| "none".to_owned(), |life| life.id.clone()),
-            fence: part.map_or(0, |part| part.fence),
+            fence: range.map_or(0, |range| range.fence),
             ..Basis::default()
         }
     }
 
-    fn choose_any(&mut self, now: Duration, ask: &DispatchRequest, standing: Standing) -> Choice {
+    fn choose_any(
+        &mut self,
+        now: Duration,
+        request: &DispatchRequest,
+        queue_state: QueueState,
+    ) -> Decision {
         let view = self.view.clone();
-        let Some(targets) = view.targets.get(&ask.service) else {
-            return self.untargeted(now, ask);
+        let Some(targets) = view.targets.get(&request.service) else {
+            return self.wait_for_target(now, request);
         };
-        let drawn = self.draw(ask, targets);
-        let few = self.best(now, ask, drawn.into_iter());
-        let Some(id) = few.or_else(|| self.best(now, ask, targets.iter())) else {
-            return self.untargeted(now, ask);
+        let sampled = self.sample(request, targets);
+        let best = self.best(now, request, sampled.into_iter());
+        let Some(id) = best.or_else(|| self.best(now, request, targets.iter())) else {
+            return self.wait_for_target(now, request);
         };
-        let place = Place {
-            member: &self.members[&id],
-            usual: self.usual(ask),
+        let candidate = Candidate {
+            state: &self.target_states[&id],
+            typical_time: self.typical_time(request),
             fence: 0,
-            standing,
-            before: self.line(&id),
+            queue_state,
+            queued_here: self.queued_within_goal(&id),
         };
-        place.fit(now, ask)
+        candidate.decide(now, request)
     }
 
-    /// Draws the targets that are compared for a request: more of those that are near, since bytes between
+    /// Draws the targets that are compared for a request: more of those that are local, since bytes between
     /// failure domains are paid for; for a large answer all.
     ///
     /// Cold ones to which this VM may send are always among them: no more than two others may, so what is not
     /// sent from here is hardly sent at all.
-    fn draw<'a>(&mut self, ask: &DispatchRequest, targets: &'a [Target]) -> Vec<&'a Target> {
-        if ask.large {
+    fn sample<'a>(&mut self, request: &DispatchRequest, targets: &'a [Target]) -> Vec<&'a Target> {
+        if request.large {
             return targets.iter().collect();
         }
-        let count = DRAWN.min(targets.len());
-        let drawn = index::sample(&mut self.random, targets.len(), count);
-        let drawn = drawn.into_iter().map(|place| &targets[place]);
-        let (mut kept, away): (Vec<_>, Vec<_>) = drawn.partition(|it| it.domain == self.domain);
-        kept.extend(away.into_iter().take(DRAWN_AWAY));
-        let paced = self.paced.get(&ask.service).into_iter().flatten();
-        kept.extend(paced.filter_map(|place| targets.get(*place)));
+        let count = SAMPLE_SIZE.min(targets.len());
+        let sampled = index::sample(&mut self.random, targets.len(), count);
+        let sampled = sampled.into_iter().map(|index| &targets[index]);
+        let (mut kept, remote): (Vec<_>, Vec<_>) = sampled.partition(|it| it.domain == self.domain);
+        kept.extend(remote.into_iter().take(MAX_REMOTE_SAMPLED));
+        let paced = self
+            .paced_targets
+            .get(&request.service)
+            .into_iter()
+            .flatten();
+        kept.extend(paced.filter_map(|index| targets.get(*index)));
         kept
     }
 
     /// The best of some targets that can be reached.
-    fn best<'a, T>(&mut self, now: Duration, ask: &DispatchRequest, targets: T) -> Option<TargetId>
+    fn best<'a, T>(
+        &mut self,
+        now: Duration,
+        request: &DispatchRequest,
+        targets: T,
+    ) -> Option<TargetId>
     where
         T: Iterator<Item = &'a Target>,
     {
-        let usual = self.usual(ask);
+        let typical_time = self.typical_time(request);
         let mut best: Option<(&Target, Rank)> = None;
         for target in targets {
-            let Some(member) = self.members.get(&target.id) else {
+            let Some(state) = self.target_states.get(&target.id) else {
                 continue;
             };
-            let open = member.is_open(now) && member.has_pace(now);
-            if !open || ask.tried.contains(&target.id) {
+            let open = state.is_available(now) && state.allows_rate(now);
+            if !open || request.tried.contains(&target.id) {
                 continue;
             }
-            let vary = 1.0 + self.random.random_range(-JITTER..JITTER);
-            let rank = rank(now, ask, member, usual, target.domain == self.domain);
-            let rank = (rank.0, rank.1 * vary);
+            let jitter = 1.0 + self.random.random_range(-JITTER..JITTER);
+            let rank = rank(
+                now,
+                request,
+                state,
+                typical_time,
+                target.domain == self.domain,
+            );
+            let rank = (rank.0, rank.1 * jitter);
             if best.is_none_or(|(_, least)| rank < least) {
                 best = Some((target, rank));
             }
@@ -210,41 +234,47 @@
         best.map(|(target, _)| target.id.clone())
     }
 
-    fn untargeted(&self, now: Duration, ask: &DispatchRequest) -> Choice {
-        match self.unowned(now, ask) {
-            Choice::Refuse(_, retry, basis) => {
-                Choice::Refuse(RefusalReason::NoTarget, retry, basis)
+    fn wait_for_target(&self, now: Duration, request: &DispatchRequest) -> Decision {
+        match self.wait_for_owner(now, request) {
+            Decision::Refuse(_, retry, basis) => {
+                Decision::Refuse(RefusalReason::NoTarget, retry, basis)
             }
             choice => choice,
         }
     }
 
     /// The service time that is usual for a request, in seconds: as measured, or else by its goal.
-    pub(super) fn usual(&self, ask: &DispatchRequest) -> Option<f64> {
-        let measured = self.usual.get(&ask.service).copied();
+    pub(super) fn typical_time(&self, request: &DispatchRequest) -> Option<f64> {
+        let measured = self.median_times.get(&request.service).copied();
         measured.or_else(|| {
-            let goal = ask.goal.saturating_sub(ask.received_at);
-            let assumed = goal.div_f64(GOAL_TIMES).max(UNKNOWN_TIME);
+            let goal = request.goal.saturating_sub(request.received_at);
+            let assumed = goal
+                .div_f64(SERVICE_TIMES_PER_GOAL)
+                .max(DEFAULT_SERVICE_TIME);
             Some(assumed.as_secs_f64())
         })
     }
 
     /// Takes the median service time of each service's targets anew, unless that was done just now.
-    pub(super) fn refresh_usual(&mut self, now: Duration) {
-        if now < self.usual_due {
+    pub(super) fn refresh_medians(&mut self, now: Duration) {
+        if now < self.medians_due {
             return;
         }
-        self.usual_due = now + USUAL_LIFE;
+        self.medians_due = now + MEDIAN_LIFETIME;
         let view = self.view.clone();
         for (service, targets) in &view.targets {
-            let members = targets.iter().filter_map(|it| self.members.get(&it.id));
-            let mut times: Vec<f64> = members.filter_map(Member::measured).collect();
+            let target_states = targets
+                .iter()
+                .filter_map(|it| self.target_states.get(&it.id));
+            let mut times: Vec<f64> = target_states
+                .filter_map(TargetState::measured_time)
+                .collect();
             let middle = times.len() / 2;
             if times.is_empty() {
                 continue;
             }
             let (_, median, _) = times.select_nth_unstable_by(middle, f64::total_cmp);
-            self.usual.insert(service.clone(), *median);
+            self.median_times.insert(service.clone(), *median);
         }
     }
 }
@@ -256,35 +286,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum Tier {
     /// For a large answer: in the caller's failure domain, and in time.
-    Near,
+    Local,
     /// Any that has room.
-    Open,
+    Available,
     /// Other VMs' requests take all its room.
-    Taken,
+    Saturated,
     /// It fails too often.
-    Bad,
+    Failing,
 }
 
 fn rank(
     now: Duration,
-    ask: &DispatchRequest,
-    member: &Member,
-    usual: Option<f64>,
-    near: bool,
+    request: &DispatchRequest,
+    state: &TargetState,
+    typical_time: Option<f64>,
+    local: bool,
 ) -> Rank {
-    let expected = member.expected(now, usual);
-    let in_time = now + Duration::from_secs_f64(expected) <= ask.goal;
-    let taken = |share: &Quota| share.busy && share.within_goal == 0;
-    let tier = if member.is_bad(now) {
-        Tier::Bad
-    } else if member.is_shared(now, usual, false) && member.share().is_some_and(taken) {
-        Tier::Taken
-    } else if ask.large && near && in_time {
+    let expected = state.expected_time(now, typical_time);
+    let in_time = now + Duration::from_secs_f64(expected) <= request.goal;
+    let saturated = |quota: &Quota| quota.busy && quota.within_goal == 0;
+    let tier = if state.is_failing(now) {
+        Tier::Failing
+    } else if state.uses_quota(now, typical_time, false) && state.quota().is_some_and(saturated) {
+        Tier::Saturated
+    } else if request.large && local && in_time {
         // Bytes between failure domains are paid for, so a faster target elsewhere is no reason.
-        Tier::Near
+        Tier::Local
     } else {
-        Tier::Open
+        Tier::Available
     };
-    let away = if near { 1.0 } else { AWAY };
-    (tier, expected * away * (1.0 + 4.0 * member.failures(now)))
+    let remote = if local { 1.0 } else { REMOTE_FACTOR };
+    (
+        tier,
+        expected * remote * (1.0 + 4.0 * state.failure_rate(now)),
+    )
 }
--- a/engine/src/placement/dispatch/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -20,7 +20,7 @@
 use indexmap::IndexMap;
 use rand::{SeedableRng, rngs::SmallRng};
 
-use self::admission::{Choice, Line, Right, Standing};
+use self::admission::{Decision, QueueKey, QueueState, QuotaKind};
 pub use self::choose::MIN_RETRY_AFTER;
 pub use super::message::{
     Basis, Completion, CompletionKind, DispatchRequest, Effect, Event, FleetView, RefusalReason,
@@ -29,10 +29,10 @@
 use super::{
     budget::{Allowance, Balance, RetryBudget},
     rates::Rates,
-    refused_keys::Unowned,
-    target_state::Member,
-    vm_count::Sharers,
-    warmup::{BurstAllowance, Limit, SenderPlan},
+    refused_keys::RefusedKeys,
+    target_state::TargetState,
+    vm_count::PeakVmCount,
+    warmup::{BurstAllowance, SendLimit, SenderPlan},
 };
 use crate::{
     catalogue::{self, DomainId, ServiceId, Target, TargetId},
@@ -40,18 +40,18 @@
 };
 
 /// The time to come back when a key has no owner.
-const COME_BACK_UNOWNED: Duration = Duration::from_millis(400);
+const RETRY_AFTER_NO_OWNER: Duration = Duration::from_millis(400);
 /// How many requests may wait on one VM.
-const WAITING_MOST: usize = 512;
+const MAX_QUEUED: usize = 512;
 
 #[derive(Debug)]
-struct Waiting {
-    ask: DispatchRequest,
-    counted: bool,
+struct Queued {
+    request: DispatchRequest,
+    charged: bool,
     /// Where it waits, if for room at a target.
-    line: Option<Line>,
+    queue: Option<QueueKey>,
     /// Whether too many go before it there for an answer within its goal.
-    beyond: bool,
+    demoted: bool,
 }
 
 /// One VM's decisions on where requests go.
@@ -59,28 +59,28 @@
 pub struct Dispatcher {
     vm: VmId,
     domain: DomainId,
-    tolerance: BurstAllowance,
+    burst_allowance: BurstAllowance,
     allowance: Allowance,
     /// When the process started, as its first event tells.
-    since: Option<Duration>,
+    started_at: Option<Duration>,
     view: Rc<FleetView>,
-    members: IndexMap<TargetId, Member>,
+    target_states: IndexMap<TargetId, TargetState>,
     budgets: IndexMap<ServiceId, RetryBudget>,
     /// How many VMs share those.
-    sharers: Sharers,
-    waiting: Vec<Waiting>,
+    vm_count: PeakVmCount,
+    queue: Vec<Queued>,
     /// The median service time of each service's targets, in seconds, as far as any was measured.
-    usual: IndexMap<ServiceId, f64>,
-    /// When those are taken anew.
-    usual_due: Duration,
+    median_times: IndexMap<ServiceId, f64>,
+    /// When those are saturated anew.
+    medians_due: Duration,
     /// Keys whose owners have refused them.
-    unowned: Unowned,
-    /// The rates to which targets ask to be held.
+    refused_keys: RefusedKeys,
+    /// The rates to which targets request to be held.
     rates: Rates,
     /// What is believed anew, for the log.
-    notes: Vec<String>,
+    log_lines: Vec<String>,
     /// Cold targets to which this VM, one of few, may send at a pace: their places in the view.
-    paced: IndexMap<ServiceId, Vec<usize>>,
+    paced_targets: IndexMap<ServiceId, Vec<usize>>,
     random: SmallRng,
 }
 
@@ -105,20 +105,20 @@
         Self {
             vm: VmId::new(),
             domain: domain.to_owned(),
-            tolerance: BurstAllowance::default(),
+            burst_allowance: BurstAllowance::default(),
             allowance,
-            since: None,
+            started_at: None,
             view: Rc::default(),
-            members: IndexMap::new(),
+            target_states: IndexMap::new(),
             budgets: IndexMap::new(),
-            sharers: Sharers::over(allowance.window),
-            waiting: Vec::new(),
-            usual: IndexMap::new(),
-            usual_due: Duration::ZERO,
-            unowned: Unowned::default(),
+            vm_count: PeakVmCount::new(allowance.window),
+            queue: Vec::new(),
+            median_times: IndexMap::new(),
+            medians_due: Duration::ZERO,
+            refused_keys: RefusedKeys::default(),
             rates: Rates::default(),
-            notes: Vec::new(),
-            paced: IndexMap::new(),
+            log_lines: Vec::new(),
+            paced_targets: IndexMap::new(),
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -135,14 +135,14 @@
     /// use bramleypier_engine::placement::{budget::Allowance, dispatch::Dispatcher, warmup::BurstAllowance};
     ///
     /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
-    /// let tolerance = BurstAllowance { over: 1.5, slack: 8.0 };
-    /// let dispatcher = Dispatcher::new("domain-1", allowance, 1).with_vm("vm-1", tolerance);
+    /// let burst_allowance = BurstAllowance { over: 1.5, slack: 8.0 };
+    /// let dispatcher = Dispatcher::new("domain-1", allowance, 1).with_vm("vm-1", burst_allowance);
     /// assert_eq!(dispatcher.queue_len(), 0);
     /// ```
     #[must_use]
-    pub fn with_vm(mut self, vm: &str, tolerance: BurstAllowance) -> Self {
+    pub fn with_vm(mut self, vm: &str, burst_allowance: BurstAllowance) -> Self {
         vm.clone_into(&mut self.vm);
-        self.tolerance = tolerance;
+        self.burst_allowance = burst_allowance;
         self
     }
 
@@ -153,38 +153,35 @@
     /// See [`Dispatcher::new`].
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
-        self.since.get_or_insert(now);
-        self.refresh_usual(now);
+        self.started_at.get_or_insert(now);
+        self.refresh_medians(now);
         match event {
-            Event::Request(ask) => self.ask(now, ask, &mut effects),
-            Event::Completed {
-                target,
-                completion: end,
-            } => {
-                self.note_owner(now, &target, &end);
-                if let Some(member) = self.members.get_mut(&target) {
-                    member.ended(now, end);
+            Event::Request(request) => self.submit(now, request, &mut effects),
+            Event::Completed { target, completion } => {
+                self.record_ownership(now, &target, &completion);
+                if let Some(state) = self.target_states.get_mut(&target) {
+                    state.record_completion(now, completion);
                 }
-                self.serve(now, &mut effects);
+                self.process_queue(now, &mut effects);
             }
-            Event::Rate(target, rate) => self.hear_rate(now, &target, rate),
-            Event::Cancelled(ticket) => self.waiting.retain(|it| it.ask.ticket != ticket),
+            Event::Rate(target, rate) => self.record_rate(now, &target, rate),
+            Event::Cancelled(ticket) => self.queue.retain(|it| it.request.ticket != ticket),
             Event::View(view) => {
-                self.look(now, view);
-                self.serve(now, &mut effects);
+                self.apply_view(now, view);
+                self.process_queue(now, &mut effects);
             }
-            Event::Sync(word) => {
-                for member in self.members.values_mut() {
-                    let hash = catalogue::hash(&member.target.id);
-                    let others = word.others.get(&hash).copied().unwrap_or(0);
-                    let share = word.quotas.get(&hash).cloned();
-                    member.tell(now, others, share, word.sync_interval);
+            Event::Sync(sync) => {
+                for state in self.target_states.values_mut() {
+                    let hash = catalogue::hash(&state.target.id);
+                    let others = sync.others.get(&hash).copied().unwrap_or(0);
+                    let quota = sync.quotas.get(&hash).cloned();
+                    state.apply_sync(now, others, quota, sync.sync_interval);
                 }
-                self.merge_rates(now, &word.rates);
-                self.note_beyond(&word);
-                self.serve(now, &mut effects);
+                self.merge_rates(now, &sync.rates);
+                self.mark_demoted(&sync);
+                self.process_queue(now, &mut effects);
             }
-            Event::Tick => self.serve(now, &mut effects),
+            Event::Tick => self.process_queue(now, &mut effects),
         }
         effects
     }
@@ -195,7 +192,7 @@
     ///
     /// See [`Dispatcher::new`].
     pub fn queue_len(&self) -> usize {
-        self.waiting.len()
+        self.queue.len()
     }
 
     /// Returns this VM's requests at each target, what waits for one, and the service times measured
@@ -206,41 +203,43 @@
     /// See [`Dispatcher::new`].
     pub fn take_snapshot(&mut self, now: Duration) -> Snapshot {
         let ended = self.rates.expire(now);
-        self.note_rates(&ended, "age");
-        let mut state = Snapshot {
+        self.apply_rate_changes(&ended, "age");
+        let mut snapshot = Snapshot {
             queues: self.queues(now),
             rates: self.rates.reports(now),
             ..Snapshot::default()
         };
-        for member in self.members.values_mut() {
-            let hash = catalogue::hash(&member.target.id);
-            if member.own > 0 {
-                state.in_flight.push((hash, member.own));
+        for state in self.target_states.values_mut() {
+            let hash = catalogue::hash(&state.target.id);
+            if state.own_in_flight > 0 {
+                snapshot.in_flight.push((hash, state.own_in_flight));
             }
-            let (sum, count) = member.take_samples();
+            let (sum, count) = state.take_samples();
             if count > 0 {
-                state.service_times.push((hash, sum, count));
+                snapshot.service_times.push((hash, sum, count));
             }
         }
-        state
+        snapshot
     }
 
-    /// Takes note whether a key's owner holds it, unless newer news are known than it was asked by.
-    fn note_owner(&mut self, now: Duration, target: &str, end: &Completion) {
-        let Some((point, fence)) = end.ownership else {
+    /// Takes line whether a key's owner holds it, unless newer reports are known than it was asked by.
+    fn record_ownership(&mut self, now: Duration, target: &str, completion: &Completion) {
+        let Some((point, fence)) = completion.ownership else {
             return;
         };
-        let Some(service) = self.members.get(target).map(|it| &it.target.service) else {
+        let Some(service) = self.target_states.get(target).map(|it| &it.target.service) else {
             return;
         };
-        let part = self.view.records.get(service).and_then(|it| it.find(point));
-        let Some(part) = part.filter(|part| part.fence == fence) else {
+        let range = self.view.records.get(service).and_then(|it| it.find(point));
+        let Some(range) = range.filter(|range| range.fence == fence) else {
             return;
         };
-        match end.kind {
-            CompletionKind::Misdirected => self.unowned.refused(now, service, part, point),
+        match completion.kind {
+            CompletionKind::Misdirected => {
+                self.refused_keys.record_refusal(now, service, range, point)
+            }
             CompletionKind::Answered(_) | CompletionKind::Failed | CompletionKind::Refused => {
-                self.unowned.taken(service, part, point);
+                self.refused_keys.record_accepted(service, range, point);
             }
             // These show nothing of the key.
             CompletionKind::Lost
@@ -250,132 +249,135 @@
         }
     }
 
-    fn look(&mut self, now: Duration, view: Rc<FleetView>) {
-        let mut members = IndexMap::new();
-        self.paced.clear();
+    fn apply_view(&mut self, now: Duration, view: Rc<FleetView>) {
+        let mut target_states = IndexMap::new();
+        self.paced_targets.clear();
         for (service, targets) in &view.targets {
-            for (place, target) in targets.iter().enumerate() {
-                let limit = self.cold_limit(&view, target);
-                if matches!(limit, Limit::Paced(_)) {
-                    self.paced.entry(service.clone()).or_default().push(place);
+            for (index, target) in targets.iter().enumerate() {
+                let limit = self.warmup_limit(&view, target);
+                if matches!(limit, SendLimit::Interval(_)) {
+                    self.paced_targets
+                        .entry(service.clone())
+                        .or_default()
+                        .push(index);
                 }
-                let known = self.members.swap_remove(&target.id);
-                let mut member = match known {
-                    Some(mut member) if member.target.same_incarnation(target) => {
-                        member.announce(target);
-                        member
+                let known = self.target_states.swap_remove(&target.id);
+                let mut state = match known {
+                    Some(mut state) if state.target.same_incarnation(target) => {
+                        state.update(target);
+                        state
                     }
-                    _ => Member::new(target.clone(), now),
+                    _ => TargetState::new(target.clone(), now),
                 };
                 let until = view.cold.get(&target.id).copied().unwrap_or_default();
-                member.cool(until, limit);
+                state.set_warmup(until, limit);
                 let rate = self.rates.rate(catalogue::hash(&target.id));
-                member.hold_to(rate, self.rate_limit(&view, &target.id, rate));
-                members.insert(target.id.clone(), member);
+                state.set_rate(rate, self.rate_limit(&view, &target.id, rate));
+                target_states.insert(target.id.clone(), state);
             }
         }
-        self.members = members;
-        self.sharers.list(now, view.vms.len());
+        self.target_states = target_states;
+        self.vm_count.record(now, view.vms.len());
         self.view = view;
         let records = &self.view.records;
         let find = |service: &str, point| records.get(service)?.find(point);
-        self.unowned.keep(find);
+        self.refused_keys.retain(find);
     }
 
     /// What this VM may send to a target, as far as that is cold.
-    fn cold_limit(&self, view: &FleetView, target: &Target) -> Limit {
+    fn warmup_limit(&self, view: &FleetView, target: &Target) -> SendLimit {
         let Some(warmup) = view.warmups.get(&target.service) else {
-            return Limit::Open;
+            return SendLimit::Unlimited;
         };
         if !view.cold.contains_key(&target.id) {
-            return Limit::Open;
+            return SendLimit::Unlimited;
         }
-        let pace = SenderPlan::of(*warmup, self.tolerance);
-        let own = pace.filter(|pace| pace.is_sender(&self.vm, &view.vms, &target.id));
-        own.map_or(Limit::Shut, |pace| Limit::Paced(pace.interval))
+        let plan = SenderPlan::of(*warmup, self.burst_allowance);
+        let own = plan.filter(|plan| plan.is_sender(&self.vm, &view.vms, &target.id));
+        own.map_or(SendLimit::Blocked, |plan| {
+            SendLimit::Interval(plan.interval)
+        })
     }
 
-    fn ask(&mut self, now: Duration, ask: DispatchRequest, out: &mut Vec<Effect>) {
-        if !ask.is_retry {
+    fn submit(&mut self, now: Duration, request: DispatchRequest, effects: &mut Vec<Effect>) {
+        if !request.is_retry {
             let allowance = self.allowance;
-            self.budget(now, &ask.service).count(now, allowance);
+            self.budget(now, &request.service).count(now, allowance);
         }
-        let mut waiting = Waiting {
-            ask,
-            counted: false,
-            line: None,
-            beyond: false,
+        let mut queued = Queued {
+            request,
+            charged: false,
+            queue: None,
+            demoted: false,
         };
-        if !self.decide(now, &mut waiting, true, out) {
-            self.hold(waiting, out);
+        if !self.decide(now, &mut queued, true, effects) {
+            self.enqueue(queued, effects);
         }
     }
 
-    fn hold(&mut self, waiting: Waiting, out: &mut Vec<Effect>) {
-        if self.waiting.len() >= WAITING_MOST {
-            out.push(Effect::Refuse {
-                ticket: waiting.ask.ticket,
+    fn enqueue(&mut self, queued: Queued, effects: &mut Vec<Effect>) {
+        if self.queue.len() >= MAX_QUEUED {
+            effects.push(Effect::Refuse {
+                ticket: queued.request.ticket,
                 reason: RefusalReason::Full,
-                retry_after: COME_BACK_UNOWNED,
+                retry_after: RETRY_AFTER_NO_OWNER,
                 basis: Basis::default(),
             });
             return;
         }
-        let rank = |it: &Waiting| (it.ask.priority, it.ask.received_at);
-        let place = self
-            .waiting
-            .partition_point(|it| rank(it) <= rank(&waiting));
-        self.waiting.insert(place, waiting);
+        let rank = |it: &Queued| (it.request.priority, it.request.received_at);
+        let position = self.queue.partition_point(|it| rank(it) <= rank(&queued));
+        self.queue.insert(position, queued);
     }
 
     /// Decides again for all that wait, by rank.
-    fn serve(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        let waiting = std::mem::take(&mut self.waiting);
+    fn process_queue(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        let waiting = std::mem::take(&mut self.queue);
         for mut it in waiting {
-            if !self.decide(now, &mut it, false, out) {
-                self.waiting.push(it);
+            if !self.decide(now, &mut it, false, effects) {
+                self.queue.push(it);
             }
         }
     }
 
-    /// Decides for one request; returns whether that is its end here.
+    /// Decides for one request; returns whether that is its completion here.
     fn decide(
         &mut self,
         now: Duration,
-        it: &mut Waiting,
+        it: &mut Queued,
         first: bool,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) -> bool {
-        let ticket = it.ask.ticket;
-        let standing = if first {
-            Standing::New
-        } else if it.beyond {
-            Standing::Beyond
+        let ticket = it.request.ticket;
+        let queue_state = if first {
+            QueueState::New
+        } else if it.demoted {
+            QueueState::Demoted
         } else {
-            Standing::Waiting
+            QueueState::Waiting
         };
-        match self.choose(now, &it.ask, standing) {
-            Choice::Wait(line) => {
-                it.line = line;
+        match self.choose(now, &it.request, queue_state) {
+            Decision::Queue(queue) => {
+                it.queue = queue;
                 false
             }
-            Choice::Refuse(why, retry, basis) => {
-                out.push(Effect::Refuse {
+            Decision::Refuse(reason, retry_after, basis) => {
+                effects.push(Effect::Refuse {
                     ticket,
-                    reason: why,
-                    retry_after: retry,
+                    reason,
+                    retry_after,
                     basis,
                 });
                 true
             }
-            Choice::Send(mut basis, right) => {
-                if it.ask.is_retry && !it.counted {
-                    let budget = self.spend(now, &it.ask.service);
+            Decision::Send(mut basis, quota) => {
+                if it.request.is_retry && !it.charged {
+                    let budget = self.charge_retry(now, &it.request.service);
                     basis.budget = Some(budget);
                     if !budget.allows_retry() {
                         // The caller's own next try draws on no budget: all that it need wait for
                         // is a place.
-                        out.push(Effect::Refuse {
+                        effects.push(Effect::Refuse {
                             ticket,
                             reason: RefusalReason::Budget,
                             retry_after: basis.completion_interval.max(MIN_RETRY_AFTER),
@@ -383,24 +385,25 @@
                         });
                         return true;
                     }
-                    it.counted = true;
+                    it.charged = true;
                 }
-                let Some(member) = self.members.get_mut(&basis.target) else {
+                let Some(state) = self.target_states.get_mut(&basis.target) else {
                     return false;
                 };
-                member.sent(now);
-                let record = self.view.records.get(&it.ask.service);
+                state.record_sent(now);
+                let record = self.view.records.get(&it.request.service);
                 if let Some((record, point)) = record.zip(basis.point)
-                    && let Some(part) = record.find(point)
+                    && let Some(range) = record.find(point)
                 {
-                    self.unowned.sent(now, &it.ask.service, part, point);
+                    self.refused_keys
+                        .record_sent(now, &it.request.service, range, point);
                 }
-                if let Some(right) = right {
-                    member.use_share(right == Right::Fresh);
+                if let Some(kind) = quota {
+                    state.consume_quota(kind == QuotaKind::WithinGoal);
                 }
-                out.push(Effect::Send {
+                effects.push(Effect::Send {
                     ticket,
-                    target: member.target.clone(),
+                    target: state.target.clone(),
                     basis,
                 });
                 true
@@ -408,16 +411,16 @@
         }
     }
 
-    /// Spends a repeat at a service, if this VM's part of its budget allows.
-    fn spend(&mut self, now: Duration, service: &str) -> Balance {
-        let vms = self.sharers.most(now);
+    /// Spends a repeat at a service, if this VM's range of its budget allows.
+    fn charge_retry(&mut self, now: Duration, service: &str) -> Balance {
+        let vms = self.vm_count.peak(now);
         let allowance = self.allowance;
         self.budget(now, service).spend(now, allowance, vms)
     }
 
     fn budget(&mut self, now: Duration, service: &str) -> &mut RetryBudget {
-        let since = self.since.unwrap_or(now);
+        let started_at = self.started_at.unwrap_or(now);
         let budget = self.budgets.entry(service.to_owned());
-        budget.or_insert_with(|| RetryBudget::new(since))
+        budget.or_insert_with(|| RetryBudget::new(started_at))
     }
 }
--- a/engine/src/placement/dispatch/queues.rs
+++ b/engine/src/placement/dispatch/queues.rs
@@ -9,28 +9,28 @@
     catalogue::{self, TargetId},
     placement::{
         quota::{QueuedRequest, TargetQueue},
-        target_state::Member,
+        target_state::TargetState,
     },
 };
 
 impl Dispatcher {
     /// Marks the requests that the manager says too many go before.
-    pub(super) fn note_beyond(&mut self, word: &SyncUpdate) {
-        let beyond: Vec<Ticket> = word
+    pub(super) fn mark_demoted(&mut self, sync: &SyncUpdate) {
+        let demoted: Vec<Ticket> = sync
             .quotas
             .values()
-            .flat_map(|share| share.demoted.iter().copied())
+            .flat_map(|quota| quota.demoted.iter().copied())
             .collect();
-        for it in &mut self.waiting {
-            it.beyond |= beyond.contains(&it.ask.ticket);
+        for it in &mut self.queue {
+            it.demoted |= demoted.contains(&it.request.ticket);
         }
     }
 
     /// How many requests that can still be answered within their goals wait for a target.
-    pub(super) fn line(&self, target: &str) -> u32 {
-        let lines = self.waiting.iter().filter_map(|it| it.line.as_ref());
-        let count = lines
-            .filter(|line| line.within_goal && line.target == target)
+    pub(super) fn queued_within_goal(&self, target: &str) -> u32 {
+        let queues = self.queue.iter().filter_map(|it| it.queue.as_ref());
+        let count = queues
+            .filter(|key| key.within_goal && key.target == target)
             .count();
         u32::try_from(count).unwrap_or(u32::MAX)
     }
@@ -38,37 +38,37 @@
     /// What waits for each target, by rank.
     pub(super) fn queues(&self, now: Duration) -> Vec<TargetQueue> {
         let mut queues: IndexMap<&TargetId, TargetQueue> = IndexMap::new();
-        for it in &self.waiting {
-            let Some((line, member)) = it
-                .line
+        for it in &self.queue {
+            let Some((key, state)) = it
+                .queue
                 .as_ref()
-                .and_then(|line| Some((line, self.members.get(&line.target)?)))
+                .and_then(|key| Some((key, self.target_states.get(&key.target)?)))
             else {
                 continue;
             };
-            let usual = self.usual(&it.ask);
-            let queue = queues.entry(&line.target).or_insert_with(|| TargetQueue {
-                target: catalogue::hash(&line.target),
-                slots: member.slots(),
-                limit: member.limit(now, usual),
+            let typical_time = self.typical_time(&it.request);
+            let queue = queues.entry(&key.target).or_insert_with(|| TargetQueue {
+                target: catalogue::hash(&key.target),
+                slots: state.slots(),
+                limit: state.max_in_flight(now, typical_time),
                 ..TargetQueue::default()
             });
-            if !line.within_goal {
+            if !key.within_goal {
                 queue.past_goal += 1;
                 continue;
             }
-            let Some(reach) = reach(now, &it.ask, member, usual) else {
-                // It is late by the next word, so a right that comes with it would be lost.
+            let Some(max_ahead) = max_ahead(now, &it.request, state, typical_time) else {
+                // It is late by the next sync, so a right that comes with it would be lost.
                 continue;
             };
             queue.within_goal += 1;
             if queue.first.len() < queue.limit as usize {
-                let age = now.saturating_sub(it.ask.received_at).as_millis();
+                let age = now.saturating_sub(it.request.received_at).as_millis();
                 queue.first.push(QueuedRequest {
-                    ticket: it.ask.ticket,
-                    priority: it.ask.priority,
+                    ticket: it.request.ticket,
+                    priority: it.request.priority,
                     age_ms: u32::try_from(age).unwrap_or(u32::MAX),
-                    max_ahead: reach,
+                    max_ahead,
                 });
             }
         }
@@ -77,10 +77,21 @@
 }
 
 /// Returns how many others can go before a request that waits, so that it is answered within its goal by a
-/// right that comes with the next word; none if it can't be.
-fn reach(now: Duration, ask: &DispatchRequest, member: &Member, usual: Option<f64>) -> Option<u32> {
-    let expected = Duration::from_secs_f64(member.expected(now, usual));
-    let left = ask.goal.checked_sub(now + member.pause() + expected)?;
-    let turns = left.as_millis() / member.turn(now, usual).as_millis().max(1);
-    Some(u32::try_from(turns).unwrap_or(u32::MAX))
+/// right that comes with the next sync; none if it can't be.
+fn max_ahead(
+    now: Duration,
+    request: &DispatchRequest,
+    state: &TargetState,
+    typical_time: Option<f64>,
+) -> Option<u32> {
+    let expected = Duration::from_secs_f64(state.expected_time(now, typical_time));
+    let left = request
+        .goal
+        .checked_sub(now + state.sync_interval() + expected)?;
+    let ahead = left.as_millis()
+        / state
+            .completion_interval(now, typical_time)
+            .as_millis()
+            .max(1);
+    Some(u32::try_from(ahead).unwrap_or(u32::MAX))
 }
--- a/engine/src/placement/dispatch/rate_limits.rs
+++ b/engine/src/placement/dispatch/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Targets that ask to be held to a rate: who said so, and what this VM may send them by itself.
+//! Targets that request to be held to a rate: who said so, and what this VM may send them by itself.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
     catalogue::{self, TargetHash},
     placement::{
         rates::{self, RateReport},
-        warmup::Limit,
+        warmup::SendLimit,
     },
     target::Rate,
 };
@@ -31,57 +31,62 @@
     /// assert_eq!(dispatcher.take_log_lines(), ["event=rate-named target=target-1 rate=1.5 by=answer"]);
     /// ```
     pub fn take_log_lines(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.log_lines)
     }
 
-    /// Takes note of the rate that a target's answer has named.
-    pub(super) fn hear_rate(&mut self, now: Duration, target: &str, rate: Option<Rate>) {
-        if self.rates.hear(now, catalogue::hash(target), rate) {
-            self.note_rate(target, rate, "answer");
+    /// Takes line of the rate that a target's answer has named.
+    pub(super) fn record_rate(&mut self, now: Duration, target: &str, rate: Option<Rate>) {
+        if self.rates.record(now, catalogue::hash(target), rate) {
+            self.apply_rate(target, rate, "answer");
         }
     }
 
     /// Takes in the rates that targets have named to other VMs.
-    pub(super) fn merge_rates(&mut self, now: Duration, news: &[RateReport]) {
-        let changed = self.rates.merge(now, news);
-        self.note_rates(&changed, "manager");
+    pub(super) fn merge_rates(&mut self, now: Duration, reports: &[RateReport]) {
+        let changed = self.rates.merge(now, reports);
+        self.apply_rate_changes(&changed, "manager");
     }
 
-    /// Takes note of the rates of targets for which they have changed.
-    pub(super) fn note_rates(&mut self, changed: &[TargetHash], by: &str) {
+    /// Takes line of the rates of targets for which they have changed.
+    pub(super) fn apply_rate_changes(&mut self, changed: &[TargetHash], by: &str) {
         if changed.is_empty() {
             return;
         }
-        let ids = self.members.keys();
+        let ids = self.target_states.keys();
         let ids = ids.filter(|id| changed.contains(&catalogue::hash(id)));
         for id in ids.cloned().collect::<Vec<_>>() {
             let rate = self.rates.rate(catalogue::hash(&id));
-            self.note_rate(&id, rate, by);
+            self.apply_rate(&id, rate, by);
         }
     }
 
-    fn note_rate(&mut self, target: &str, rate: Option<Rate>, by: &str) {
+    fn apply_rate(&mut self, target: &str, rate: Option<Rate>, by: &str) {
         let limit = self.rate_limit(&self.view, target, rate);
-        if let Some(member) = self.members.get_mut(target) {
-            member.hold_to(rate, limit);
+        if let Some(state) = self.target_states.get_mut(target) {
+            state.set_rate(rate, limit);
         }
-        let note = match rate {
+        let line = match rate {
             Some(rate) => format!("event=rate-named target={target} rate={rate} by={by}"),
             None => format!("event=rate-lifted target={target} by={by}"),
         };
-        self.notes.push(note);
+        self.log_lines.push(line);
     }
 
     /// What this VM may send by itself to a target that asks to be held to a rate.
-    pub(super) fn rate_limit(&self, view: &FleetView, target: &str, rate: Option<Rate>) -> Limit {
+    pub(super) fn rate_limit(
+        &self,
+        view: &FleetView,
+        target: &str,
+        rate: Option<Rate>,
+    ) -> SendLimit {
         let Some(rate) = rate else {
-            return Limit::Open;
+            return SendLimit::Unlimited;
         };
-        let pace = rates::pace(rate);
-        if pace.is_sender(&self.vm, &view.vms, target) {
-            Limit::Paced(pace.interval)
+        let plan = rates::sender_plan(rate);
+        if plan.is_sender(&self.vm, &view.vms, target) {
+            SendLimit::Interval(plan.interval)
         } else {
-            Limit::Shut
+            SendLimit::Blocked
         }
     }
 }
--- a/engine/src/placement/quota.rs
+++ b/engine/src/placement/quota.rs
@@ -21,7 +21,7 @@
 /// How many may be at a target beyond its slots until late requests get no room.
 ///
 /// With one waiting, a target is never idle; more would make requests late that still have time.
-pub const LATE_QUEUE: u32 = 1;
+pub const PAST_GOAL_QUEUE: u32 = 1;
 
 /// One request that waits for a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -89,14 +89,14 @@
 /// Shares a target's room out to one VM.
 ///
 /// `own` is what waits there; `others` is what waits at other VMs, with the milliseconds since they
-/// told; `flights` counts the requests at the target and the rights that other VMs have got since.
+/// told; `in_flight` counts the requests at the target and the rights that other VMs have got since.
 ///
 /// # Example
 ///
 /// ```
 /// use bramleypier_engine::placement::quota::{self, TargetQueue, QueuedRequest};
 ///
-/// let waited = |ticket, age| QueuedRequest { ticket, priority: 1, age_ms: age, max_ahead: 1 };
+/// let queued = |ticket, age| QueuedRequest { ticket, priority: 1, age_ms: age, max_ahead: 1 };
 /// let queue = |first: Vec<QueuedRequest>| TargetQueue {
 ///     target: 7,
 ///     slots: 2,
@@ -105,42 +105,42 @@
 ///     first,
 ///     past_goal: 3,
 /// };
-/// let own = queue(vec![waited(1, 30), waited(2, 5)]);
-/// let other = queue(vec![waited(1, 10)]);
+/// let own = queue(vec![queued(1, 30), queued(2, 5)]);
+/// let other = queue(vec![queued(1, 10)]);
 /// // Two are there, so two more may go: its own oldest and the other VM's.
-/// let share = quota::allot(&own, &[(&other, 10)], 2);
-/// assert_eq!((share.within_goal, share.past_goal, share.others_within), (1, 0, 1));
+/// let quota = quota::allot(&own, &[(&other, 10)], 2);
+/// assert_eq!((quota.within_goal, quota.past_goal, quota.others_within), (1, 0, 1));
 /// // Its second one has two before it, and reaches its goal behind one.
-/// assert_eq!(share.demoted, [2]);
+/// assert_eq!(quota.demoted, [2]);
 /// ```
-pub fn allot(own: &TargetQueue, others: &[(&TargetQueue, u32)], flights: u32) -> Quota {
-    let waiting: u32 = others.iter().map(|(queue, _)| queue.within_goal).sum();
+pub fn allot(own: &TargetQueue, others: &[(&TargetQueue, u32)], in_flight: u32) -> Quota {
+    let others_within: u32 = others.iter().map(|(queue, _)| queue.within_goal).sum();
     let order = by_rank(own, others);
-    let mut share = Quota {
+    let mut quota = Quota {
         target: own.target,
-        busy: waiting + own.within_goal > 0,
+        busy: others_within + own.within_goal > 0,
         others_past: others.iter().map(|(queue, _)| queue.past_goal).sum(),
         ..Quota::default()
     };
-    let room = own.limit.saturating_sub(flights);
-    let mut kept = 0;
+    let free = own.limit.saturating_sub(in_flight);
+    let mut queued_ahead = 0;
     for (it, is_own) in order {
-        if kept > it.max_ahead {
+        if queued_ahead > it.max_ahead {
             if is_own {
-                share.demoted.push(it.ticket);
+                quota.demoted.push(it.ticket);
             }
             continue;
         }
         if is_own {
-            share.within_goal += u32::from(kept < room);
+            quota.within_goal += u32::from(queued_ahead < free);
         } else {
-            share.others_within += 1;
+            quota.others_within += 1;
         }
-        kept += 1;
+        queued_ahead += 1;
     }
-    let late_room = (own.slots + LATE_QUEUE).saturating_sub(flights + kept);
-    share.past_goal = late_room.min(own.past_goal);
-    share
+    let past_goal_free = (own.slots + PAST_GOAL_QUEUE).saturating_sub(in_flight + queued_ahead);
+    quota.past_goal = past_goal_free.min(own.past_goal);
+    quota
 }
 
 /// What may go to a target that is held to a rate.
@@ -161,38 +161,38 @@
 ///
 /// use bramleypier_engine::placement::quota::{self, TargetQueue, RateCapacity, QueuedRequest};
 ///
-/// let waited = |ticket, age| QueuedRequest { ticket, priority: 1, age_ms: age, max_ahead: 5 };
+/// let queued = |ticket, age| QueuedRequest { ticket, priority: 1, age_ms: age, max_ahead: 5 };
 /// let own = TargetQueue {
 ///     target: 7,
 ///     slots: 2,
 ///     limit: 4,
 ///     within_goal: 2,
-///     first: vec![waited(1, 30), waited(2, 5)],
+///     first: vec![queued(1, 30), queued(2, 5)],
 ///     past_goal: 3,
 /// };
-/// let room = RateCapacity { available: 1, wait: Duration::ZERO };
-/// let share = quota::allot_at_rate(room, &own, &[], 0);
-/// assert_eq!((share.within_goal, share.past_goal), (1, 0));
+/// let capacity = RateCapacity { available: 1, wait: Duration::ZERO };
+/// let quota = quota::allot_at_rate(capacity, &own, &[], 0);
+/// assert_eq!((quota.within_goal, quota.past_goal), (1, 0));
 /// ```
 pub fn allot_at_rate(
-    room: RateCapacity,
+    capacity: RateCapacity,
     own: &TargetQueue,
     others: &[(&TargetQueue, u32)],
-    flights: u32,
+    in_flight: u32,
 ) -> Quota {
-    let limit = own.limit.min(flights + room.available);
-    let held = TargetQueue {
+    let limit = own.limit.min(in_flight + capacity.available);
+    let limited = TargetQueue {
         limit,
         ..own.clone()
     };
-    let share = allot(&held, others, flights);
-    let late = share
+    let quota = allot(&limited, others, in_flight);
+    let past_goal = quota
         .past_goal
-        .min(room.available.saturating_sub(share.within_goal));
+        .min(capacity.available.saturating_sub(quota.within_goal));
     Quota {
-        past_goal: late,
-        wait: room.wait,
-        ..share
+        past_goal,
+        wait: capacity.wait,
+        ..quota
     }
 }
 
--- a/engine/src/placement/rates.rs
+++ b/engine/src/placement/rates.rs
@@ -12,18 +12,18 @@
 use crate::{catalogue::TargetHash, target::Rate};
 
 /// By how much news must be newer than what is known: what goes to another VM and back looks a little younger.
-const NEWER_LEAST: Duration = Duration::from_millis(100);
+const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(100);
 /// For how long news count. A target that is held to a rate is still sent to, so it says so again before.
-const LIFE: Duration = Duration::from_mins(1);
+const RATE_VALIDITY: Duration = Duration::from_mins(1);
 /// For how long others are told that a rate holds no more.
-const LIFTED_LIFE: Duration = Duration::from_secs(10);
+const LIFTED_VALIDITY: Duration = Duration::from_secs(10);
 /// The least rate to which a target is held: one that takes nothing is asked so often whether it does again.
-const RATE_LEAST: Rate = 0.25;
+const MIN_RATE: Rate = 0.25;
 /// How many VMs send to a target by a pace of their own: when one of them is lost, the other goes on.
 const SENDERS: u32 = 2;
 /// The part of the rate that they use: each may send one request more in any span than its pace tells, and those
 /// that know another list of VMs may send too.
-const SENDERS_PART: f64 = 0.75;
+const SENDERS_FRACTION: f64 = 0.75;
 
 /// Returns the rate at which requests are sent to a target that has named one.
 ///
@@ -36,7 +36,7 @@
 /// assert_eq!(rates::effective_rate(0.0), 0.25);
 /// ```
 pub fn effective_rate(rate: Rate) -> Rate {
-    rate.max(RATE_LEAST)
+    rate.max(MIN_RATE)
 }
 
 /// Returns how often few VMs may send to a target that asks to be held to a rate, where the manager shares nothing
@@ -49,12 +49,12 @@
 ///
 /// use bramleypier_engine::placement::rates;
 ///
-/// let pace = rates::pace(2.0);
-/// assert_eq!(pace.senders, 2);
-/// assert_eq!(pace.interval.as_millis(), 1333);
+/// let plan = rates::sender_plan(2.0);
+/// assert_eq!(plan.senders, 2);
+/// assert_eq!(plan.interval.as_millis(), 1333);
 /// ```
-pub fn pace(rate: Rate) -> SenderPlan {
-    let used = effective_rate(rate) * SENDERS_PART;
+pub fn sender_plan(rate: Rate) -> SenderPlan {
+    let used = effective_rate(rate) * SENDERS_FRACTION;
     SenderPlan {
         senders: SENDERS as usize,
         interval: Duration::from_secs_f64(f64::from(SENDERS) / used),
@@ -68,9 +68,9 @@
 /// ```
 /// use bramleypier_engine::placement::rates;
 ///
-/// assert_eq!(rates::turn(2.0).as_millis(), 500);
+/// assert_eq!(rates::interval(2.0).as_millis(), 500);
 /// ```
-pub fn turn(rate: Rate) -> Duration {
+pub fn interval(rate: Rate) -> Duration {
     Duration::from_secs_f64(effective_rate(rate).recip())
 }
 
@@ -87,7 +87,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Entry {
     rate: Option<Rate>,
     at: Duration,
 }
@@ -103,16 +103,16 @@
 ///
 /// let s = Duration::from_secs;
 /// let (mut here, mut there) = (Rates::default(), Rates::default());
-/// assert!(here.hear(s(1), 7, Some(1.5)));
+/// assert!(here.record(s(1), 7, Some(1.5)));
 /// assert_eq!(there.merge(s(1), &here.reports(s(1))), [7]);
 /// assert_eq!(there.rate(7), Some(1.5));
-/// there.hear(s(2), 7, None);
+/// there.record(s(2), 7, None);
 /// here.merge(s(2), &there.reports(s(2)));
 /// assert_eq!(here.rate(7), None);
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Rates {
-    known: IndexMap<TargetHash, Known>,
+    entries: IndexMap<TargetHash, Entry>,
 }
 
 impl Rates {
@@ -121,13 +121,13 @@
     /// # Example
     ///
     /// See [`Rates`].
-    pub fn hear(&mut self, now: Duration, target: TargetHash, rate: Option<Rate>) -> bool {
-        let before = self.known.get(&target);
+    pub fn record(&mut self, now: Duration, target: TargetHash, rate: Option<Rate>) -> bool {
+        let before = self.entries.get(&target);
         if rate.is_none() && before.is_none() {
             return false;
         }
         let changed = before.is_none_or(|it| it.rate != rate);
-        self.known.insert(target, Known { rate, at: now });
+        self.entries.insert(target, Entry { rate, at: now });
         changed
     }
 
@@ -136,15 +136,15 @@
     /// # Example
     ///
     /// See [`Rates`].
-    pub fn merge(&mut self, now: Duration, news: &[RateReport]) -> Vec<TargetHash> {
+    pub fn merge(&mut self, now: Duration, reports: &[RateReport]) -> Vec<TargetHash> {
         let mut changed = Vec::new();
-        for it in news {
+        for it in reports {
             let at = now.saturating_sub(it.age);
-            let before = self.known.get(&it.target);
-            if before.is_some_and(|known| at < known.at + NEWER_LEAST) {
+            let before = self.entries.get(&it.target);
+            if before.is_some_and(|entry| at < entry.at + MIN_AGE_DIFFERENCE) {
                 continue;
             }
-            if self.hear(at, it.target, it.rate) {
+            if self.record(at, it.target, it.rate) {
                 changed.push(it.target);
             }
         }
@@ -161,24 +161,24 @@
     /// use bramleypier_engine::placement::rates::Rates;
     ///
     /// let mut rates = Rates::default();
-    /// rates.hear(Duration::ZERO, 7, Some(1.5));
+    /// rates.record(Duration::ZERO, 7, Some(1.5));
     /// assert!(rates.expire(Duration::from_secs(59)).is_empty());
     /// assert_eq!(rates.expire(Duration::from_secs(60)), [7]);
     /// ```
     pub fn expire(&mut self, now: Duration) -> Vec<TargetHash> {
-        let mut ended = Vec::new();
-        self.known.retain(|target, known| {
-            let life = match known.rate {
-                Some(_) => LIFE,
-                None => LIFTED_LIFE,
+        let mut expired = Vec::new();
+        self.entries.retain(|target, entry| {
+            let validity = match entry.rate {
+                Some(_) => RATE_VALIDITY,
+                None => LIFTED_VALIDITY,
             };
-            let counts = now < known.at + life;
-            if !counts && known.rate.is_some() {
-                ended.push(*target);
+            let valid = now < entry.at + validity;
+            if !valid && entry.rate.is_some() {
+                expired.push(*target);
             }
-            counts
+            valid
         });
-        ended
+        expired
     }
 
     /// Returns what others may lack.
@@ -187,12 +187,12 @@
     ///
     /// See [`Rates`].
     pub fn reports(&self, now: Duration) -> Vec<RateReport> {
-        let news = self.known.iter().map(|(target, known)| RateReport {
+        let reports = self.entries.iter().map(|(target, entry)| RateReport {
             target: *target,
-            rate: known.rate,
-            age: now.saturating_sub(known.at),
+            rate: entry.rate,
+            age: now.saturating_sub(entry.at),
         });
-        news.collect()
+        reports.collect()
     }
 
     /// Returns the targets that ask to be held to a rate, with the rates.
@@ -205,14 +205,14 @@
     /// use bramleypier_engine::placement::rates::Rates;
     ///
     /// let mut rates = Rates::default();
-    /// rates.hear(Duration::ZERO, 7, Some(1.5));
-    /// rates.hear(Duration::ZERO, 8, Some(2.0));
-    /// rates.hear(Duration::ZERO, 8, None);
+    /// rates.record(Duration::ZERO, 7, Some(1.5));
+    /// rates.record(Duration::ZERO, 8, Some(2.0));
+    /// rates.record(Duration::ZERO, 8, None);
     /// assert_eq!(rates.active().collect::<Vec<_>>(), [(7, 1.5)]);
     /// ```
     pub fn active(&self) -> impl Iterator<Item = (TargetHash, Rate)> {
-        let known = self.known.iter();
-        known.filter_map(|(target, known)| Some((*target, known.rate?)))
+        let entries = self.entries.iter();
+        entries.filter_map(|(target, entry)| Some((*target, entry.rate?)))
     }
 
     /// Returns the rate to which a target asks to be held.
@@ -221,6 +221,6 @@
     ///
     /// See [`Rates`].
     pub fn rate(&self, target: TargetHash) -> Option<Rate> {
-        self.known.get(&target)?.rate
+        self.entries.get(&target)?.rate
     }
 }
--- a/engine/src/placement/refused_keys.rs
+++ b/engine/src/placement/refused_keys.rs
@@ -13,56 +13,56 @@
 /// How long a key whose owner has refused it counts as moving at first, unless a newer owner is known.
 ///
 /// A move takes as long as the work that runs on the key, and its old owner refuses each request meanwhile.
-const SPAN: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest such time: an owner that has its grant back at the same fence is missed so long.
-const SPAN_MOST: Duration = Duration::from_millis(800);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 /// How soon an owner refuses a key that it doesn't hold: refusals wait for no slot, and targets are a few
 /// milliseconds away.
-const REFUSAL: Duration = Duration::from_millis(100);
+const REFUSAL_TIME: Duration = Duration::from_millis(100);
 /// How many keys in a row an owner must refuse until all of its range count as refused: one key alone
 /// may have been taken from the range.
-const KEYS_LEAST: u32 = 2;
+const MIN_REFUSALS: u32 = 2;
 /// How long after its first refusal a range that is still refused counts as lost.
 ///
 /// A move takes one release, one write and one grant, some 50 to 200 ms.
-const MOVE_MOST: Duration = Duration::from_millis(400);
+const MAX_MOVE_TIME: Duration = Duration::from_millis(400);
 
 /// A range of keys, by service and its first key.
 type RangeId = (ServiceId, RequestKey);
 
-/// When something that was refused may be asked for again.
+/// When something that was refused may be backoffs for again.
 #[derive(Clone, Copy, Debug)]
-struct Asking {
-    since: Duration,
+struct Backoff {
+    started_at: Duration,
     until: Duration,
-    span: Duration,
+    duration: Duration,
 }
 
-impl Asking {
-    fn refused(now: Duration, before: Option<Self>) -> Self {
-        let span = before.map_or(SPAN, |it| (it.span * 2).min(SPAN_MOST));
+impl Backoff {
+    fn after_refusal(now: Duration, before: Option<Self>) -> Self {
+        let duration = before.map_or(INITIAL_BACKOFF, |it| (it.duration * 2).min(MAX_BACKOFF));
         Self {
-            since: before.map_or(now, |it| it.since),
-            until: now + span,
-            span,
+            started_at: before.map_or(now, |it| it.started_at),
+            until: now + duration,
+            duration,
         }
     }
 }
 
 /// What one owner refuses of a range at one fence.
 #[derive(Clone, Debug)]
-struct Refused {
+struct RefusedRange {
     fence: Fence,
-    keys: HashMap<RequestKey, Asking>,
+    keys: HashMap<RequestKey, Backoff>,
     /// How many refusals came in a row.
     count: u32,
-    all: Option<Asking>,
+    whole: Option<Backoff>,
 }
 
 /// How a key stands that its owner has refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyState {
-    /// It may be asked for.
+    /// It may be backoffs for.
     Open,
     /// It is probably on its way to another owner.
     Moving,
@@ -79,31 +79,31 @@
 ///
 /// use bramleypier_engine::{
 ///     owner::record::KeyRange,
-///     placement::refused_keys::{KeyState, Unowned},
+///     placement::refused_keys::{KeyState, RefusedKeys},
 /// };
 ///
 /// let ms = Duration::from_millis;
 /// let part = KeyRange { from: 0, to: 9, fence: 5, owner: None };
-/// let mut unowned = Unowned::default();
-/// unowned.refused(ms(0), "s", &part, 7);
-/// assert_eq!(unowned.standing(ms(50), "s", &part, 7), KeyState::Moving);
-/// assert_eq!(unowned.standing(ms(50), "s", &part, 8), KeyState::Open, "another key");
-/// assert_eq!(unowned.standing(ms(100), "s", &part, 7), KeyState::Open, "one may ask");
-/// unowned.sent(ms(100), "s", &part, 7);
-/// assert_eq!(unowned.standing(ms(110), "s", &part, 7), KeyState::Moving, "and only one");
+/// let mut refused_keys = RefusedKeys::default();
+/// refused_keys.record_refusal(ms(0), "s", &part, 7);
+/// assert_eq!(refused_keys.state(ms(50), "s", &part, 7), KeyState::Moving);
+/// assert_eq!(refused_keys.state(ms(50), "s", &part, 8), KeyState::Open, "another key");
+/// assert_eq!(refused_keys.state(ms(100), "s", &part, 7), KeyState::Open, "one may ask");
+/// refused_keys.record_sent(ms(100), "s", &part, 7);
+/// assert_eq!(refused_keys.state(ms(110), "s", &part, 7), KeyState::Moving, "and only one");
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Unowned {
-    ranges: HashMap<RangeId, Refused>,
+pub struct RefusedKeys {
+    ranges: HashMap<RangeId, RefusedRange>,
 }
 
-impl Unowned {
+impl RefusedKeys {
     /// Returns how a key of a range stands.
     ///
     /// # Example
     ///
-    /// See [`Unowned`].
-    pub fn standing(
+    /// See [`RefusedKeys`].
+    pub fn state(
         &self,
         now: Duration,
         service: &str,
@@ -113,11 +113,11 @@
         let Some(range) = self.range(service, part) else {
             return KeyState::Open;
         };
-        let closed = [range.all.as_ref(), range.keys.get(&point)];
-        let closed = closed.into_iter().flatten().find(|it| now < it.until);
-        match closed {
+        let backoffs = [range.whole.as_ref(), range.keys.get(&point)];
+        let backoffs = backoffs.into_iter().flatten().find(|it| now < it.until);
+        match backoffs {
             None => KeyState::Open,
-            Some(asking) if now < asking.since + MOVE_MOST => KeyState::Moving,
+            Some(backoff) if now < backoff.started_at + MAX_MOVE_TIME => KeyState::Moving,
             Some(_) => KeyState::Lost,
         }
     }
@@ -126,8 +126,14 @@
     ///
     /// # Example
     ///
-    /// See [`Unowned`].
-    pub fn sent(&mut self, now: Duration, service: &str, part: &KeyRange, point: RequestKey) {
+    /// See [`RefusedKeys`].
+    pub fn record_sent(
+        &mut self,
+        now: Duration,
+        service: &str,
+        part: &KeyRange,
+        point: RequestKey,
+    ) {
         if self.ranges.is_empty() {
             return;
         }
@@ -137,9 +143,9 @@
         if range.fence != part.fence {
             return;
         }
-        let asked = [range.all.as_mut(), range.keys.get_mut(&point)];
-        for asking in asked.into_iter().flatten() {
-            asking.until = asking.until.max(now + REFUSAL);
+        let backoffs = [range.whole.as_mut(), range.keys.get_mut(&point)];
+        for backoff in backoffs.into_iter().flatten() {
+            backoff.until = backoff.until.max(now + REFUSAL_TIME);
         }
     }
 
@@ -147,24 +153,32 @@
     ///
     /// # Example
     ///
-    /// See [`Unowned`].
-    pub fn refused(&mut self, now: Duration, service: &str, part: &KeyRange, point: RequestKey) {
-        let fresh = || Refused {
+    /// See [`RefusedKeys`].
+    pub fn record_refusal(
+        &mut self,
+        now: Duration,
+        service: &str,
+        part: &KeyRange,
+        point: RequestKey,
+    ) {
+        let new_range = || RefusedRange {
             fence: part.fence,
             keys: HashMap::new(),
             count: 0,
-            all: None,
+            whole: None,
         };
         let id = (service.to_owned(), part.from);
-        let range = self.ranges.entry(id).or_insert_with(fresh);
+        let range = self.ranges.entry(id).or_insert_with(new_range);
         if range.fence != part.fence {
-            *range = fresh();
+            *range = new_range();
         }
         let before = range.keys.get(&point).copied();
-        range.keys.insert(point, Asking::refused(now, before));
+        range
+            .keys
+            .insert(point, Backoff::after_refusal(now, before));
         range.count += 1;
-        if range.count >= KEYS_LEAST {
-            range.all = Some(Asking::refused(now, range.all));
+        if range.count >= MIN_REFUSALS {
+            range.whole = Some(Backoff::after_refusal(now, range.whole));
         }
     }
 
@@ -177,16 +191,16 @@
     ///
     /// use bramleypier_engine::{
     ///     owner::record::KeyRange,
-    ///     placement::refused_keys::{KeyState, Unowned},
+    ///     placement::refused_keys::{KeyState, RefusedKeys},
     /// };
     ///
     /// let part = KeyRange { from: 0, to: 9, fence: 5, owner: None };
-    /// let mut unowned = Unowned::default();
-    /// unowned.refused(Duration::ZERO, "s", &part, 7);
-    /// unowned.taken("s", &part, 7);
-    /// assert_eq!(unowned.standing(Duration::ZERO, "s", &part, 7), KeyState::Open);
+    /// let mut refused_keys = RefusedKeys::default();
+    /// refused_keys.record_refusal(Duration::ZERO, "s", &part, 7);
+    /// refused_keys.record_accepted("s", &part, 7);
+    /// assert_eq!(refused_keys.state(Duration::ZERO, "s", &part, 7), KeyState::Open);
     /// ```
-    pub fn taken(&mut self, service: &str, part: &KeyRange, point: RequestKey) {
+    pub fn record_accepted(&mut self, service: &str, part: &KeyRange, point: RequestKey) {
         let id = (service.to_owned(), part.from);
         let Some(range) = self.ranges.get_mut(&id) else {
             return;
@@ -195,7 +209,7 @@
             return;
         }
         range.keys.remove(&point);
-        range.all = None;
+        range.whole = None;
         range.count = 0;
         if range.keys.is_empty() {
             self.ranges.remove(&id);
@@ -203,7 +217,7 @@
     }
 
     /// Forgets ranges that have changed; `find` returns the range of a key as it stands now.
-    pub fn keep<'a, F>(&mut self, find: F)
+    pub fn retain<'a, F>(&mut self, find: F)
     where
         F: Fn(&str, RequestKey) -> Option<&'a KeyRange>,
     {
@@ -212,7 +226,7 @@
         });
     }
 
-    fn range(&self, service: &str, part: &KeyRange) -> Option<&Refused> {
+    fn range(&self, service: &str, part: &KeyRange) -> Option<&RefusedRange> {
         if self.ranges.is_empty() {
             return None;
         }
--- a/engine/src/placement/task.rs
+++ b/engine/src/placement/task.rs
@@ -19,7 +19,7 @@
     target::{LoadReport, Rate},
 };
 
-/// How often waiting requests are looked at when nothing else happens: their time may have ended,
+/// How often waiting requests are looked at when nothing else happens: their time may have kind,
 /// and load reports lose weight with age.
 const TICK: Duration = Duration::from_millis(10);
 
@@ -49,7 +49,7 @@
     /// What the decision rests on.
     pub basis: Basis,
     /// When the right was given.
-    pub sent: Duration,
+    pub sent_at: Duration,
     clock: Clock,
     dispatcher: Option<Handle>,
 }
@@ -66,18 +66,18 @@
         }
     }
 
-    /// Tells how the request ended.
-    pub fn finish(mut self, ended: CompletionKind, load: Option<LoadReport>) {
-        self.tell(ended, load);
+    /// Tells how the request kind.
+    pub fn finish(mut self, kind: CompletionKind, load: Option<LoadReport>) {
+        self.complete(kind, load);
     }
 
-    fn tell(&mut self, ended: CompletionKind, load: Option<LoadReport>) {
+    fn complete(&mut self, kind: CompletionKind, load: Option<LoadReport>) {
         if let Some(dispatcher) = self.dispatcher.take() {
             dispatcher.send(Event::Completed {
                 target: self.target.id.clone(),
                 completion: Completion {
-                    kind: ended,
-                    sent: self.sent,
+                    kind,
+                    sent: self.sent_at,
                     depth: self.basis.depth,
                     load,
                     ownership: self.basis.point.map(|point| (point, self.basis.fence)),
@@ -89,8 +89,8 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        let waited = self.clock.now().saturating_sub(self.sent);
-        self.tell(CompletionKind::Abandoned(waited), None);
+        let elapsed = self.clock.now().saturating_sub(self.sent_at);
+        self.complete(CompletionKind::Abandoned(elapsed), None);
     }
 }
 
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug)]
 pub struct Handle {
     sender: mpsc::UnboundedSender<Message>,
-    tickets: Rc<Cell<Ticket>>,
+    last_ticket: Rc<Cell<Ticket>>,
 }
 
 impl std::fmt::Debug for Message {
@@ -107,52 +107,52 @@
     }
 }
 
-/// Takes a request off the queue when whoever asked is gone.
-struct Queued {
+/// Takes a request off the queue when whoever pending is gone.
+struct CancelOnDrop {
     dispatcher: Handle,
     ticket: Ticket,
-    open: bool,
+    armed: bool,
 }
 
-impl Drop for Queued {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        if self.open {
+        if self.armed {
             self.dispatcher.send(Event::Cancelled(self.ticket));
         }
     }
 }
 
 impl Handle {
-    /// Asks for a target; the ask's ticket is set here.
+    /// Asks for a target; the request's ticket is set here.
     ///
     /// # Errors
     ///
     /// [`Refused`] when the request can't be served.
-    pub async fn acquire(&self, mut ask: DispatchRequest) -> Result<Permit, Refused> {
-        let ticket = self.tickets.get() + 1;
-        self.tickets.set(ticket);
-        ask.ticket = ticket;
+    pub async fn acquire(&self, mut request: DispatchRequest) -> Result<Permit, Refused> {
+        let ticket = self.last_ticket.get() + 1;
+        self.last_ticket.set(ticket);
+        request.ticket = ticket;
         let (sender, receiver) = oneshot::channel();
         let closed = Refused {
             reason: RefusalReason::NoTarget,
             retry_after: TICK,
             basis: Basis::default(),
         };
-        let mut queued = Queued {
+        let mut guard = CancelOnDrop {
             dispatcher: self.clone(),
             ticket,
-            open: true,
+            armed: true,
         };
         if self
             .sender
-            .unbounded_send(Message::Request(ask, sender))
+            .unbounded_send(Message::Request(request, sender))
             .is_err()
         {
             return Err(closed);
         }
-        let answer = receiver.await.unwrap_or(Err(closed));
-        queued.open = false;
-        answer
+        let result = receiver.await.unwrap_or(Err(closed));
+        guard.armed = false;
+        result
     }
 
     /// Tells the dispatcher what happened.
@@ -180,7 +180,7 @@
     let (sender, receiver) = mpsc::unbounded();
     let handle = Handle {
         sender,
-        tickets: Rc::default(),
+        last_ticket: Rc::default(),
     };
     compio::runtime::spawn(run(dispatcher, clock, report, receiver, handle.clone())).detach();
     handle
@@ -193,7 +193,7 @@
     mut messages: mpsc::UnboundedReceiver<Message>,
     handle: Handle,
 ) {
-    let mut asked: HashMap<Ticket, oneshot::Sender<Result<Permit, Refused>>> = HashMap::new();
+    let mut pending: HashMap<Ticket, oneshot::Sender<Result<Permit, Refused>>> = HashMap::new();
     loop {
         let message = if dispatcher.queue_len() == 0 {
             messages.next().await
@@ -206,30 +206,30 @@
         let event = match message {
             None => return,
             Some(Message::Snapshot(sender)) => {
-                // Whoever asked may be gone with its own task.
+                // Whoever pending may be gone with its own task.
                 let _ = sender.send(dispatcher.take_snapshot(clock.now()));
                 continue;
             }
             Some(Message::Event(event)) => event,
-            Some(Message::Request(ask, sender)) => {
-                asked.insert(ask.ticket, sender);
-                Event::Request(ask)
+            Some(Message::Request(request, sender)) => {
+                pending.insert(request.ticket, sender);
+                Event::Request(request)
             }
         };
         if let Event::Cancelled(ticket) = &event {
-            asked.remove(ticket);
+            pending.remove(ticket);
         }
         let now = clock.now();
         for effect in dispatcher.handle(now, event) {
-            answer(effect, &mut asked, &handle, &clock, now);
+            apply(effect, &mut pending, &handle, &clock, now);
         }
         report.lines(&dispatcher.take_log_lines());
     }
 }
 
-fn answer(
+fn apply(
     effect: Effect,
-    asked: &mut HashMap<Ticket, oneshot::Sender<Result<Permit, Refused>>>,
+    pending: &mut HashMap<Ticket, oneshot::Sender<Result<Permit, Refused>>>,
     handle: &Handle,
     clock: &Clock,
     now: Duration,
@@ -237,14 +237,14 @@
     let (ticket, result) = match effect {
         Effect::Refuse {
             ticket,
-            reason: why,
-            retry_after: retry,
+            reason,
+            retry_after,
             basis,
         } => (
             ticket,
             Err(Refused {
-                reason: why,
-                retry_after: retry,
+                reason,
+                retry_after,
                 basis,
             }),
         ),
@@ -256,15 +256,15 @@
             let permit = Permit {
                 target,
                 basis,
-                sent: now,
+                sent_at: now,
                 clock: clock.clone(),
                 dispatcher: Some(handle.clone()),
             };
             (ticket, Ok(permit))
         }
     };
-    if let Some(sender) = asked.remove(&ticket) {
-        // Whoever asked may have left meanwhile; a permit that is dropped is given back.
+    if let Some(sender) = pending.remove(&ticket) {
+        // Whoever pending may have left meanwhile; a permit that is dropped is given back.
         let _ = sender.send(result);
     }
 }
--- a/engine/src/placement/warmup.rs
+++ b/engine/src/placement/warmup.rs
@@ -17,9 +17,9 @@
 use crate::{catalogue::Warmup, fleet::VmId};
 
 /// The most VMs that send to one cold target: when one of them is lost, others go on.
-const SENDERS_MOST: u32 = 3;
+const MAX_SENDERS: u32 = 3;
 /// How many lists of VMs may be believed at once: that before a change and that after it.
-const LISTS: f64 = 2.0;
+const MAX_VIEWS: f64 = 2.0;
 
 /// By how much the requests that reach a cold target in one second may exceed its rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 pub struct SenderPlan {
     /// How many VMs send.
     pub senders: usize,
-    /// The pause of each.
+    /// The interval of each.
     pub interval: Duration,
 }
 
@@ -66,15 +66,15 @@
     /// };
     ///
     /// let warmup = Warmup { duration: Duration::from_secs(3), rate: 8.0 };
-    /// let pace = SenderPlan::of(warmup, BurstAllowance { factor: 1.5, slack: 8.0 }).unwrap();
-    /// assert_eq!((pace.senders, pace.interval), (2, Duration::from_millis(250)));
+    /// let plan = SenderPlan::of(warmup, BurstAllowance { factor: 1.5, slack: 8.0 }).unwrap();
+    /// assert_eq!((plan.senders, plan.interval), (2, Duration::from_millis(250)));
     /// assert_eq!(SenderPlan::of(Warmup { rate: 0.5, ..warmup }, BurstAllowance::default()), None);
     /// ```
-    pub fn of(warmup: Warmup, tolerance: BurstAllowance) -> Option<Self> {
-        let most = (warmup.rate * tolerance.factor + tolerance.slack) / LISTS;
+    pub fn of(warmup: Warmup, burst: BurstAllowance) -> Option<Self> {
+        let most = (warmup.rate * burst.factor + burst.slack) / MAX_VIEWS;
         // A second may hold one request of each sender more than the rate tells.
         let spare = most - warmup.rate;
-        let senders = (1..=SENDERS_MOST)
+        let senders = (1..=MAX_SENDERS)
             .rev()
             .find(|it| f64::from(*it) <= spare)
             .unwrap_or(1);
@@ -99,9 +99,9 @@
     /// use bramleypier_engine::placement::warmup::SenderPlan;
     ///
     /// let vms: Vec<String> = (0..60).map(|it| format!("vm-{it}")).collect();
-    /// let pace = SenderPlan { senders: 2, interval: Duration::from_millis(250) };
-    /// let sends = |vm: &&String| pace.is_sender(vm, &vms, "target-1");
-    /// assert_eq!(vms.iter().filter(sends).count(), 2);
+    /// let plan = SenderPlan { senders: 2, interval: Duration::from_millis(250) };
+    /// let is_sender = |vm: &&String| plan.is_sender(vm, &vms, "target-1");
+    /// assert_eq!(vms.iter().filter(is_sender).count(), 2);
     /// ```
     pub fn is_sender(&self, own: &str, vms: &[VmId], target: &str) -> bool {
         let seed = xxh3::xxh3_64(target.as_bytes());
@@ -117,14 +117,14 @@
 
 /// What one VM may send to a cold target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Limit {
+pub enum SendLimit {
     /// Whatever comes: cold targets of its service have no bound.
     #[default]
-    Open,
-    /// One request in each such pause.
-    Paced(Duration),
+    Unlimited,
+    /// One request in each such interval.
+    Interval(Duration),
     /// Nothing: other VMs send.
-    Shut,
+    Blocked,
 }
 
 /// Whether one VM may send to one target now, as far as that is cold.
@@ -134,52 +134,52 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::placement::warmup::{Gate, Limit};
+/// use bramleypier_engine::placement::warmup::{SendLimiter, SendLimit};
 ///
 /// let ms = Duration::from_millis;
-/// let mut gate = Gate::default();
-/// assert!(gate.is_open(ms(0)), "a warm target takes what comes");
-/// gate.set(ms(3000), Limit::Paced(ms(250)));
-/// gate.pass(ms(10));
-/// assert!(!gate.is_open(ms(259)) && gate.is_open(ms(260)));
-/// gate.set(ms(3000), Limit::Shut);
-/// assert!(!gate.is_open(ms(2999)) && gate.is_open(ms(3000)));
+/// let mut limiter = SendLimiter::default();
+/// assert!(limiter.allows(ms(0)), "a warm target takes what comes");
+/// limiter.set(ms(3000), SendLimit::Interval(ms(250)));
+/// limiter.record_sent(ms(10));
+/// assert!(!limiter.allows(ms(259)) && limiter.allows(ms(260)));
+/// limiter.set(ms(3000), SendLimit::Blocked);
+/// assert!(!limiter.allows(ms(2999)) && limiter.allows(ms(3000)));
 /// ```
 #[derive(Clone, Debug, Default)]
-pub struct Gate {
+pub struct SendLimiter {
     /// Until when the target is cold.
     until: Duration,
-    limit: Limit,
+    limit: SendLimit,
     /// When this VM sent there last.
-    passed: Option<Duration>,
+    last_sent: Option<Duration>,
 }
 
-impl Gate {
+impl SendLimiter {
     /// Limits what is sent until a time.
-    pub fn set(&mut self, until: Duration, limit: Limit) {
+    pub fn set(&mut self, until: Duration, limit: SendLimit) {
         self.until = until;
         self.limit = limit;
     }
 
     /// Returns whether the target is cold, or may be.
-    pub fn is_cold(&self, now: Duration) -> bool {
+    pub fn is_active(&self, now: Duration) -> bool {
         now < self.until
     }
 
     /// Returns whether a request may pass.
-    pub fn is_open(&self, now: Duration) -> bool {
-        if !self.is_cold(now) {
+    pub fn allows(&self, now: Duration) -> bool {
+        if !self.is_active(now) {
             return true;
         }
         match self.limit {
-            Limit::Open => true,
-            Limit::Paced(pause) => self.passed.is_none_or(|at| now >= at + pause),
-            Limit::Shut => false,
+            SendLimit::Unlimited => true,
+            SendLimit::Interval(interval) => self.last_sent.is_none_or(|at| now >= at + interval),
+            SendLimit::Blocked => false,
         }
     }
 
     /// Takes note of a request that passes.
-    pub fn pass(&mut self, now: Duration) {
-        self.passed = Some(now);
+    pub fn record_sent(&mut self, now: Duration) {
+        self.last_sent = Some(now);
     }
 }
