--- a/engine/src/placement/bucket.rs
+++ b/engine/src/placement/bucket.rs
@@ -1,4 +1,4 @@
-//! What the manager lets go to a target that is held to a rate.
+//! The token bucket from which the manager grants requests to a rate-limited target.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -11,12 +11,12 @@
 use super::rates;
 use crate::target::Rate;
 
-/// How many requests may follow one another without a pause when none came before, beside those of [`MAX_ACCRUAL`].
+/// How many requests may be sent at once after an idle period, in addition to those of [`MAX_ACCRUAL`].
 const BURST: f64 = 2.0;
-/// For how long what may go adds up: VMs ask for it that seldom.
+/// How long tokens accrue: a VM may take this long between two sync exchanges.
 const MAX_ACCRUAL: Duration = Duration::from_millis(250);
 
-/// How many requests may go to a target now, by a rate: what the manager shares out among all VMs.
+/// A token bucket: how many requests all VMs together may send now to a rate-limited target.
 ///
 /// # Example
 ///
@@ -39,7 +39,7 @@
 }
 
 impl TokenBucket {
-    /// Creates an empty one.
+    /// Creates an empty bucket.
     ///
     /// # Example
     ///
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns how many requests may go now.
+    /// Returns how many requests may be sent now.
     ///
     /// # Example
     ///
@@ -65,7 +65,7 @@
         self.tokens as u32
     }
 
-    /// Takes note that requests go.
+    /// Takes the tokens of requests that have been granted.
     ///
     /// # Example
     ///
@@ -74,7 +74,7 @@
         self.tokens -= f64::from(count);
     }
 
-    /// Returns how long it takes at least until one more may go.
+    /// Returns the minimum time until one more request may be sent.
     ///
     /// # Example
     ///
--- a/engine/src/placement/budget.rs
+++ b/engine/src/placement/budget.rs
@@ -1,4 +1,4 @@
-//! The budget for sending a request to a second target, shared by all VMs.
+//! The budget for retries at another target, shared by all VMs.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -9,37 +9,37 @@
 
 use std::{collections::VecDeque, fmt, time::Duration};
 
-/// The part of this VM's allowance that is used: VMs' counts of each other differ for a while.
+/// The fraction of its allowance that a VM uses, since VMs disagree for a while on how many of them there are.
 const USED_FRACTION: f64 = 0.8;
-/// The part that a process uses in its first window, in which its VM may have used that of an earlier process.
+/// The fraction that a process uses in its first window, in which an earlier process of its VM may have used some.
 const NEW_PROCESS_FRACTION: f64 = 0.15;
-/// Into how many slices the window is cut.
+/// The number of slices in the window.
 const SLICES: u32 = 10;
 
-/// What all VMs together may send again within a window.
+/// The retries that all VMs together may send within a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each request of the window.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
-    /// Repeats of a window beside those.
+    /// Retries allowed in the window in addition to those.
     pub slack: f64,
-    /// The window.
+    /// The length of the window.
     pub window: Duration,
 }
 
-/// How one VM's part of a budget stands, as a decision on a repeat found it.
+/// The state of one VM's part of a budget at the time of a decision on a retry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Balance {
-    /// How many repeats this VM has sent within the window.
+    /// How many retries this VM has sent within the window.
     pub spent: u32,
     /// How many it may send.
     pub limit: u32,
-    /// Among how many VMs the slack is divided.
+    /// The number of VMs that share the slack.
     pub vms: usize,
 }
 
 impl Balance {
-    /// Returns whether one more repeat may be sent.
+    /// Returns whether one more retry may be sent.
     ///
     /// # Example
     ///
@@ -61,13 +61,12 @@
     }
 }
 
-/// One VM's part of the budget for one service.
+/// One VM's part of the retry budget of one service.
 ///
-/// Load pattern: a service that fails makes every VM send again at once, which doubles the load on
-/// what is left of it.
+/// Load pattern: when a service fails, all VMs retry at once, which doubles the load on the targets that still work.
 ///
-/// A process doesn't know what its VM sent again before it started, so in its first window it counts on the
-/// least: what processes that started before it in that window left.
+/// A process doesn't know which retries its VM sent before the process started. In its first window it therefore
+/// assumes the minimum: what processes started earlier in that window have left over.
 ///
 /// # Example
 ///
@@ -91,21 +90,21 @@
 pub struct RetryBudget {
     /// When the process started.
     started_at: Duration,
-    /// Slices of the window, the oldest first; that one may have left it in part.
+    /// The slices of the window, oldest first; the oldest may be partly outside the window.
     slices: VecDeque<Slice>,
 }
 
-/// What was counted in one slice of the window.
+/// The counts of one slice of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
-    /// Its number since the clock's origin.
+    /// The slice's number since the clock's origin.
     number: u64,
     requests: u32,
     retries: u32,
 }
 
 impl RetryBudget {
-    /// Creates the budget of a process that started at a time.
+    /// Creates the budget of a process that started at `started_at`.
     ///
     /// # Example
     ///
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Counts a request that callers sent.
+    /// Counts a caller's request.
     ///
     /// # Example
     ///
@@ -126,7 +125,9 @@
         self.slice(now, allowance).requests += 1;
     }
 
-    /// Spends one repeat, if the part of one among `vms` VMs allows; returns how that stood before.
+    /// Spends one retry if this VM's part of the budget allows it; returns the balance before.
+    ///
+    /// `vms` is the number of VMs that share the slack.
     ///
     /// # Example
     ///
@@ -139,14 +140,15 @@
         balance
     }
 
+    /// Returns the state of the budget.
     fn balance(&mut self, now: Duration, allowance: Allowance, vms: usize) -> Balance {
         let newest = self.slice(now, allowance).number;
-        // The oldest slice's repeats may count still; its requests earn nothing any more.
+        // Retries of the oldest slice may still be in the window, so they count; its requests no longer earn any.
         let in_window = |it: &&Slice| it.number + u64::from(SLICES) > newest;
         let slices = self.slices.iter().filter(in_window);
         let requests: u32 = slices.map(|it| it.requests).sum();
         let earned = f64::from(requests) * allowance.ratio;
-        // A VM that knows of none, not even of itself, can't tell which part is its own.
+        // A VM that knows of no VM, not even of itself, can't tell its part of the slack.
         let slack = if vms == 0 {
             0.0
         } else {
@@ -154,7 +156,7 @@
         };
         let age = now.saturating_sub(self.started_at);
         let limit = if age < allowance.window {
-            // The slack grows with the age, so that several starts within a window have one part together.
+            // The slack grows with the age, so that several starts within a window share one part.
             (earned + slack * age.div_duration_f64(allowance.window)) * NEW_PROCESS_FRACTION
         } else {
             (earned + slack) * USED_FRACTION
@@ -166,12 +168,12 @@
         }
     }
 
-    /// The slice of a time; those that have left the window whole are forgotten.
+    /// Returns the slice of a time, and drops slices that are entirely outside the window.
     fn slice(&mut self, now: Duration, allowance: Allowance) -> &mut Slice {
         let slice_length = (allowance.window / SLICES).max(Duration::from_millis(1));
         let number = u64::try_from(now.as_nanos() / slice_length.as_nanos()).unwrap_or(u64::MAX);
-        let has_left = |it: &Slice| it.number + u64::from(SLICES) < number;
-        while self.slices.front().is_some_and(has_left) {
+        let expired = |it: &Slice| it.number + u64::from(SLICES) < number;
+        while self.slices.front().is_some_and(expired) {
             self.slices.pop_front();
         }
         if self.slices.back().is_none_or(|it| it.number != number) {
--- a/engine/src/placement/completion.rs
+++ b/engine/src/placement/completion.rs
@@ -1,4 +1,4 @@
-//! How a request at a target ended, as a dispatcher is told.
+//! How a request to a target ended, as reported to the dispatcher.
 
 use std::time::Duration;
 
@@ -7,38 +7,38 @@
     target::LoadReport,
 };
 
-/// How a request at a target ended.
+/// The way in which a request to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
-    /// It was answered well, in this time.
+    /// The target answered successfully, after this time.
     Answered(Duration),
-    /// It was answered with the target's own failure.
+    /// The target answered with its own failure.
     Failed,
-    /// The target refused it and did not run it.
+    /// The target refused the request and didn't run it.
     Refused,
-    /// The target doesn't own the request's key, or is another than was meant, and did not run it.
+    /// The target doesn't own the request's key, or isn't the intended target, and didn't run the request.
     Misdirected,
-    /// The connection broke, or the answer could not be used.
+    /// The connection broke, or the answer couldn't be used.
     Lost,
-    /// No connection came about.
+    /// No connection could be established.
     ConnectFailed,
-    /// Nobody listens at its address.
+    /// The connection was refused: nothing listens at the address.
     ConnectRefused,
-    /// The caller left, or the time ran out, after it had been there so long.
+    /// The caller left, or the deadline passed, after the request had been at the target for this time.
     Abandoned(Duration),
 }
 
-/// The end of a request at a target.
+/// The end of one request at a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Completion {
-    /// How it ended.
+    /// How the request ended.
     pub kind: CompletionKind,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Duration,
-    /// How many requests were probably there before it.
+    /// The estimated number of requests at the target when this one was sent.
     pub depth: f64,
-    /// The load that the target reported.
+    /// The load that the target reported with its answer.
     pub load: Option<LoadReport>,
-    /// The request's key and the fence of its owner, where its service has owners.
+    /// The request's key and the fence of its owner, if the service has owners.
     pub ownership: Option<(RequestKey, Fence)>,
 }
--- a/engine/src/placement/dispatch/admission.rs
+++ b/engine/src/placement/dispatch/admission.rs
@@ -1,17 +1,17 @@
-//! Whether a request fits at one target now, waits for it, or is refused.
+//! Decides whether a request is sent to a target now, queued for it, or refused.
 //!
-//! Load patterns that it answers, each by one rule:
+//! Each of these load patterns is handled by one rule:
 //!
-//! - *A target falls behind*, or the line for it outlasts a caller's time: what no answer is expected for in
-//!   time is refused at once. An idle target that is believed so slow gets single requests, since it may
-//!   long be fast again.
-//! - *Requests wait for a target at several VMs*: none is sent without a quota of its room (see
-//!   [`crate::placement::quota`]).
-//! - *A target in need names how many requests a second it takes from all VMs*: none is sent without a right of the
-//!   manager's, who gives no more; where it shares nothing out, a few VMs send by a pace.
-//! - *The line at a target is longer than a goal*: whoever comes then can't be answered within it, and
-//!   what is late stands behind all that isn't. A line that lasts for as long as a goal is no passing
-//!   burst: from then on late requests are refused at once, since the others take every place.
+//! - *A target falls behind*, or its queue takes longer than the caller's remaining time: a request that can't be
+//!   answered before its deadline is refused at once. An idle target that seems that slow gets single probes, since it
+//!   may have become fast again.
+//! - *Several VMs have requests queued for a target*: a request is only sent with a quota of the target's free capacity
+//!   (see [`crate::placement::quota`]).
+//! - *An overloaded target limits the requests per second that it takes from all VMs*: a request is only sent with a
+//!   quota, and the manager assigns no more than the rate. While it assigns none, a few VMs send at an interval.
+//! - *The queue for a target takes longer than a goal*: a request that arrives then can't meet its goal, and requests
+//!   past their goal go behind all others. A queue that lasts for as long as a goal is no passing burst. From then on
+//!   requests past their goal are refused at once, since the others take all slots.
 
 use std::time::Duration;
 
@@ -22,71 +22,73 @@
     placement::{quota::PAST_GOAL_QUEUE, target_state::TargetState},
 };
 
-/// What can be done for a request now.
+/// The decision for one request.
 pub(super) enum Decision {
-    /// Send it, by a right to send if it needs one.
+    /// Send it, and use up this quota if one is needed.
     Send(Basis, Option<QuotaKind>),
-    /// Let it wait, in a target's line if it waits for room there.
+    /// TargetQueue it, for a target if it needs free capacity there.
     Queue(Option<QueueKey>),
-    /// Refuse it.
+    /// Refuse it, with the time to retry after.
     Refuse(RefusalReason, Duration, Basis),
 }
 
-/// A right to send to a busy target.
+/// The quota that a request uses at a busy target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QuotaKind {
-    /// For a request that can still be answered within its goal.
+    /// For a request that can still meet its goal.
     WithinGoal,
-    /// For any other.
+    /// For any other request.
     PastGoal,
 }
 
-/// Where a request waits.
+/// The queue that a request is in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct QueueKey {
+    /// The target.
     pub(super) target: TargetId,
-    /// Whether it can still be answered within its goal.
+    /// Whether the request can still meet its goal.
     pub(super) within_goal: bool,
 }
 
 /// A target that a request could go to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'a> {
+    /// The state of the target.
     pub(super) state: &'a TargetState,
     /// The median service time of the service's targets, in seconds.
     pub(super) typical_time: Option<f64>,
-    /// The fence of the target's ownership of the key; 0 where keys have no owners.
+    /// The fence of the target's ownership of the key; 0 if keys have no owners.
     pub(super) fence: Fence,
-    /// How the request stands there.
+    /// The state of the request in the target's queue.
     pub(super) queue_state: QueueState,
-    /// This VM's requests that wait for it and can still be answered within their goals.
+    /// This VM's requests that are queued for the target and can still meet their goals.
     pub(super) queued_here: u32,
 }
 
-/// How a request stands at a target.
+/// The state of a request in a target's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueState {
-    /// It has just come.
+    /// It has just arrived.
     New,
-    /// It has waited.
+    /// It is queued.
     Waiting,
-    /// It has waited, and too many go before it for an answer within its goal.
+    /// It is queued, and too many others go first for it to meet its goal.
     Demoted,
 }
 
 impl Candidate<'_> {
-    /// Decides for a request.
+    /// Decides for one request.
     pub(super) fn decide(&self, now: Duration, request: &DispatchRequest) -> Decision {
         let left = request.deadline.saturating_sub(now);
         let basis = self.basis(now, request);
         if basis.expected > left {
-            // With little time left a request is late at a fast target, too.
-            let within_goal = left * 2 >= request.deadline.saturating_sub(request.received_at);
-            if within_goal && self.state.needs_probe(now) {
+            // With little time left even a fast target can't answer before the deadline, so a probe would show nothing.
+            let ample_time = left * 2 >= request.deadline.saturating_sub(request.received_at);
+            if ample_time && self.state.needs_probe(now) {
                 return Decision::Send(basis, None);
             }
-            let over = basis.expected.saturating_sub(left);
-            return Decision::Refuse(RefusalReason::Late, over.max(MIN_RETRY_AFTER), basis);
+            let excess = basis.expected.saturating_sub(left);
+            return Decision::Refuse(RefusalReason::Late, excess.max(MIN_RETRY_AFTER), basis);
         }
         let within_goal = basis.expected <= request.goal.saturating_sub(now);
         let keyed = request.point.is_some();
@@ -105,6 +107,7 @@
         }
     }
 
+    /// Returns the data behind a decision, for the log.
     fn basis(&self, now: Duration, request: &DispatchRequest) -> Basis {
         Basis {
             target: self.state.target.id.clone(),
@@ -112,14 +115,14 @@
             depth: self.state.depth(now),
             expected: Duration::from_secs_f64(self.state.expected_time(now, self.typical_time)),
             completion_interval: self.state.completion_interval(now, self.typical_time),
-            age: self.state.sync_age(now),
+            sync_age: self.state.sync_age(now),
             fence: self.fence,
             rate: self.state.rate(),
             budget: None,
         }
     }
 
-    /// Decides where the target is rate_limited to a rate, and the manager shares nothing out.
+    /// Decides for a rate-limited target while the manager assigns no quotas.
     fn decide_at_interval(&self, now: Duration, basis: Basis) -> Decision {
         if self.state.allows_rate(now) {
             Decision::Send(basis, None)
@@ -128,9 +131,9 @@
         }
     }
 
-    /// Decides by the counts that this VM knows, where the manager shares no room out.
+    /// Decides by the counts that this VM knows, while the manager assigns no quotas.
     ///
-    /// A request without a key waits for whichever target has room next, so it stands in no line.
+    /// A request without a key goes to the first target with free capacity, so it is in no target's queue.
     fn decide_without_quota(
         &self,
         now: Duration,
@@ -139,12 +142,12 @@
         basis: Basis,
     ) -> Decision {
         let limit = self.state.max_in_flight(now, self.typical_time);
-        let most = if within_goal {
+        let allowed = if within_goal {
             limit
         } else {
             self.past_goal_limit()
         };
-        if basis.depth + 1.0 <= f64::from(most) {
+        if basis.depth + 1.0 <= f64::from(allowed) {
             Decision::Send(basis, None)
         } else if keyed {
             self.enqueue(within_goal)
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Decides for a request that can still be answered within its goal.
+    /// Decides for a request that can still meet its goal.
     fn decide_within_goal(
         &self,
         now: Duration,
@@ -162,7 +165,8 @@
     ) -> Decision {
         let Some(quota) = self.state.quota().filter(|quota| quota.busy) else {
             let limit = f64::from(self.state.max_in_flight(now, self.typical_time));
-            // After a line the others that come may be as many again, and each VM sees the same room.
+            // Just after a queue has drained as many requests may arrive again, and each VM sees the same free
+            // capacity.
             let may_send = self.state.queued_since().is_none() && self.state.rate().is_none();
             return if may_send && basis.depth + 1.0 <= limit {
                 Decision::Send(basis, None)
@@ -186,7 +190,7 @@
         }
     }
 
-    /// Decides for a request that can't be answered within its goal any more.
+    /// Decides for a request that can no longer meet its goal.
     fn decide_past_goal(&self, now: Duration, request: &DispatchRequest, basis: Basis) -> Decision {
         let quota = self.state.quota();
         if quota.is_some_and(|quota| quota.past_goal > 0) {
@@ -194,38 +198,39 @@
         }
         let drain_time = self.drain_time(&basis);
         let left = request.deadline.saturating_sub(now);
-        let behind = basis.completion_interval * quota.map_or(0, |quota| quota.others_past);
-        if self.queue_state == QueueState::New && drain_time + behind > left {
-            let over = (drain_time + behind).saturating_sub(left);
-            return Decision::Refuse(RefusalReason::Late, over.max(MIN_RETRY_AFTER), basis);
+        let past_goal_time = basis.completion_interval * quota.map_or(0, |quota| quota.others_past);
+        if self.queue_state == QueueState::New && drain_time + past_goal_time > left {
+            let excess = (drain_time + past_goal_time).saturating_sub(left);
+            return Decision::Refuse(RefusalReason::Late, excess.max(MIN_RETRY_AFTER), basis);
         }
         let goal = request.goal.saturating_sub(request.received_at);
-        let busy_since = self.state.queued_since();
-        if busy_since.is_some_and(|since| now >= since + goal) {
+        let queued_since = self.state.queued_since();
+        if queued_since.is_some_and(|since| now >= since + goal) {
             return Decision::Refuse(RefusalReason::Goal, drain_time.max(MIN_RETRY_AFTER), basis);
         }
         let rate_limited = self.state.rate().is_some();
-        let alone = !rate_limited
+        let may_send = !rate_limited
             && quota.is_none()
             && self.queue_state == QueueState::New
             && self.queued_here == 0;
-        if alone && basis.depth + 1.0 <= f64::from(self.past_goal_limit()) {
+        if may_send && basis.depth + 1.0 <= f64::from(self.past_goal_limit()) {
             return Decision::Send(basis, None);
         }
         self.enqueue(false)
     }
 
-    /// How long an answer would take if all that wait now came first.
+    /// Returns the expected response time if all requests that are queued now go first.
     fn drain_time(&self, basis: &Basis) -> Duration {
-        let line = self.state.quota().map_or(0, |quota| quota.others_within);
-        basis.expected + basis.completion_interval * (line + self.queued_here)
+        let others_queued = self.state.quota().map_or(0, |quota| quota.others_within);
+        basis.expected + basis.completion_interval * (others_queued + self.queued_here)
     }
 
-    /// Up to how many requests the target has while late ones may be sent.
+    /// Returns up to how many requests a target may have when a request past its goal is sent.
     fn past_goal_limit(&self) -> u32 {
         self.state.slots() + PAST_GOAL_QUEUE
     }
 
+    /// Queues the request for this target.
     fn enqueue(&self, within_goal: bool) -> Decision {
         Decision::Queue(Some(QueueKey {
             target: self.state.target.id.clone(),
--- a/engine/src/placement/dispatch/choose.rs
+++ b/engine/src/placement/dispatch/choose.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to, and whether it fits there in time.
+//! Chooses the target of a request: the owner of its key, or the best of a random sample.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -10,7 +10,7 @@
 use rand::{Rng, seq::index};
 
 use super::{
-    Basis, DispatchRequest, Dispatcher, RETRY_AFTER_NO_OWNER, RefusalReason,
+    Basis, DEFAULT_RETRY_AFTER, DispatchRequest, Dispatcher, RefusalReason,
     admission::{Candidate, Decision, QueueState},
 };
 use crate::{
@@ -23,32 +23,32 @@
     },
 };
 
-/// How long a request waits for its key to have an owner, as a range of the route's goal.
+/// How long a request waits for its key to get an owner, as a fraction of the route's goal.
 ///
-/// A planned move takes one release, one write and one grant, some 50 to 200 ms; a lost owner takes
-/// seconds, for which no request should be held.
+/// A planned move takes one release, one write and one grant, some 50 to 200 ms. Replacing a lost owner takes seconds,
+/// for which no request should be held.
 const OWNER_WAIT_FRACTION: f64 = 0.6;
-/// The least time to come back that is told: a caller is some 10 ms remote.
+/// The minimum time that a caller is asked to wait before it retries: a caller is some 10 ms away.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
-/// By how much estimates are varied, so that VMs with the same reports don't all pick the same target.
+/// The relative variation of estimates, so that VMs with the same data don't all choose the same target.
 const JITTER: f64 = 0.12;
-/// How much longer a request in another failure domain counts as taking: the way there and back is
-/// some 3 ms of 60.
+/// The factor on the expected time of a target in another failure domain: a round trip takes some 3 ms of 60.
 const REMOTE_FACTOR: f64 = 1.04;
 
-/// How many targets are sampled for a request, of which those that are local and a few others are compared.
+/// How many targets are sampled for a request; those in this failure domain and a few others are compared.
 ///
-/// All VMs hear the same counts at the same time, and each would send to the same few that look best. With
-/// some sampled at random for each request they spread, and one of the faster is nearly always among them.
+/// All VMs receive the same counts at the same time, and each would send to the same few targets that look best. Random
+/// samples spread the requests, and one of the faster targets is nearly always among them.
 const SAMPLE_SIZE: usize = 12;
-/// How many of those in other failure domains are compared.
+/// How many sampled targets in other failure domains are compared.
 const MAX_REMOTE_SAMPLED: usize = 3;
-/// How many service times a goal is usually worth: what is assumed while nothing was measured.
+/// How many service times a goal typically has; assumed while nothing has been measured.
 const SERVICE_TIMES_PER_GOAL: f64 = 5.0;
-/// How long a median of service times counts: it changes slowly, and hundreds of targets are in it.
+/// How long a median of service times is used: it changes slowly, and covers hundreds of targets.
 const MEDIAN_LIFETIME: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
+    /// Decides for one request; `queue_state` is its state in the queue.
     pub(super) fn choose(
         &mut self,
         now: Duration,
@@ -58,7 +58,7 @@
         if self.view.evacuated.contains(&request.service) {
             return Decision::Refuse(
                 RefusalReason::Evacuated,
-                RETRY_AFTER_NO_OWNER,
+                DEFAULT_RETRY_AFTER,
                 self.owner_basis(request),
             );
         }
@@ -72,6 +72,7 @@
         }
     }
 
+    /// Decides for a request that only the owner of its key can serve.
     fn choose_owner(
         &self,
         now: Duration,
@@ -84,7 +85,7 @@
             return self.wait_for_owner(now, request);
         };
         match self.refused_keys.state(now, &request.service, range, point) {
-            // A move ends within a few hundred milliseconds, a loss doesn't.
+            // A move ends within a few hundred milliseconds; the replacement of a lost owner doesn't.
             refused_keys::KeyState::Moving if now < request.goal.min(request.deadline) => {
                 return Decision::Queue(None);
             }
@@ -94,8 +95,8 @@
             refused_keys::KeyState::Open => {}
         }
         if request.refused_by(range) {
-            // Its owner takes others by now, or another request finds out. To request once more would be a
-            // repeat, perhaps at another service's target.
+            // The owner may accept requests by now, which another request will find out. Sending this one again would
+            // be a retry, perhaps to a target of another service.
             return Decision::Refuse(
                 RefusalReason::Moved,
                 MIN_RETRY_AFTER,
@@ -122,7 +123,7 @@
         candidate.decide(now, request)
     }
 
-    /// What to do for a request whose key has no owner that can be reached.
+    /// Queues or refuses a request whose key has no reachable owner.
     fn wait_for_owner(&self, now: Duration, request: &DispatchRequest) -> Decision {
         let goal = request.goal.saturating_sub(request.received_at);
         let wait_until = request.received_at + goal.mul_f64(OWNER_WAIT_FRACTION);
@@ -131,12 +132,12 @@
         }
         Decision::Refuse(
             RefusalReason::NoOwner,
-            RETRY_AFTER_NO_OWNER,
+            DEFAULT_RETRY_AFTER,
             self.owner_basis(request),
         )
     }
 
-    /// Tells which owner was known for a request that none could serve.
+    /// Returns the known owner of a request's key, for a refusal.
     fn owner_basis(&self, request: &DispatchRequest) -> Basis {
         let record = self.view.records.get(&request.service);
         let range = record
@@ -144,12 +145,13 @@
             .and_then(|(record, point)| record.find(point));
         let owner = range.and_then(|range| range.owner.as_ref());
         Basis {
-            target: owner.map_or_else(|| "none".to_owned(), |life| life.id.clone()),
+            target: owner.map_or_else(|| "none".to_owned(), |it| it.id.clone()),
             fence: range.map_or(0, |range| range.fence),
             ..Basis::default()
         }
     }
 
+    /// Decides for a request that any target of its service can serve.
     fn choose_any(
         &mut self,
         now: Duration,
@@ -175,11 +177,11 @@
         candidate.decide(now, request)
     }
 
-    /// Draws the targets that are compared for a request: more of those that are local, since bytes between
-    /// failure domains are paid for; for a large answer all.
+    /// Returns the targets that are compared for a request: mostly those in this failure domain, since traffic between
+    /// failure domains costs money. For a large answer these are all targets.
     ///
-    /// Cold ones to which this VM may send are always among them: no more than two others may, so what is not
-    /// sent from here is hardly sent at all.
+    /// Cold targets to which this VM may send are always among them: at most two other VMs may, so what isn't sent from
+    /// here is hardly sent at all.
     fn sample<'a>(&mut self, request: &DispatchRequest, targets: &'a [Target]) -> Vec<&'a Target> {
         if request.large {
             return targets.iter().collect();
@@ -189,16 +191,16 @@
         let sampled = sampled.into_iter().map(|index| &targets[index]);
         let (mut kept, remote): (Vec<_>, Vec<_>) = sampled.partition(|it| it.domain == self.domain);
         kept.extend(remote.into_iter().take(MAX_REMOTE_SAMPLED));
-        let paced = self
-            .paced_targets
+        let warmup_targets = self
+            .warmup_targets
             .get(&request.service)
             .into_iter()
             .flatten();
-        kept.extend(paced.filter_map(|index| targets.get(*index)));
+        kept.extend(warmup_targets.filter_map(|index| targets.get(*index)));
         kept
     }
 
-    /// The best of some targets that can be reached.
+    /// Returns the best of some targets that can be reached.
     fn best<'a, T>(
         &mut self,
         now: Duration,
@@ -234,16 +236,18 @@
         best.map(|(target, _)| target.id.clone())
     }
 
+    /// Queues or refuses a request whose service has no reachable target.
     fn wait_for_target(&self, now: Duration, request: &DispatchRequest) -> Decision {
         match self.wait_for_owner(now, request) {
-            Decision::Refuse(_, retry, basis) => {
-                Decision::Refuse(RefusalReason::NoTarget, retry, basis)
+            Decision::Refuse(_, retry_after, basis) => {
+                Decision::Refuse(RefusalReason::NoTarget, retry_after, basis)
             }
-            choice => choice,
+            decision => decision,
         }
     }
 
-    /// The service time that is usual for a request, in seconds: as measured, or else by its goal.
+    /// Returns the typical service time of a request in seconds: the measured median, or else an estimate from its
+    /// goal.
     pub(super) fn typical_time(&self, request: &DispatchRequest) -> Option<f64> {
         let measured = self.median_times.get(&request.service).copied();
         measured.or_else(|| {
@@ -255,7 +259,7 @@
         })
     }
 
-    /// Takes the median service time of each service's targets anew, unless that was done just now.
+    /// Recomputes the median service time of each service's targets, unless that was done just now.
     pub(super) fn refresh_medians(&mut self, now: Duration) {
         if now < self.medians_due {
             return;
@@ -279,22 +283,23 @@
     }
 }
 
-/// How good a target is for a request: its tier, then the time in which it would answer, in seconds.
+/// The rank of a target for a request: its tier, then the expected response time in seconds.
 type Rank = (Tier, f64);
 
-/// Targets of a later tier are used only when none of an earlier one is left.
+/// Targets of a later tier are only used when none of an earlier tier is available.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum Tier {
-    /// For a large answer: in the caller's failure domain, and in time.
+    /// In this failure domain and able to answer within the goal; for large answers only.
     Local,
-    /// Any that has room.
+    /// Has free capacity.
     Available,
-    /// Other VMs' requests take all its room.
+    /// All its capacity is used for other VMs' requests.
     Saturated,
-    /// It fails too often.
+    /// Fails too often.
     Failing,
 }
 
+/// Returns the rank of a target for a request.
 fn rank(
     now: Duration,
     request: &DispatchRequest,
@@ -310,7 +315,7 @@
     } else if state.uses_quota(now, typical_time, false) && state.quota().is_some_and(saturated) {
         Tier::Saturated
     } else if request.large && local && in_time {
-        // Bytes between failure domains are paid for, so a faster target elsewhere is no reason.
+        // Traffic between failure domains costs money, so a faster target elsewhere is no reason to leave this one.
         Tier::Local
     } else {
         Tier::Available
--- a/engine/src/placement/dispatch/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -1,14 +1,14 @@
-//! Decides for each request: send it now and where, let it wait, or refuse it.
+//! Decides for each request whether to send it, and where, to queue it, or to refuse it.
 //!
-//! Load patterns that it answers:
+//! It handles these load patterns:
 //!
-//! - *More arrives than targets can do*: a request that probably can't be answered in time is
-//!   refused at once, with the time in which a place is likely free, so that the rest is served.
-//! - *A target's queue is almost full*: it may break connections off instead of refusing, and an
-//!   order broken off has an unknown outcome. Requests wait here instead, by rank.
-//! - *Keys on their way to another owner*: their requests wait for the new owner, briefly.
-//! - *A target that fails fast looks idle*: answers count, not promptness; one that fails often gets
-//!   single requests until it does well.
+//! - *More requests arrive than targets can process*: a request that probably can't be answered in time is refused at
+//!   once, with the time until a slot is likely to be free, so that the others are served.
+//! - *A target's queue is almost full*: the target may close connections instead of refusing requests, and the outcome
+//!   of a request on a closed connection is unknown. Requests are queued here instead, by priority and age.
+//! - *Keys are moving to another owner*: requests for them wait briefly for the new owner.
+//! - *A target that fails fast looks idle*: successful answers count, not speed. A target that fails often only gets
+//!   single requests until it recovers.
 
 mod admission;
 mod choose;
@@ -39,53 +39,55 @@
     fleet::VmId,
 };
 
-/// The time to come back when a key has no owner.
-const RETRY_AFTER_NO_OWNER: Duration = Duration::from_millis(400);
-/// How many requests may wait on one VM.
+/// The time to retry after when no target can be named: no owner or target is reachable, or the queue is full.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// The maximum number of requests that are queued on one VM.
 const MAX_QUEUED: usize = 512;
 
+/// A request in this VM's queue.
 #[derive(Debug)]
 struct Queued {
     request: DispatchRequest,
+    /// Whether it has been charged to the retry budget.
     charged: bool,
-    /// Where it waits, if for room at a target.
+    /// The queue it is in, if it waits for free capacity at a target.
     queue: Option<QueueKey>,
-    /// Whether too many go before it there for an answer within its goal.
+    /// Whether too many others go first for it to meet its goal.
     demoted: bool,
 }
 
-/// One VM's decisions on where requests go.
+/// Decides where the requests of one VM go.
 #[derive(Debug)]
 pub struct Dispatcher {
     vm: VmId,
     domain: DomainId,
     burst_allowance: BurstAllowance,
     allowance: Allowance,
-    /// When the process started, as its first event tells.
+    /// When the process started, which is the time of its first event.
     started_at: Option<Duration>,
     view: Rc<FleetView>,
     target_states: IndexMap<TargetId, TargetState>,
     budgets: IndexMap<ServiceId, RetryBudget>,
-    /// How many VMs share those.
+    /// The number of VMs that share the retry budgets.
     vm_count: PeakVmCount,
     queue: Vec<Queued>,
-    /// The median service time of each service's targets, in seconds, as far as any was measured.
+    /// The median service time of each service's targets, in seconds, where any was measured.
     median_times: IndexMap<ServiceId, f64>,
-    /// When those are saturated anew.
+    /// When the medians are recomputed.
     medians_due: Duration,
-    /// Keys whose owners have refused them.
+    /// Keys that their owners have refused.
     refused_keys: RefusedKeys,
-    /// The rates to which targets request to be held.
+    /// The rate limits that targets ask for.
     rates: Rates,
-    /// What is believed anew, for the log.
+    /// Log lines that haven't been taken yet.
     log_lines: Vec<String>,
-    /// Cold targets to which this VM, one of few, may send at a pace: their places in the view.
-    paced_targets: IndexMap<ServiceId, Vec<usize>>,
+    /// Cold targets to which this VM is one of the few senders, as indexes into the view's targets.
+    warmup_targets: IndexMap<ServiceId, Vec<usize>>,
     random: SmallRng,
 }
 
 impl Dispatcher {
-    /// Creates the dispatcher of a VM in a failure domain; it knows no target yet.
+    /// Creates the dispatcher of a VM in a failure domain; it knows no targets yet.
     ///
     /// # Example
     ///
@@ -118,14 +120,14 @@
             refused_keys: RefusedKeys::default(),
             rates: Rates::default(),
             log_lines: Vec::new(),
-            paced_targets: IndexMap::new(),
+            warmup_targets: IndexMap::new(),
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Tells the dispatcher which VM's it is, and what the platform bears of requests to cold targets.
+    /// Sets the VM's name, and how far requests to cold targets may exceed their rate.
     ///
-    /// Without that it sends nothing to cold targets whose rate is bounded.
+    /// Without these, nothing is sent to cold targets whose rate is limited.
     ///
     /// # Example
     ///
@@ -135,8 +137,8 @@
     /// use bramleypier_engine::placement::{budget::Allowance, dispatch::Dispatcher, warmup::BurstAllowance};
     ///
     /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
-    /// let burst_allowance = BurstAllowance { over: 1.5, slack: 8.0 };
-    /// let dispatcher = Dispatcher::new("domain-1", allowance, 1).with_vm("vm-1", burst_allowance);
+    /// let burst = BurstAllowance { factor: 1.5, slack: 8.0 };
+    /// let dispatcher = Dispatcher::new("domain-1", allowance, 1).with_vm("vm-1", burst);
     /// assert_eq!(dispatcher.queue_len(), 0);
     /// ```
     #[must_use]
@@ -146,7 +148,7 @@
         self
     }
 
-    /// Takes an event and returns what is decided by it.
+    /// Handles an event and returns the decisions that it leads to.
     ///
     /// # Example
     ///
@@ -186,7 +188,7 @@
         effects
     }
 
-    /// Returns how many requests wait.
+    /// Returns how many requests are queued.
     ///
     /// # Example
     ///
@@ -195,15 +197,14 @@
         self.queue.len()
     }
 
-    /// Returns this VM's requests at each target, what waits for one, and the service times measured
-    /// since the last call.
+    /// Returns this VM's in-flight and queued requests by target, and the service times measured since the last call.
     ///
     /// # Example
     ///
     /// See [`Dispatcher::new`].
     pub fn take_snapshot(&mut self, now: Duration) -> Snapshot {
-        let ended = self.rates.expire(now);
-        self.apply_rate_changes(&ended, "age");
+        let expired = self.rates.expire(now);
+        self.apply_rate_changes(&expired, "age");
         let mut snapshot = Snapshot {
             queues: self.queues(now),
             rates: self.rates.reports(now),
@@ -222,7 +223,7 @@
         snapshot
     }
 
-    /// Takes line whether a key's owner holds it, unless newer reports are known than it was asked by.
+    /// Records whether a key's owner holds it, unless a newer owner is known than the one that was asked.
     fn record_ownership(&mut self, now: Duration, target: &str, completion: &Completion) {
         let Some((point, fence)) = completion.ownership else {
             return;
@@ -236,12 +237,12 @@
         };
         match completion.kind {
             CompletionKind::Misdirected => {
-                self.refused_keys.record_refusal(now, service, range, point)
+                self.refused_keys.record_refusal(now, service, range, point);
             }
             CompletionKind::Answered(_) | CompletionKind::Failed | CompletionKind::Refused => {
                 self.refused_keys.record_accepted(service, range, point);
             }
-            // These show nothing of the key.
+            // These say nothing about the key.
             CompletionKind::Lost
             | CompletionKind::ConnectFailed
             | CompletionKind::ConnectRefused
@@ -249,14 +250,15 @@
         }
     }
 
+    /// Takes over a new view of the fleet, and keeps the state of targets whose incarnation is the same.
     fn apply_view(&mut self, now: Duration, view: Rc<FleetView>) {
         let mut target_states = IndexMap::new();
-        self.paced_targets.clear();
+        self.warmup_targets.clear();
         for (service, targets) in &view.targets {
             for (index, target) in targets.iter().enumerate() {
                 let limit = self.warmup_limit(&view, target);
                 if matches!(limit, SendLimit::Interval(_)) {
-                    self.paced_targets
+                    self.warmup_targets
                         .entry(service.clone())
                         .or_default()
                         .push(index);
@@ -284,7 +286,7 @@
         self.refused_keys.retain(find);
     }
 
-    /// What this VM may send to a target, as far as that is cold.
+    /// Returns the limit on this VM's requests to a target while it is cold.
     fn warmup_limit(&self, view: &FleetView, target: &Target) -> SendLimit {
         let Some(warmup) = view.warmups.get(&target.service) else {
             return SendLimit::Unlimited;
@@ -299,6 +301,7 @@
         })
     }
 
+    /// Decides for a new request, and queues it if need be.
     fn submit(&mut self, now: Duration, request: DispatchRequest, effects: &mut Vec<Effect>) {
         if !request.is_retry {
             let allowance = self.allowance;
@@ -315,12 +318,13 @@
         }
     }
 
+    /// Inserts a request into the queue by priority and age, or refuses it if the queue is full.
     fn enqueue(&mut self, queued: Queued, effects: &mut Vec<Effect>) {
         if self.queue.len() >= MAX_QUEUED {
             effects.push(Effect::Refuse {
                 ticket: queued.request.ticket,
                 reason: RefusalReason::Full,
-                retry_after: RETRY_AFTER_NO_OWNER,
+                retry_after: DEFAULT_RETRY_AFTER,
                 basis: Basis::default(),
             });
             return;
@@ -330,26 +334,26 @@
         self.queue.insert(position, queued);
     }
 
-    /// Decides again for all that wait, by rank.
+    /// Decides again for all queued requests, by priority and age.
     fn process_queue(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        let waiting = std::mem::take(&mut self.queue);
-        for mut it in waiting {
+        let queue = std::mem::take(&mut self.queue);
+        for mut it in queue {
             if !self.decide(now, &mut it, false, effects) {
                 self.queue.push(it);
             }
         }
     }
 
-    /// Decides for one request; returns whether that is its completion here.
+    /// Decides for one request; returns whether it has been sent or refused.
     fn decide(
         &mut self,
         now: Duration,
         it: &mut Queued,
-        first: bool,
+        is_new: bool,
         effects: &mut Vec<Effect>,
     ) -> bool {
         let ticket = it.request.ticket;
-        let queue_state = if first {
+        let queue_state = if is_new {
             QueueState::New
         } else if it.demoted {
             QueueState::Demoted
@@ -375,8 +379,8 @@
                     let budget = self.charge_retry(now, &it.request.service);
                     basis.budget = Some(budget);
                     if !budget.allows_retry() {
-                        // The caller's own next try draws on no budget: all that it need wait for
-                        // is a place.
+                        // The caller's own retry is a new request and isn't charged to the budget, so it only has to
+                        // wait for a free slot.
                         effects.push(Effect::Refuse {
                             ticket,
                             reason: RefusalReason::Budget,
@@ -411,13 +415,14 @@
         }
     }
 
-    /// Spends a repeat at a service, if this VM's range of its budget allows.
+    /// Charges a retry to the budget of a service, if this VM's part of it allows that.
     fn charge_retry(&mut self, now: Duration, service: &str) -> Balance {
         let vms = self.vm_count.peak(now);
         let allowance = self.allowance;
         self.budget(now, service).spend(now, allowance, vms)
     }
 
+    /// Returns the retry budget of a service.
     fn budget(&mut self, now: Duration, service: &str) -> &mut RetryBudget {
         let started_at = self.started_at.unwrap_or(now);
         let budget = self.budgets.entry(service.to_owned());
--- a/engine/src/placement/dispatch/queues.rs
+++ b/engine/src/placement/dispatch/queues.rs
@@ -1,4 +1,4 @@
-//! What waits for targets, as the manager is told, and what the manager says of it.
+//! The requests queued for targets: what the manager is sent about them, and which of them it demotes.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 };
 
 impl Dispatcher {
-    /// Marks the requests that the manager says too many go before.
+    /// Marks the requests that the manager has demoted.
     pub(super) fn mark_demoted(&mut self, sync: &SyncUpdate) {
         let demoted: Vec<Ticket> = sync
             .quotas
@@ -26,7 +26,7 @@
         }
     }
 
-    /// How many requests that can still be answered within their goals wait for a target.
+    /// Returns how many requests that can still meet their goals are queued for a target.
     pub(super) fn queued_within_goal(&self, target: &str) -> u32 {
         let queues = self.queue.iter().filter_map(|it| it.queue.as_ref());
         let count = queues
@@ -35,7 +35,7 @@
         u32::try_from(count).unwrap_or(u32::MAX)
     }
 
-    /// What waits for each target, by rank.
+    /// Returns the queue of each target, by priority and age.
     pub(super) fn queues(&self, now: Duration) -> Vec<TargetQueue> {
         let mut queues: IndexMap<&TargetId, TargetQueue> = IndexMap::new();
         for it in &self.queue {
@@ -58,7 +58,7 @@
                 continue;
             }
             let Some(max_ahead) = max_ahead(now, &it.request, state, typical_time) else {
-                // It is late by the next sync, so a right that comes with it would be lost.
+                // The goal is missed before the next sync exchange, so a quota that comes with it would be wasted.
                 continue;
             };
             queue.within_goal += 1;
@@ -76,8 +76,8 @@
     }
 }
 
-/// Returns how many others can go before a request that waits, so that it is answered within its goal by a
-/// right that comes with the next sync; none if it can't be.
+/// Returns how many others can go before a queued request that gets a quota with the next sync exchange, so that it
+/// still meets its goal; `None` if it can't.
 fn max_ahead(
     now: Duration,
     request: &DispatchRequest,
--- a/engine/src/placement/dispatch/rate_limits.rs
+++ b/engine/src/placement/dispatch/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Targets that request to be held to a rate: who said so, and what this VM may send them by itself.
+//! Rate limits that targets ask for: where they were reported, and what this VM may send without a quota.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 };
 
 impl Dispatcher {
-    /// Returns what is believed anew since the last call, for the log.
+    /// Returns the log lines since the last call.
     ///
     /// # Example
     ///
@@ -34,20 +34,20 @@
         std::mem::take(&mut self.log_lines)
     }
 
-    /// Takes line of the rate that a target's answer has named.
+    /// Records the rate limit that a target's answer asks for, or that it asks for none.
     pub(super) fn record_rate(&mut self, now: Duration, target: &str, rate: Option<Rate>) {
         if self.rates.record(now, catalogue::hash(target), rate) {
             self.apply_rate(target, rate, "answer");
         }
     }
 
-    /// Takes in the rates that targets have named to other VMs.
+    /// Merges the rate limits that targets have reported to other VMs.
     pub(super) fn merge_rates(&mut self, now: Duration, reports: &[RateReport]) {
         let changed = self.rates.merge(now, reports);
         self.apply_rate_changes(&changed, "manager");
     }
 
-    /// Takes line of the rates of targets for which they have changed.
+    /// Applies and logs the current rate limits of targets for which they have changed.
     pub(super) fn apply_rate_changes(&mut self, changed: &[TargetHash], by: &str) {
         if changed.is_empty() {
             return;
@@ -60,6 +60,7 @@
         }
     }
 
+    /// Applies and logs the rate limit of a target; `by` says who reported it.
     fn apply_rate(&mut self, target: &str, rate: Option<Rate>, by: &str) {
         let limit = self.rate_limit(&self.view, target, rate);
         if let Some(state) = self.target_states.get_mut(target) {
@@ -72,7 +73,7 @@
         self.log_lines.push(line);
     }
 
-    /// What this VM may send by itself to a target that asks to be held to a rate.
+    /// Returns what this VM may send without a quota to a target that asks for a rate limit.
     pub(super) fn rate_limit(
         &self,
         view: &FleetView,
--- a/engine/src/placement/message.rs
+++ b/engine/src/placement/message.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is told and what it answers.
+//! The dispatcher's events, decisions and snapshots.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -22,141 +22,141 @@
     target::Rate,
 };
 
-/// The number of a request; never used twice.
+/// The number of a request; never reused.
 pub type Ticket = u64;
 
-/// A request that asks for a target.
+/// A request for a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatchRequest {
-    /// Its number.
+    /// The request's number.
     pub ticket: Ticket,
     /// The service.
     pub service: ServiceId,
-    /// The key, where the service's keys have owners.
+    /// The key, if the service's keys have owners.
     pub point: Option<RequestKey>,
-    /// Its rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// When it came.
+    /// When the request was received.
     pub received_at: Duration,
-    /// When an answer is worth less.
+    /// When the route's goal ends; a later answer is worth less.
     pub goal: Duration,
-    /// When an answer is worth nothing.
+    /// When the request times out; a later answer is worth nothing.
     pub deadline: Duration,
-    /// Targets that it was sent to already.
+    /// Targets that the request was already sent to.
     pub tried: Vec<TargetId>,
-    /// Owners that said that they don't hold its key, with the fences at which they were asked.
+    /// Owners that answered that they don't hold the key, with the fences at which they were asked.
     pub misdirected: Vec<(TargetId, Fence)>,
-    /// Whether its answer is large.
+    /// Whether a large answer is expected.
     pub large: bool,
-    /// Whether it draws on the budget for repeats.
+    /// Whether this is a retry, which is charged to the retry budget.
     pub is_retry: bool,
 }
 
 impl DispatchRequest {
-    /// Returns whether a range's owner has refused the request at its present fence.
-    pub(super) fn refused_by(&self, part: &KeyRange) -> bool {
-        let Some(owner) = &part.owner else {
+    /// Returns whether the owner of a range has refused the request at its current fence.
+    pub(super) fn refused_by(&self, range: &KeyRange) -> bool {
+        let Some(owner) = &range.owner else {
             return false;
         };
         let mut asked = self.misdirected.iter();
-        asked.any(|(id, fence)| *id == owner.id && *fence == part.fence)
+        asked.any(|(id, fence)| *id == owner.id && *fence == range.fence)
     }
 }
 
-/// What happens to a dispatcher.
+/// An event for the dispatcher.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request asks for a target.
+    /// A request needs a target.
     Request(DispatchRequest),
     /// A request that was sent has ended.
     Completed {
-        /// Its target.
+        /// The target.
         target: TargetId,
-        /// Its end.
+        /// How the request ended.
         completion: Completion,
     },
-    /// A target's answer named the rate to which it asks to be held, or none.
+    /// A target's answer asks for a rate limit, or for none.
     Rate(TargetId, Option<Rate>),
-    /// A request that waits was given up by its caller.
+    /// The caller of a queued request has left.
     Cancelled(Ticket),
-    /// The announced targets, the owners of keys and the number of VMs are these.
+    /// The announced targets, the owners of keys or the list of VMs have changed.
     View(Rc<FleetView>),
-    /// The manager has told of other VMs.
+    /// The manager's sync response has arrived.
     Sync(SyncUpdate),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What the manager tells a VM of the others; targets that are missing have and get nothing.
+/// The manager's sync response. Targets without an entry have no requests of other VMs, and no quota.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SyncUpdate {
-    /// Other VMs' requests by target.
+    /// Other VMs' in-flight requests by target.
     pub others: HashMap<TargetHash, u32>,
-    /// What may be sent to busy targets.
+    /// This VM's quotas at busy targets.
     pub quotas: HashMap<TargetHash, Quota>,
-    /// The time until the manager's next word.
+    /// The time until the next sync exchange.
     pub sync_interval: Duration,
-    /// The rates that targets have named to any VM.
+    /// The rate limits that targets have reported to any VM.
     pub rates: Vec<RateReport>,
 }
 
-/// What a dispatcher has under way, for other VMs.
+/// What this VM reports to the manager for the other VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// Requests at each target.
+    /// In-flight requests by target.
     pub in_flight: Vec<(TargetHash, u32)>,
-    /// Sums in seconds and counts of service times without waiting.
+    /// Service times without queueing: the sum in seconds and the count, by target.
     pub service_times: Vec<(TargetHash, f64, u32)>,
-    /// What waits for busy targets.
+    /// Requests that are queued for busy targets.
     pub queues: Vec<TargetQueue>,
-    /// The rates that targets have named.
+    /// The rate limits that targets have reported.
     pub rates: Vec<RateReport>,
 }
 
-/// What a dispatcher is told of the fleet.
+/// The dispatcher's view of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Targets that may be sent work, by service.
+    /// Targets that accept new requests, by service.
     pub targets: IndexMap<ServiceId, Vec<Target>>,
-    /// Owners by service.
+    /// The owners of keys, by service.
     pub records: IndexMap<ServiceId, Rc<Record>>,
     /// The names of the VMs.
     pub vms: Vec<VmId>,
-    /// Services all of whose targets stand in evacuated failure domains.
+    /// Services all of whose targets are in evacuated failure domains.
     pub evacuated: HashSet<ServiceId>,
-    /// Until when targets are cold, or may be.
+    /// Until when targets are, or may be, cold.
     pub cold: IndexMap<TargetId, Duration>,
-    /// What cold targets bear, by service.
+    /// The warm-up limits of cold targets, by service.
     pub warmups: IndexMap<ServiceId, Warmup>,
 }
 
-/// What a decision rested on, for the log.
+/// The data behind a decision, for the log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Basis {
-    /// The target that was looked at, if there was one.
+    /// The target that was considered, if any.
     pub target: TargetId,
-    /// The request's key, where its service has owners.
+    /// The request's key, if the service has owners.
     pub point: Option<RequestKey>,
-    /// How many requests were probably there.
+    /// The estimated number of requests at the target.
     pub depth: f64,
-    /// How long an answer would probably have taken.
+    /// The expected response time.
     pub expected: Duration,
-    /// How often the target ends a request while it is busy; zero without a target.
+    /// The time between two completions at a busy target; zero without a target.
     pub completion_interval: Duration,
-    /// How old the manager's word on other VMs' requests was; none without one.
-    pub age: Option<Duration>,
-    /// The fence of the target's ownership of the key; 0 where keys have no owners.
+    /// The age of the last sync response; `None` before the first one.
+    pub sync_age: Option<Duration>,
+    /// The fence of the target's ownership of the key; 0 if keys have no owners.
     pub fence: Fence,
-    /// The rate to which the target asks to be held, if it does.
+    /// The rate limit that the target asks for, in requests per second.
     pub rate: Option<Rate>,
-    /// How the budget for repeats stood, where the request drew on it.
+    /// The state of the retry budget, if the request was charged to it.
     pub budget: Option<Balance>,
 }
 
 impl fmt::Display for Basis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let age = self
-            .age
+            .sync_age
             .map_or_else(|| "unknown".to_owned(), |age| age.as_millis().to_string());
         write!(
             f,
@@ -176,56 +176,56 @@
     }
 }
 
-/// What a dispatcher decides.
+/// A decision of the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the request there.
+    /// Send the request.
     Send {
-        /// The request.
+        /// The request's number.
         ticket: Ticket,
         /// The target.
         target: Target,
-        /// What the decision rests on.
+        /// The data behind the decision.
         basis: Basis,
     },
     /// Refuse the request.
     Refuse {
-        /// The request.
+        /// The request's number.
         ticket: Ticket,
-        /// Why.
+        /// The reason.
         reason: RefusalReason,
-        /// When a place is likely free.
+        /// How long it takes until a slot is likely to be free.
         retry_after: Duration,
-        /// What the decision rests on.
+        /// The data behind the decision.
         basis: Basis,
     },
 }
 
-/// Why a request is refused.
+/// The reason for which a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The service has no target that can be reached.
+    /// The service has no reachable target.
     NoTarget,
-    /// All targets of the service stand in failure domains that operators have evacuated.
+    /// All targets of the service are in failure domains that operators have evacuated.
     Evacuated,
-    /// Its key has no owner that can be reached.
+    /// The key has no reachable owner.
     NoOwner,
-    /// Its key's owner has refused it, though it may hold the key by now.
+    /// The key's owner has refused the request, although it may hold the key by now.
     Moved,
-    /// No answer is expected in time.
+    /// No answer is expected before the deadline.
     Late,
-    /// No answer is expected within the route's goal, and others wait that can still have one.
+    /// No answer is expected within the route's goal, and queued requests of others can still meet theirs.
     Goal,
-    /// The target that could serve it is held to a rate, and others send there.
+    /// The target that could serve the request is rate-limited, and other VMs send to it.
     Rate,
-    /// The budget for repeats is spent.
+    /// The retry budget is exhausted.
     Budget,
-    /// Too many wait here.
+    /// This VM's queue is full.
     Full,
 }
 
 impl RefusalReason {
-    /// Returns the reason as logs and callers read it.
+    /// Returns the name of the reason in logs and in answers to callers.
     ///
     /// # Example
     ///
--- a/engine/src/placement/mod.rs
+++ b/engine/src/placement/mod.rs
@@ -1,9 +1,11 @@
-//! Which target a request goes to, when, and which requests are refused.
+//! Decides which target each request goes to, when it is sent, and which requests are refused.
 //!
-//! [`dispatcher`] decides, free of I/O; [`share`] shares the room at busy targets among VMs; [`budget`] bounds what is
-//! sent a second time, [`sharers`] tells among how many VMs; [`unowned`] tells when to ask an owner again that has
-//! refused a key; [`warmup`] bounds what reaches cold targets; [`rates`] holds what targets in need ask to be held
-//! to, [`bucket`] what goes there; [`task`] owns the dispatcher and answers by messages.
+//! - [`dispatch`] decides, without any I/O; [`task`] runs it and answers through channels.
+//! - [`quota`] divides the free capacity of busy targets among VMs.
+//! - [`budget`] limits retries; [`vm_count`] counts the VMs that share this budget.
+//! - [`refused_keys`] says when to ask an owner again that has refused a key.
+//! - [`warmup`] limits the requests to cold targets.
+//! - [`rates`] holds the rate limits that overloaded targets ask for; [`bucket`] counts the requests that they allow.
 
 pub mod bucket;
 pub mod budget;
--- a/engine/src/placement/quota.rs
+++ b/engine/src/placement/quota.rs
@@ -1,15 +1,16 @@
-//! How the room at a busy target is shared among VMs.
+//! Divides the free capacity of a busy target among VMs.
 //!
-//! Load pattern: one key takes a third of all requests, several times what its owner can do, and each
-//! VM has some of them waiting. Every VM hears at the same moment that the target's queue has become
-//! short, and sends: the queue overflows, connections are broken off, and whoever gets in is answered
-//! late. So VMs tell the manager what waits, and it gives each the right to send a few: in all as many as
-//! there is room for, to the most urgent and then the oldest first.
+//! Load pattern: one key gets a third of all requests, several times what its owner can process, and each VM has some
+//! of them queued. All VMs learn at the same moment that the target's queue has become short, and all send. The queue
+//! overflows, connections are closed, and the requests that get in are answered late. VMs therefore report their queued
+//! requests to the manager, which assigns each VM a quota. The quotas add up to the free capacity and go to the
+//! requests with the highest priority, the oldest first.
 //!
-//! A request that has more before it than can be answered until its goal is told so, and counts in no line.
+//! A request with too many others ahead of it to meet its goal is demoted: the VM is notified, and the request no
+//! longer counts as ahead of others.
 //!
-//! Late requests get room only while no other waits. An answer in time is worth the slot more, and a
-//! late one would make the next late too.
+//! Requests past their goal only get capacity while no others are queued. A slot is worth more to a request that can
+//! still meet its goal, and a late request would make the next one late too.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -18,78 +19,78 @@
 use super::message::Ticket;
 use crate::catalogue::TargetHash;
 
-/// How many may be at a target beyond its slots until late requests get no room.
+/// How many requests beyond its slots a target may have before requests past their goal get no capacity.
 ///
-/// With one waiting, a target is never idle; more would make requests late that still have time.
+/// With one queued request a target is never idle; more of them would delay requests that can still meet their goals.
 pub const PAST_GOAL_QUEUE: u32 = 1;
 
-/// One request that waits for a target.
+/// A request that is queued for a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct QueuedRequest {
-    /// Its number at its VM.
+    /// The request's number at its VM.
     pub ticket: Ticket,
-    /// How urgent it is; 0 is the most.
+    /// The priority; 0 is the highest.
     pub priority: u32,
-    /// For how many milliseconds it has waited.
+    /// How long the request has waited, in milliseconds.
     #[serde(rename = "age")]
     pub age_ms: u32,
-    /// How many others can go first so that it is still answered within its goal.
+    /// How many others can go first without the request missing its goal.
     #[serde(rename = "reach")]
     pub max_ahead: u32,
 }
 
-/// One VM's requests that wait for one target.
+/// The requests of one VM that are queued for one target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct TargetQueue {
     /// The target.
     pub target: TargetHash,
-    /// How many requests it works on at a time.
+    /// How many requests the target processes at a time.
     pub slots: u32,
-    /// How many may be there at once, those that queue there included.
+    /// How many requests the target may have at once, including those in its own queue.
     pub limit: u32,
-    /// How many wait that can still be answered within their goals.
+    /// How many queued requests can still meet their goals.
     #[serde(rename = "fresh")]
     pub within_goal: u32,
-    /// The first of those.
+    /// The first of these requests.
     pub first: Vec<QueuedRequest>,
-    /// How many others wait.
+    /// How many other requests are queued.
     #[serde(rename = "late")]
     pub past_goal: u32,
 }
 
-/// What a VM may send to a busy target until it hears again.
+/// What a VM may send to a busy target until the next sync exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Quota {
     /// The target.
     pub target: TargetHash,
-    /// How many requests that can still be answered within their goals.
+    /// How many requests it may send that can still meet their goals.
     #[serde(rename = "fresh")]
     pub within_goal: u32,
-    /// How many others.
+    /// How many other requests it may send.
     #[serde(rename = "late")]
     pub past_goal: u32,
-    /// How many requests wait at other VMs that are answered in time if they go by rank.
+    /// How many requests of other VMs are queued that meet their goals if all go by priority and age.
     #[serde(rename = "line")]
     pub others_within: u32,
-    /// How many others wait there.
+    /// How many other requests they have queued.
     #[serde(rename = "behind")]
     pub others_past: u32,
-    /// The VM's requests that can't be answered in time any more, since too many go first.
+    /// The VM's requests that can no longer meet their goals, since too many others go first.
     #[serde(rename = "beyond")]
     pub demoted: Vec<Ticket>,
-    /// Whether any request waits that can still be answered in time, at whichever VM.
+    /// Whether any VM has a request queued that can still meet its goal.
     pub busy: bool,
-    /// How long it takes at least until one more may go, where the target is held to a rate.
+    /// The minimum time until one more request may be sent, if the target is rate-limited.
     pub wait: Duration,
 }
 
-/// Shares a target's room out to one VM.
+/// Assigns one VM its quota at a target.
 ///
-/// `own` is what waits there; `others` is what waits at other VMs, with the milliseconds since they
-/// told; `in_flight` counts the requests at the target and the rights that other VMs have got since.
+/// `own` is the VM's queue. `others` are the queues of the other VMs, each with the milliseconds since it was reported.
+/// `in_flight` counts the requests at the target, and the quotas that other VMs have been assigned since their reports.
 ///
 /// # Example
 ///
@@ -107,10 +108,10 @@
 /// };
 /// let own = queue(vec![queued(1, 30), queued(2, 5)]);
 /// let other = queue(vec![queued(1, 10)]);
-/// // Two are there, so two more may go: its own oldest and the other VM's.
+/// // Two requests are in flight, so two more may be sent: this VM's oldest and the other VM's.
 /// let quota = quota::allot(&own, &[(&other, 10)], 2);
 /// assert_eq!((quota.within_goal, quota.past_goal, quota.others_within), (1, 0, 1));
-/// // Its second one has two before it, and reaches its goal behind one.
+/// // This VM's second request has two others ahead of it, and meets its goal behind at most one.
 /// assert_eq!(quota.demoted, [2]);
 /// ```
 pub fn allot(own: &TargetQueue, others: &[(&TargetQueue, u32)], in_flight: u32) -> Quota {
@@ -143,16 +144,16 @@
     quota
 }
 
-/// What may go to a target that is held to a rate.
+/// What may be sent to a rate-limited target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RateCapacity {
-    /// How many requests may go now.
+    /// How many requests may be sent now.
     pub available: u32,
-    /// How long it takes at least until one more may.
+    /// The minimum time until one more may be sent.
     pub wait: Duration,
 }
 
-/// Shares out to one VM what may go to a target that is held to a rate; see [`of`].
+/// Assigns one VM its quota at a rate-limited target; see [`allot`].
 ///
 /// # Example
 ///
@@ -196,7 +197,7 @@
     }
 }
 
-/// What waits for a target at all VMs, the most urgent and then the oldest first; `true` marks a VM's own.
+/// Returns the requests that all VMs have queued for a target, by priority and age; `true` marks the VM's own.
 fn by_rank(own: &TargetQueue, others: &[(&TargetQueue, u32)]) -> Vec<(QueuedRequest, bool)> {
     let own = own.first.iter().map(|it| (*it, true));
     let others = others.iter().flat_map(|(queue, since)| {
--- a/engine/src/placement/rates.rs
+++ b/engine/src/placement/rates.rs
@@ -1,7 +1,8 @@
-//! The rates to which targets in need of relief ask to be held.
+//! The rate limits that overloaded targets ask for.
 //!
-//! A target names its rate in its answers, for as long as it holds, and means all VMs together. So what one VM
-//! hears is told to the others through the manager, each piece of news with its age, and the newest counts.
+//! A target names its rate in its answers for as long as the limit applies, and the limit is for all VMs together. Each
+//! VM therefore passes the rates that it receives on to the other VMs through the manager, each report with its age.
+//! The newest report counts.
 
 use std::time::Duration;
 
@@ -11,21 +12,22 @@
 use super::warmup::SenderPlan;
 use crate::{catalogue::TargetHash, target::Rate};
 
-/// By how much news must be newer than what is known: what goes to another VM and back looks a little younger.
+/// How much newer than the known report another one must be: a report that has gone to another VM and back looks
+/// slightly younger.
 const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(100);
-/// For how long news count. A target that is held to a rate is still sent to, so it says so again before.
+/// How long a report is valid. A rate-limited target still gets requests, so it repeats its report before that.
 const RATE_VALIDITY: Duration = Duration::from_mins(1);
-/// For how long others are told that a rate holds no more.
+/// How long the end of a limit is passed on to other VMs.
 const LIFTED_VALIDITY: Duration = Duration::from_secs(10);
-/// The least rate to which a target is held: one that takes nothing is asked so often whether it does again.
+/// The minimum rate: how often a target that accepts nothing is asked whether it accepts requests again.
 const MIN_RATE: Rate = 0.25;
-/// How many VMs send to a target by a pace of their own: when one of them is lost, the other goes on.
+/// How many VMs send at an interval of their own; if one of them fails, the other continues.
 const SENDERS: u32 = 2;
-/// The part of the rate that they use: each may send one request more in any span than its pace tells, and those
-/// that know another list of VMs may send too.
+/// The fraction of the rate that these VMs use: in any period each may send one request more than its interval says,
+/// and VMs with a different list of VMs may send too.
 const SENDERS_FRACTION: f64 = 0.75;
 
-/// Returns the rate at which requests are sent to a target that has named one.
+/// Returns the rate at which requests are sent to a target that asks for `rate`.
 ///
 /// # Example
 ///
@@ -39,8 +41,7 @@
     rate.max(MIN_RATE)
 }
 
-/// Returns how often few VMs may send to a target that asks to be held to a rate, where the manager shares nothing
-/// out.
+/// Returns how many VMs may send to a rate-limited target, and how often, while the manager assigns no quotas.
 ///
 /// # Example
 ///
@@ -61,7 +62,7 @@
     }
 }
 
-/// Returns the time from one request to the next at a rate.
+/// Returns the time between two requests at a rate.
 ///
 /// # Example
 ///
@@ -74,25 +75,26 @@
     Duration::from_secs_f64(effective_rate(rate).recip())
 }
 
-/// What one target has said, for other VMs.
+/// The rate limit of one target, as reported to other VMs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct RateReport {
     /// The target.
     pub target: TargetHash,
-    /// The rate to which it asks to be held; none once it takes whatever comes.
+    /// The limit in requests per second; `None` once it has been lifted.
     pub rate: Option<Rate>,
-    /// How long ago it said so.
+    /// How long ago the target reported it.
     pub age: Duration,
 }
 
+/// What a target last reported, and when.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     rate: Option<Rate>,
     at: Duration,
 }
 
-/// The rates that targets have named, as far as one process knows.
+/// The rate limits of targets, as far as one process knows them.
 ///
 /// # Example
 ///
@@ -116,7 +118,7 @@
 }
 
 impl Rates {
-    /// Takes note of what a target has just said; returns whether that changes what is known.
+    /// Records what a target has just reported; returns whether that changes its known limit.
     ///
     /// # Example
     ///
@@ -131,7 +133,7 @@
         changed
     }
 
-    /// Takes in what another process knows; returns the targets of which that changes what is known.
+    /// Merges the reports of another process; returns the targets whose limits change.
     ///
     /// # Example
     ///
@@ -151,7 +153,7 @@
         changed
     }
 
-    /// Forgets what is too old to count; returns the targets that are held to a rate no more by that.
+    /// Drops reports that are no longer valid; returns the targets whose limits end by that.
     ///
     /// # Example
     ///
@@ -181,7 +183,7 @@
         expired
     }
 
-    /// Returns what others may lack.
+    /// Returns all known reports, for other processes.
     ///
     /// # Example
     ///
@@ -195,7 +197,7 @@
         reports.collect()
     }
 
-    /// Returns the targets that ask to be held to a rate, with the rates.
+    /// Returns the targets that have a rate limit, with their limits.
     ///
     /// # Example
     ///
@@ -215,7 +217,7 @@
         entries.filter_map(|(target, entry)| Some((*target, entry.rate?)))
     }
 
-    /// Returns the rate to which a target asks to be held.
+    /// Returns the rate limit of a target.
     ///
     /// # Example
     ///
--- a/engine/src/placement/target_state.rs
+++ b/engine/src/placement/target_state.rs
@@ -1,4 +1,4 @@
-//! What one VM believes of one target's load and health.
+//! One VM's view of a target's load and health.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -20,96 +20,103 @@
     target::{LoadReport, Rate},
 };
 
-/// The part of a new sample in averages of times.
+/// The weight of a new sample in moving averages.
 const AVERAGE_WEIGHT: f64 = 0.15;
 /// The time in which a load report loses most of its weight to the mean of reports.
 ///
-/// Requests last some 50 to 250 ms; a report older than that tells little of who runs now.
+/// Requests take some 50 to 250 ms; an older report says little about which of them still run.
 const REPORT_DECAY: Duration = Duration::from_millis(200);
-/// How long the manager's word on other VMs' requests counts, at the least.
+/// The minimum time for which a sync response is valid.
 const MIN_SYNC_VALIDITY: Duration = Duration::from_millis(250);
-/// After how many pauses it doesn't: one word may be lost on its way.
+/// The number of sync intervals for which a sync response is valid: one response may be lost.
 const SYNC_VALIDITY_INTERVALS: u32 = 3;
-/// The pause between two words that is assumed before the first.
+/// The sync interval that is assumed before the first sync response.
 const DEFAULT_SYNC_INTERVAL: Duration = Duration::from_millis(40);
-/// How long it may take from a request's end until the next has its place, in pauses between two words of the
-/// manager.
+/// How long it may take from the end of a request until the next one uses its slot, in sync intervals.
 const REFILL_INTERVALS: f64 = 1.5;
-/// How long it takes to get a right to send, in pauses between two words of the manager.
+/// How long it takes until a queued request gets a quota, in sync intervals.
 const QUOTA_INTERVALS: f64 = 2.0;
-/// How long that may take, in service times: with one request waiting at the target, its slots go on meanwhile.
+/// How long that may take, in service times: with one request in the target's own queue, its slots stay busy meanwhile.
 const QUOTA_SERVICE_TIMES: f64 = 1.5;
-/// How many requests a target may have waiting, from all VMs, as far as this VM can tell.
+/// How many requests of all VMs the target's own queue may hold, as far as this VM knows.
 ///
-/// Targets queue some 8 and may break connections when full; VMs see each other's requests late, so
-/// the last places are left empty.
+/// Targets queue some 8 and may close connections when full. VMs learn of each other's requests late, so the last
+/// places of the queue stay empty.
 pub const MAX_TARGET_QUEUE: f64 = 5.0;
-/// For how long no request may wait for a target until its line counts as ended, at the least: a few words
-/// of the manager, in which the line may be empty by chance.
+/// The minimum time without queued requests after which a target's queue counts as drained: a few sync exchanges, in
+/// which the queue may be empty by chance.
 const MIN_QUEUE_GAP: Duration = Duration::from_millis(250);
-/// The service time that is assumed, at the least, of a service of which nothing was measured.
+/// The minimum service time that is assumed for a service without measurements.
 pub(super) const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(80);
-/// By how much a target that has just started is taken to be slower: a factor of two that wears off.
+/// How much slower a target that has just started is assumed to be: a factor of two that wears off.
 const COLD_FACTOR: f64 = 1.7;
-/// How long a target is left alone after it could not be reached.
+/// The first backoff after a target couldn't be reached.
 const MIN_BACKOFF: Duration = Duration::from_millis(400);
-/// The longest time for which it is left alone: a target that came back earlier is missed so long.
+/// The longest backoff; a target that is back earlier gets no requests for this long.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
-/// The share of failures above which a target is tried by single requests only.
+/// The failure rate above which a target only gets single probes.
 const MAX_FAILURE_RATE: f64 = 0.35;
-/// After how many usual times a request counts as overdue: one in a hundred takes five.
+/// After how many typical times a request counts as overdue: one in a hundred takes five.
 const OVERDUE_FACTOR: f64 = 4.0;
-/// The pause between two single requests to a target that fails, or that is believed too slow.
+/// The time between two probes of a target that fails, or that seems too slow.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// What failed requests weigh in the share of failures.
+/// The weight of a new result in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// How long it takes a share of failures without new answers to halve.
+/// The half-life of the failure rate without new answers, in seconds.
 const FAILURE_HALF_LIFE_SECS: f64 = 3.0;
 
-/// One target as this VM knows it.
+/// The state of one target as this VM knows it.
 #[derive(Clone, Debug)]
 pub struct TargetState {
     /// The target.
     pub target: Target,
-    /// This VM's requests there.
+    /// This VM's in-flight requests.
     pub own_in_flight: u32,
-    /// When those were sent.
+    /// When they were sent.
     sent_times: Vec<Duration>,
+    /// Other VMs' requests by the last load report, at the time of that report.
     reported_others: f64,
+    /// The moving average of these numbers.
     mean_others: f64,
+    /// When the last load report arrived.
     reported_at: Option<Duration>,
-    /// Other VMs' requests, as the manager told, and when.
+    /// Other VMs' in-flight requests by the last sync response, and when it arrived.
     synced: Option<(u32, Duration)>,
-    /// The time from that word to the next.
+    /// The time from that response to the next.
     sync_interval: Duration,
-    /// What may be sent here until the manager's next word, while requests wait for this target.
+    /// What may be sent until the next sync response, while requests are queued for this target.
     quota: Option<Quota>,
-    /// Since when requests have waited for it, with short pauses at the most.
+    /// Since when requests have been queued for the target, apart from short gaps.
     queued_since: Option<Duration>,
-    /// When they did so last.
+    /// When requests were last queued for it.
     queued_at: Duration,
-    /// Sum in seconds and count of service times, not yet told.
+    /// Sum in seconds and count of the service times that haven't been reported yet.
     samples: (f64, u32),
+    /// The moving average of service times, in seconds, if any was measured.
     service_time: Option<f64>,
-    /// When that was learnt.
+    /// When the service time was last measured.
     measured_at: Duration,
+    /// The failure rate at `failures_at`, from 0 to 1.
     failure_rate: f64,
     failures_at: Duration,
+    /// Until when no requests are sent, since the target could not be reached.
     backoff_until: Duration,
+    /// The length of the next backoff.
     backoff: Duration,
+    /// When this VM last sent a request.
     last_sent_at: Duration,
-    /// Another target answers at its address.
+    /// Whether another target answers at the address.
     address_reused: bool,
-    /// Until when it is cold, and what this VM may send there meanwhile.
+    /// The limit on this VM's requests while the target is cold.
     warmup_limiter: SendLimiter,
-    /// The rate to which it asks to be held.
+    /// The rate limit that the target asks for.
     rate: Option<Rate>,
-    /// What this VM may send there by itself while it does.
+    /// The limit on this VM's requests without a quota while the rate limit applies.
     rate_limiter: SendLimiter,
 }
 
 impl TargetState {
-    /// Creates what is believed of a target that has just been announced.
+    /// Creates the state of a target that has just been announced.
     pub fn new(target: Target, now: Duration) -> Self {
         Self {
             target,
@@ -138,35 +145,35 @@
         }
     }
 
-    /// Takes a newer announcement of the same life in.
+    /// Applies a newer announcement of the same incarnation.
     pub fn update(&mut self, target: &Target) {
         self.address_reused &= self.target.address == target.address;
         self.target = target.clone();
     }
 
-    /// Takes note until when it is cold, and what this VM may send there meanwhile.
+    /// Sets until when the target is cold, and what this VM may send to it meanwhile.
     pub fn set_warmup(&mut self, until: Duration, limit: SendLimit) {
         self.warmup_limiter.set(until, limit);
     }
 
-    /// Takes note of the rate to which it asks to be held, and of what this VM may send there by itself.
+    /// Sets the target's rate limit, and what this VM may send to it without a quota.
     pub fn set_rate(&mut self, rate: Option<Rate>, limit: SendLimit) {
         self.rate = rate;
         let until = rate.map_or(Duration::ZERO, |_| Duration::MAX);
         self.rate_limiter.set(until, limit);
     }
 
-    /// Returns whether this VM may send there by itself, as far as the target asks to be held to a rate.
+    /// Returns whether the rate limit allows this VM to send a request without a quota.
     pub fn allows_rate(&self, now: Duration) -> bool {
         self.rate_limiter.allows(now)
     }
 
-    /// Returns the rate to which it asks to be held.
+    /// Returns the rate limit that the target asks for.
     pub fn rate(&self) -> Option<Rate> {
         self.rate
     }
 
-    /// Returns how many requests are probably there, from all VMs.
+    /// Returns the estimated number of requests of all VMs at the target.
     pub fn depth(&self, now: Duration) -> f64 {
         if let Some((others, _)) = self
             .synced
@@ -181,14 +188,14 @@
         f64::from(self.own_in_flight) + others
     }
 
-    /// Returns how old the manager's word on other VMs' requests is.
+    /// Returns the age of the last sync response.
     pub fn sync_age(&self, now: Duration) -> Option<Duration> {
         self.synced.map(|(_, at)| now.saturating_sub(at))
     }
 
-    /// Takes note of other VMs' requests there, and of this VM's share of the room.
+    /// Applies a sync response: other VMs' in-flight requests, and this VM's quota.
     ///
-    /// `pause` is the time until the next such word.
+    /// `sync_interval` is the time until the next response.
     pub fn apply_sync(
         &mut self,
         now: Duration,
@@ -209,11 +216,11 @@
         }
     }
 
-    /// Returns whether the manager shares out the room here: it has told lately, and rights come in time.
+    /// Returns whether the manager assigns quotas for the target: it has responded lately, and quotas arrive in time.
     ///
-    /// Who waits for a right gets it two words of the manager later. Where a request takes less time than that,
-    /// a slot would rest after each request; whoever sees room sends then. The owner of a key is sent to by
-    /// rights all the same: its requests have nowhere else to go, and would fill its queue.
+    /// A quota arrives two sync exchanges after the request is queued. If requests take less time than that, a slot
+    /// would be idle after each request, so a VM that sees free capacity sends at once. Requests to the owner of a key
+    /// need a quota all the same: they can't go to another target, and would fill its queue.
     pub fn uses_quota(&self, now: Duration, typical_time: Option<f64>, keyed: bool) -> bool {
         let synced = self
             .synced
@@ -222,21 +229,22 @@
         synced && (keyed || quota_delay <= self.service_time(typical_time) * QUOTA_SERVICE_TIMES)
     }
 
-    /// Returns the time between two words of the manager.
+    /// Returns the time between two sync exchanges.
     pub fn sync_interval(&self) -> Duration {
         self.sync_interval
     }
 
+    /// Returns how long a sync response is valid.
     fn sync_validity(&self) -> Duration {
         MIN_SYNC_VALIDITY.max(self.sync_interval * SYNC_VALIDITY_INTERVALS)
     }
 
-    /// Returns this VM's share of the room, if requests wait for this target.
+    /// Returns this VM's quota, if requests are queued for this target.
     pub fn quota(&self) -> Option<&Quota> {
         self.quota.as_ref()
     }
 
-    /// Uses a right to send, of a request that can still be answered within its goal or of another.
+    /// Uses up the quota of one request, which can still meet its goal or not.
     pub fn consume_quota(&mut self, within_goal: bool) {
         if let Some(quota) = &mut self.quota {
             let remaining = if within_goal {
@@ -248,18 +256,18 @@
         }
     }
 
-    /// Returns since when requests that can still be answered in time have waited for this target.
+    /// Returns since when requests that can still meet their goals have been queued for the target.
     pub fn queued_since(&self) -> Option<Duration> {
         self.queued_since
     }
 
-    /// Returns how many requests the target works on at a time.
+    /// Returns how many requests the target processes at a time.
     pub fn slots(&self) -> u32 {
         u32::try_from(self.target.slots.max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Returns how many requests may be there at once: what it works on, and what it ends until the
-    /// manager has told every VM of its free places.
+    /// Returns how many requests the target may have at once: those that it processes, and those that it completes
+    /// until the manager has informed every VM of free slots.
     pub fn max_in_flight(&self, now: Duration, typical_time: Option<f64>) -> u32 {
         let interval = self
             .completion_interval(now, typical_time)
@@ -267,24 +275,24 @@
             .max(0.001);
         let ahead = (self.sync_interval.as_secs_f64() * REFILL_INTERVALS / interval).ceil();
         let ahead = ahead.clamp(1.0, MAX_TARGET_QUEUE);
-        // A few at most.
+        // At most `MAX_TARGET_QUEUE`.
         self.slots() + ahead as u32
     }
 
-    /// Takes the sum in seconds and the count of service times since the last call.
+    /// Takes the sum in seconds and the count of the service times since the last call.
     pub fn take_samples(&mut self) -> (f64, u32) {
         std::mem::take(&mut self.samples)
     }
 
-    /// Returns the time that one request takes there, without waiting, in seconds.
+    /// Returns the time that one request takes without queueing, in seconds.
     pub fn service_time(&self, typical_time: Option<f64>) -> f64 {
         let time = self.service_time.or(typical_time);
         time.unwrap_or(DEFAULT_SERVICE_TIME.as_secs_f64())
     }
 
-    /// Returns how often the target ends a request while all its slots are in use.
+    /// Returns the time between two completions while all slots are in use.
     ///
-    /// A target that is held to a rate is sent no more than that, however fast it is.
+    /// A rate-limited target gets no more requests than its rate allows, however fast it is.
     pub fn completion_interval(&self, now: Duration, typical_time: Option<f64>) -> Duration {
         let time = self.service_time(typical_time) * self.cold_factor(now);
         let interval = Duration::from_secs_f64(time / self.target.slots.max(1) as f64);
@@ -297,17 +305,17 @@
         self.service_time
     }
 
-    /// Returns whether the target is cold, or may be.
+    /// Returns whether the target is, or may be, cold.
     pub fn is_cold(&self, now: Duration) -> bool {
         self.warmup_limiter.is_active(now)
     }
 
-    /// By how much service times are longer now than when the target is warm.
+    /// Returns the factor by which service times are longer now than at a warm target.
     fn cold_factor(&self, now: Duration) -> f64 {
         if self.is_cold(now) { COLD_FACTOR } else { 1.0 }
     }
 
-    /// Returns the time that a request sent now would probably take, in seconds.
+    /// Returns the expected response time of a request sent now, in seconds.
     pub fn expected_time(&self, now: Duration, typical_time: Option<f64>) -> f64 {
         let slots = self.target.slots.max(1) as f64;
         let depth = self.depth(now);
@@ -319,35 +327,34 @@
         wait + time * (1.0 + queued + busy) + self.overdue(now, time * (1.0 + queued))
     }
 
-    /// Returns by how much the oldest request outlasts what is usual, in seconds.
+    /// Returns how much longer than typical the oldest request has taken, in seconds.
     ///
-    /// A target that has turned slow shows so before its first answer.
-    fn overdue(&self, now: Duration, usual: f64) -> f64 {
+    /// This shows that a target has become slow before its first answer.
+    fn overdue(&self, now: Duration, typical_time: f64) -> f64 {
         let oldest = self.sent_times.iter().min();
-        let waited = oldest.map_or(0.0, |at| now.saturating_sub(*at).as_secs_f64());
-        (waited - usual * OVERDUE_FACTOR).max(0.0)
+        let elapsed = oldest.map_or(0.0, |at| now.saturating_sub(*at).as_secs_f64());
+        (elapsed - typical_time * OVERDUE_FACTOR).max(0.0)
     }
 
-    /// Returns the share of failures among the latest answers.
+    /// Returns the recent failure rate, from 0 to 1.
     pub fn failure_rate(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.failures_at).as_secs_f64();
         self.failure_rate * (-age / FAILURE_HALF_LIFE_SECS).exp2()
     }
 
-    /// Returns whether a request may be sent now.
+    /// Returns whether the target may get requests now.
     pub fn is_available(&self, now: Duration) -> bool {
         now >= self.backoff_until && !self.address_reused && self.warmup_limiter.allows(now)
     }
 
-    /// Returns whether it fails too often for other than single trials.
+    /// Returns whether the target fails too often to get more than single probes.
     pub fn is_failing(&self, now: Duration) -> bool {
         self.failure_rate(now) > MAX_FAILURE_RATE && now < self.last_sent_at + PROBE_INTERVAL
     }
 
-    /// Returns whether a single request should find out how fast it is, though no answer is expected in time.
+    /// Returns whether a single request should probe the target's speed, though no answer is expected in time.
     ///
-    /// A target that has nothing to do is believed slow by answers from a time that may be over, and only
-    /// another answer can tell.
+    /// An idle target may seem slow because of outdated answers, and only another answer can correct that.
     pub fn needs_probe(&self, now: Duration) -> bool {
         let idle = self.own_in_flight == 0 && self.depth(now) < f64::from(self.slots());
         let has_queue = self.quota.as_ref().is_some_and(|it| it.busy);
@@ -356,7 +363,7 @@
             && now >= self.last_sent_at.max(self.measured_at) + PROBE_INTERVAL
     }
 
-    /// Takes note of a request that is sent.
+    /// Records a request that is sent.
     pub fn record_sent(&mut self, now: Duration) {
         self.own_in_flight += 1;
         self.warmup_limiter.record_sent(now);
@@ -365,14 +372,14 @@
         self.last_sent_at = now;
     }
 
-    /// Takes note of a request's end.
+    /// Records the end of a request.
     pub fn record_completion(&mut self, now: Duration, completion: Completion) {
         let Completion {
-            kind: ended,
+            kind,
             sent,
             depth,
             load,
-            ownership: owned,
+            ownership,
         } = completion;
         self.own_in_flight = self.own_in_flight.saturating_sub(1);
         if let Some(at) = self.sent_times.iter().position(|at| *at == sent) {
@@ -381,7 +388,7 @@
         if let Some(load) = load {
             self.record_load(now, load);
         }
-        match ended {
+        match kind {
             CompletionKind::Answered(took) => {
                 self.record_service_time(now, took, depth);
                 self.record_outcome(now, 0.0);
@@ -393,13 +400,14 @@
                 self.backoff_until = now + self.backoff;
                 self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
             }
-            // Without a key only another target refuses so, and goes on to: the address was used again.
-            // With one it says nothing of the target's health.
-            CompletionKind::Misdirected => self.address_reused |= owned.is_none(),
+            // Without a key, only another target that reuses the address refuses like this, and it keeps refusing. With
+            // a key, this says nothing about the target's health.
+            CompletionKind::Misdirected => self.address_reused |= ownership.is_none(),
             CompletionKind::Abandoned(waited) => self.record_abandoned(now, waited, depth),
         }
     }
 
+    /// Records a load report in an answer.
     fn record_load(&mut self, now: Duration, load: LoadReport) {
         let all = f64::from(load.running + load.waiting);
         self.reported_others = (all - f64::from(self.own_in_flight)).max(0.0);
@@ -407,7 +415,7 @@
         self.reported_at = Some(now);
     }
 
-    /// Learns the service time from an answer that came after `depth` others.
+    /// Records the service time of an answer to a request that was sent while `depth` others were there.
     fn record_service_time(&mut self, now: Duration, took: Duration, depth: f64) {
         self.measured_at = now;
         let slots = self.target.slots.max(1) as f64;
@@ -419,7 +427,7 @@
         *mean += (sample - *mean) * AVERAGE_WEIGHT;
     }
 
-    /// Learns from a request that was given up: it would have taken longer still.
+    /// Records an abandoned request, which would have taken even longer.
     fn record_abandoned(&mut self, now: Duration, waited: Duration, depth: f64) {
         let slots = self.target.slots.max(1) as f64;
         let queued = ((depth + 1.0 - slots).max(0.0) / slots).min(4.0);
@@ -429,6 +437,7 @@
         }
     }
 
+    /// Records a result in the failure rate: 0 for a success, up to 1 for a failure.
     fn record_outcome(&mut self, now: Duration, sample: f64) {
         let before = self.failure_rate(now);
         self.failure_rate = before + (sample - before) * FAILURE_WEIGHT;
--- a/engine/src/placement/task.rs
+++ b/engine/src/placement/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the dispatcher.
+//! The task that owns the dispatcher and answers requests for targets through channels.
 
 use std::{cell::Cell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -19,45 +19,44 @@
     target::{LoadReport, Rate},
 };
 
-/// How often waiting requests are looked at when nothing else happens: their time may have kind,
-/// and load reports lose weight with age.
+/// How often queued requests are checked while no event arrives: deadlines pass, and load reports lose weight with age.
 const TICK: Duration = Duration::from_millis(10);
 
-/// What the dispatcher's task is told.
+/// A message to the dispatcher's task.
 enum Message {
     Request(DispatchRequest, oneshot::Sender<Result<Permit, Refused>>),
     Event(Event),
     Snapshot(oneshot::Sender<Snapshot>),
 }
 
-/// Why a request got no target.
+/// The refusal of a request for a target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// When a place is likely free.
+    /// How long it takes until a slot is likely to be free.
     pub retry_after: Duration,
-    /// What the decision rests on.
+    /// The data behind the decision.
     pub basis: Basis,
 }
 
-/// The right to send one request to a target; must be given back by its end.
+/// Permission to send one request to a target; dropping it reports the request as abandoned.
 #[derive(Debug)]
 pub struct Permit {
     /// The target.
     pub target: Target,
-    /// What the decision rests on.
+    /// The data behind the decision.
     pub basis: Basis,
-    /// When the right was given.
+    /// When the permit was issued.
     pub sent_at: Duration,
     clock: Clock,
     dispatcher: Option<Handle>,
 }
 
 impl Permit {
-    /// Tells to which rate the target's answer asks to be held.
+    /// Reports the rate limit that the target's answer asks for; `None` if it asks for none.
     pub fn report_rate(&self, rate: Option<Rate>) {
-        // Most targets never name one, which is worth no message.
+        // Most targets never ask for a limit, and a message for each of their answers would be wasted.
         if rate.is_none() && self.basis.rate.is_none() {
             return;
         }
@@ -66,11 +65,12 @@
         }
     }
 
-    /// Tells how the request kind.
+    /// Reports how the request ended, and returns the permit.
     pub fn finish(mut self, kind: CompletionKind, load: Option<LoadReport>) {
         self.complete(kind, load);
     }
 
+    /// Reports the end of the request, once.
     fn complete(&mut self, kind: CompletionKind, load: Option<LoadReport>) {
         if let Some(dispatcher) = self.dispatcher.take() {
             dispatcher.send(Event::Completed {
@@ -94,7 +94,7 @@
     }
 }
 
-/// Talks to the dispatcher's task.
+/// A handle on the dispatcher's task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     sender: mpsc::UnboundedSender<Message>,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Takes a request off the queue when whoever pending is gone.
+/// Removes a queued request when the future that waits for it is dropped.
 struct CancelOnDrop {
     dispatcher: Handle,
     ticket: Ticket,
@@ -123,11 +123,11 @@
 }
 
 impl Handle {
-    /// Asks for a target; the request's ticket is set here.
+    /// Waits for a permit to send a request; the request's ticket is set here.
     ///
     /// # Errors
     ///
-    /// [`Refused`] when the request can't be served.
+    /// [`Refused`] if the dispatcher refuses the request.
     pub async fn acquire(&self, mut request: DispatchRequest) -> Result<Permit, Refused> {
         let ticket = self.last_ticket.get() + 1;
         self.last_ticket.set(ticket);
@@ -155,27 +155,27 @@
         result
     }
 
-    /// Tells the dispatcher what happened.
+    /// Sends an event to the dispatcher.
     pub fn send(&self, event: Event) {
-        // The task ends with the process only; then nothing is left to be told.
+        // The task only ends with the process, so a failed send needs no handling.
         let _ = self.sender.unbounded_send(Message::Event(event));
     }
 
-    /// Shows the dispatcher another view of the fleet.
+    /// Gives the dispatcher a new view of the fleet.
     pub fn update_view(&self, view: Rc<FleetView>) {
         self.send(Event::View(view));
     }
 
-    /// Returns what is under way, and the service times measured since the last call.
+    /// Returns the in-flight and queued requests, and the service times measured since the last call.
     pub async fn take_snapshot(&self) -> Snapshot {
         let (sender, receiver) = oneshot::channel();
-        // The task ends with the process only.
+        // The task only ends with the process.
         let _ = self.sender.unbounded_send(Message::Snapshot(sender));
         receiver.await.unwrap_or_default()
     }
 }
 
-/// Starts the task and returns the way to talk to it.
+/// Starts the task and returns a handle on it.
 pub fn start(dispatcher: Dispatcher, clock: Clock, report: Report) -> Handle {
     let (sender, receiver) = mpsc::unbounded();
     let handle = Handle {
@@ -186,6 +186,7 @@
     handle
 }
 
+/// Handles messages until the process ends.
 async fn run(
     mut dispatcher: Dispatcher,
     clock: Clock,
@@ -206,7 +207,7 @@
         let event = match message {
             None => return,
             Some(Message::Snapshot(sender)) => {
-                // Whoever pending may be gone with its own task.
+                // The receiver may have been dropped with its own task.
                 let _ = sender.send(dispatcher.take_snapshot(clock.now()));
                 continue;
             }
@@ -227,6 +228,7 @@
     }
 }
 
+/// Sends a decision to the caller that waits for it.
 fn apply(
     effect: Effect,
     pending: &mut HashMap<Ticket, oneshot::Sender<Result<Permit, Refused>>>,
@@ -264,7 +266,7 @@
         }
     };
     if let Some(sender) = pending.remove(&ticket) {
-        // Whoever pending may have left meanwhile; a permit that is dropped is given back.
+        // The receiver may be gone; the permit is then dropped, which reports the request as abandoned.
         let _ = sender.send(result);
     }
 }
--- a/engine/src/placement/vm_count.rs
+++ b/engine/src/placement/vm_count.rs
@@ -1,11 +1,11 @@
-//! Among how many VMs the slack of the budget for repeats is divided.
+//! The number of VMs that share the slack of the retry budget.
 
 use std::{collections::VecDeque, time::Duration};
 
-/// How many VMs share the budget: the most that were changes at one time within a window.
+/// The largest number of VMs that were listed at the same time within a window.
 ///
-/// A VM that leaves the list may have used its part just before, or go on: the store drops the entries of
-/// living VMs that it couldn't hear.
+/// A VM that is no longer listed may have used its part of the budget just before, or may still run: the store removes
+/// the entries of running VMs that it couldn't reach.
 ///
 /// # Example
 ///
@@ -27,7 +27,7 @@
     changes: VecDeque<Change>,
 }
 
-/// How many were changes, and since when.
+/// The number of VMs listed since a time.
 #[derive(Clone, Copy, Debug)]
 struct Change {
     since: Duration,
@@ -35,7 +35,7 @@
 }
 
 impl PeakVmCount {
-    /// Creates the count over a window, of no VMs yet.
+    /// Creates a count over a window, with no VMs yet.
     ///
     /// # Example
     ///
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes note of how many VMs are changes from now on.
+    /// Records how many VMs are listed from now on.
     ///
     /// # Example
     ///
@@ -60,7 +60,7 @@
         self.discard_expired(now);
     }
 
-    /// Returns the most that were changes at one time since the window began.
+    /// Returns the largest number of VMs listed at one time since the window began.
     ///
     /// # Example
     ///
@@ -71,7 +71,7 @@
         counts.max().unwrap_or(0)
     }
 
-    /// Forgets what was changes before the window only.
+    /// Discards changes that only concern the time before the window.
     fn discard_expired(&mut self, now: Duration) {
         let expired = |next: &Change| next.since + self.window <= now;
         while self.changes.get(1).is_some_and(expired) {
--- a/engine/src/placement/warmup.rs
+++ b/engine/src/placement/warmup.rs
@@ -1,13 +1,13 @@
-//! Which VM may send to a cold target, and how often.
+//! Decides which VMs may send to a cold target, and how often.
 //!
-//! Load pattern: a target has just started, or a whole failure domain comes back, and each target bears a few
-//! requests a second for some seconds; above that it falls over and starts again, cold. To sixty VMs it
-//! looks idle, and one request a second from each is ten times too many.
+//! Load pattern: a target has just started, or a whole failure domain has come back, and each target can only process a
+//! few requests per second for some seconds. Above that it fails and starts again, cold. To sixty VMs it looks idle,
+//! and one request per second from each of them is ten times too many.
 //!
-//! So a few VMs send to it, chosen by a hash of their names and its id, each with its part of the rate. That needs
-//! no message, and holds while the manager is lost, while VMs don't hear it, and for any number of VMs. VMs that
-//! know different lists of VMs may choose others, so all of the chosen together use at most half of what the
-//! platform bears in any second.
+//! Therefore only a few VMs send to it, chosen by a hash of their names and the target's id, each with its part of the
+//! rate. That needs no messages, and it works without a manager, for VMs that can't reach the manager, and for any
+//! number of VMs. VMs with different lists of VMs may choose different senders, so the chosen VMs together use at most
+//! half of what the platform allows in any second.
 
 use std::time::Duration;
 
@@ -16,24 +16,24 @@
 
 use crate::{catalogue::Warmup, fleet::VmId};
 
-/// The most VMs that send to one cold target: when one of them is lost, others go on.
+/// The maximum number of VMs that send to one cold target; if one of them fails, the others continue.
 const MAX_SENDERS: u32 = 3;
-/// How many lists of VMs may be believed at once: that before a change and that after it.
+/// How many lists of VMs may be in use at once: the one before a change and the one after it.
 const MAX_VIEWS: f64 = 2.0;
 
-/// By how much the requests that reach a cold target in one second may exceed its rate.
+/// How far the requests that reach a cold target in one second may exceed its rate.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct BurstAllowance {
     /// A factor on the rate.
     #[serde(rename = "over")]
     pub factor: f64,
-    /// Requests beyond that.
+    /// Requests in addition to that.
     pub slack: f64,
 }
 
 impl Default for BurstAllowance {
-    /// What holds where the platform says nothing: the rate itself.
+    /// The default where the platform sets no allowance: the rate itself.
     fn default() -> Self {
         Self {
             factor: 1.0,
@@ -42,18 +42,17 @@
     }
 }
 
-/// How many VMs send to a cold target, and how long each waits from one request to the next.
+/// How many VMs send to a target, and how long each waits between two requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SenderPlan {
     /// How many VMs send.
     pub senders: usize,
-    /// The interval of each.
+    /// The time between two requests of one VM.
     pub interval: Duration,
 }
 
 impl SenderPlan {
-    /// Returns the fastest pace that keeps to a target's rate, whichever second is looked at; none if
-    /// nothing may be sent.
+    /// Returns the fastest plan that keeps to a target's rate in any second; `None` if nothing may be sent.
     ///
     /// # Example
     ///
@@ -71,14 +70,14 @@
     /// assert_eq!(SenderPlan::of(Warmup { rate: 0.5, ..warmup }, BurstAllowance::default()), None);
     /// ```
     pub fn of(warmup: Warmup, burst: BurstAllowance) -> Option<Self> {
-        let most = (warmup.rate * burst.factor + burst.slack) / MAX_VIEWS;
-        // A second may hold one request of each sender more than the rate tells.
-        let spare = most - warmup.rate;
+        let limit = (warmup.rate * burst.factor + burst.slack) / MAX_VIEWS;
+        // In any one second each sender may send one request more than its rate says.
+        let spare = limit - warmup.rate;
         let senders = (1..=MAX_SENDERS)
             .rev()
             .find(|it| f64::from(*it) <= spare)
             .unwrap_or(1);
-        let rate = warmup.rate.min(most - f64::from(senders));
+        let rate = warmup.rate.min(limit - f64::from(senders));
         if rate <= 0.0 {
             return None;
         }
@@ -88,8 +87,7 @@
         })
     }
 
-    /// Returns whether a VM is one of those that send to a target, among all VMs; one that isn't listed with
-    /// the others is none.
+    /// Returns whether the VM `own` is one of the senders to a target; a VM that isn't in the list is not.
     ///
     /// # Example
     ///
@@ -105,29 +103,30 @@
     /// ```
     pub fn is_sender(&self, own: &str, vms: &[VmId], target: &str) -> bool {
         let seed = xxh3::xxh3_64(target.as_bytes());
-        let mine = rank(own, seed);
-        let before = vms.iter().filter(|vm| rank(vm, seed) < mine);
-        vms.iter().any(|vm| vm == own) && before.count() < self.senders
+        let own_rank = rank(own, seed);
+        let ahead = vms.iter().filter(|vm| rank(vm, seed) < own_rank);
+        vms.iter().any(|vm| vm == own) && ahead.count() < self.senders
     }
 }
 
+/// Returns the rank of a VM among the senders to a target; the lowest send.
 fn rank(vm: &str, seed: u64) -> (u64, &str) {
     (xxh3::xxh3_64_with_seed(vm.as_bytes(), seed), vm)
 }
 
-/// What one VM may send to a cold target.
+/// One VM's limit on requests to a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SendLimit {
-    /// Whatever comes: cold targets of its service have no bound.
+    /// No limit; for cold targets, if their service sets none.
     #[default]
     Unlimited,
-    /// One request in each such interval.
+    /// One request per interval.
     Interval(Duration),
-    /// Nothing: other VMs send.
+    /// No requests; other VMs send.
     Blocked,
 }
 
-/// Whether one VM may send to one target now, as far as that is cold.
+/// Limits the requests of one VM to one target until a time, for example while the target is cold.
 ///
 /// # Example
 ///
@@ -138,7 +137,7 @@
 ///
 /// let ms = Duration::from_millis;
 /// let mut limiter = SendLimiter::default();
-/// assert!(limiter.allows(ms(0)), "a warm target takes what comes");
+/// assert!(limiter.allows(ms(0)), "a warm target has no limit");
 /// limiter.set(ms(3000), SendLimit::Interval(ms(250)));
 /// limiter.record_sent(ms(10));
 /// assert!(!limiter.allows(ms(259)) && limiter.allows(ms(260)));
@@ -147,26 +146,26 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct SendLimiter {
-    /// Until when the target is cold.
+    /// When the limit ends.
     until: Duration,
     limit: SendLimit,
-    /// When this VM sent there last.
+    /// When this VM last sent a request to the target.
     last_sent: Option<Duration>,
 }
 
 impl SendLimiter {
-    /// Limits what is sent until a time.
+    /// Sets a limit that applies until a time.
     pub fn set(&mut self, until: Duration, limit: SendLimit) {
         self.until = until;
         self.limit = limit;
     }
 
-    /// Returns whether the target is cold, or may be.
+    /// Returns whether the limit applies, for example because the target is cold.
     pub fn is_active(&self, now: Duration) -> bool {
         now < self.until
     }
 
-    /// Returns whether a request may pass.
+    /// Returns whether a request may be sent.
     pub fn allows(&self, now: Duration) -> bool {
         if !self.is_active(now) {
             return true;
@@ -178,7 +177,7 @@
         }
     }
 
-    /// Takes note of a request that passes.
+    /// Records a request that is sent.
     pub fn record_sent(&mut self, now: Duration) {
         self.last_sent = Some(now);
     }
