--- a/engine/src/placement/dispatch/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -62,7 +62,7 @@
     vm: VmId,
     domain: DomainId,
     burst_allowance: BurstAllowance,
-    allowance: Allowance,
+    retry_allowance: Allowance,
     /// When the process started, which is the time of its first event.
     started_at: Option<Duration>,
     view: Rc<FleetView>,
@@ -103,17 +103,17 @@
     /// let mut dispatcher = Dispatcher::new("domain-1", allowance, 1);
     /// assert!(dispatcher.handle(Duration::ZERO, Event::Tick).is_empty());
     /// ```
-    pub fn new(domain: &str, allowance: Allowance, seed: u64) -> Self {
+    pub fn new(domain: &str, retry_allowance: Allowance, seed: u64) -> Self {
         Self {
             vm: VmId::new(),
             domain: domain.to_owned(),
             burst_allowance: BurstAllowance::default(),
-            allowance,
+            retry_allowance,
             started_at: None,
             view: Rc::default(),
             target_states: IndexMap::new(),
             budgets: IndexMap::new(),
-            vm_count: PeakVmCount::new(allowance.window),
+            vm_count: PeakVmCount::new(retry_allowance.window),
             queue: Vec::new(),
             median_times: IndexMap::new(),
             medians_due: Duration::ZERO,
@@ -304,8 +304,9 @@
     /// Decides for a new request, and queues it if need be.
     fn submit(&mut self, now: Duration, request: DispatchRequest, effects: &mut Vec<Effect>) {
         if !request.is_retry {
-            let allowance = self.allowance;
-            self.budget(now, &request.service).count(now, allowance);
+            let retry_allowance = self.retry_allowance;
+            self.budget(now, &request.service)
+                .count(now, retry_allowance);
         }
         let mut queued = Queued {
             request,
@@ -418,8 +419,8 @@
     /// Charges a retry to the budget of a service, if this VM's part of it allows that.
     fn charge_retry(&mut self, now: Duration, service: &str) -> Balance {
         let vms = self.vm_count.peak(now);
-        let allowance = self.allowance;
-        self.budget(now, service).spend(now, allowance, vms)
+        let retry_allowance = self.retry_allowance;
+        self.budget(now, service).spend(now, retry_allowance, vms)
     }
 
     /// Returns the retry budget of a service.
--- a/engine/src/placement/target_state.rs
+++ b/engine/src/placement/target_state.rs
@@ -40,8 +40,8 @@
 const QUOTA_SERVICE_TIMES: f64 = 1.5;
 /// How many requests of all VMs the target's own queue may hold, as far as this VM knows.
 ///
-/// Targets queue some 8 and may close connections when full. VMs learn of each other's requests late, so the last
-/// places of the queue stay empty.
+/// Targets queue some 8 and may close connections when full. VMs learn of each other's requests late, so the end
+/// of the queue is left empty.
 pub const MAX_TARGET_QUEUE: f64 = 5.0;
 /// The minimum time without queued requests after which a target's queue counts as drained: a few sync exchanges, in
 /// which the queue may be empty by chance.
