--- a/engine/src/placement/dispatch/admission.rs
+++ b/engine/src/placement/dispatch/admission.rs
@@ -26,7 +26,7 @@
 pub(super) enum Decision {
     /// Send it, and use up this quota if one is needed.
     Send(Basis, Option<QuotaKind>),
-    /// TargetQueue it, for a target if it needs free capacity there.
+    /// Let it wait in the queue, for a target if it needs free capacity there.
     Queue(Option<QueueKey>),
     /// Refuse it, with the time to retry after.
     Refuse(RefusalReason, Duration, Basis),
