--- a/engine/src/catalogue/mod.rs
+++ b/engine/src/catalogue/mod.rs
@@ -1,7 +1,7 @@
-//! What operators and targets have written: routes, services, limits and targets.
+//! The configuration of operators and the announcements of targets: routes, services, limits, targets.
 //!
-//! The types hold what is in force; an adapter decodes them from whatever the platform stores, by
-//! the trait [`Catalogue`].
+//! The types hold decoded values. An adapter implements the trait [`Catalogue`], which decodes them from the
+//! formats that its platform stores.
 
 mod routes;
 
@@ -15,16 +15,16 @@
 
 /// The name of a service.
 pub type ServiceId = String;
-/// The id of one target's life.
+/// The id of a target.
 pub type TargetId = String;
 /// The name of a failure domain.
 pub type DomainId = String;
-/// The version of a configuration; versions only grow.
+/// The version of a configuration; a newer configuration has a higher one.
 pub type Version = u64;
-/// When a target's life began, in Unix milliseconds by the target's own clock.
+/// When an incarnation of a target started, in Unix milliseconds by the target's own clock.
 pub type StartTime = u64;
 
-/// A target's id, hashed: messages between VMs name targets many times a second.
+/// The hash of a target's id, which keeps messages between VMs small: they name targets many times a second.
 pub type TargetHash = u32;
 
 /// Hashes a target's id.
@@ -44,22 +44,22 @@
     /// Why a stored value could not be decoded.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The bytes are not a value of the expected shape.
+        /// The bytes are not a value of the expected format.
         Unreadable(key: String, reason: String) {
             display("step=decode peer={key} cause={reason}")
         }
     }
 }
 
-/// How often a request may run.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
     /// It may run more than once.
     Idempotent,
-    /// It may run more than once, and its answer is large.
+    /// It may run more than once, and its response is large.
     Download,
-    /// It may run once at most.
+    /// It may run at most once.
     Once,
 }
 
@@ -79,22 +79,22 @@
     }
 }
 
-/// What a caller may send, and how long it may take over it.
+/// Limits on the size and duration of what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CallerLimits {
-    /// The most bytes of a request's head.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: u64,
-    /// How long a request's head may take from its first byte.
+    /// How long a request's head may take to arrive, from its first byte.
     pub head_time: Duration,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay open without a request.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
-    /// What holds until an operator's limits are known: common defaults of HTTP servers.
+    /// Returns the limits that apply until the operator's are known: common defaults of HTTP servers.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -105,36 +105,36 @@
     }
 }
 
-/// How targets of a service are while they are cold: after a start, or when they come back.
+/// The limits of a service's targets while they are cold: after a start, or after an evacuation.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Warmup {
-    /// How long a target is cold.
+    /// How long a target stays cold.
     #[serde(rename = "span")]
     pub duration: Duration,
-    /// How many requests a second it bears until then; well above that it falls over.
+    /// How many requests a second a cold target can handle; well above that rate it fails.
     pub rate: f64,
 }
 
-/// One service.
+/// A service: a group of targets that answer the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Service {
     /// Its name.
     pub name: ServiceId,
-    /// The most connections that one target accepts from all VMs together.
+    /// The maximum number of connections that one target accepts from all VMs together.
     #[serde(rename = "connections")]
     pub max_connections: usize,
     /// Whether each key has one owner among the targets.
     pub keyed: bool,
-    /// How long keys are slow that arrive without a handover.
+    /// How long a key is slow on its new owner if it moved without a handover.
     #[serde(rename = "warm")]
     pub key_warmup: Duration,
-    /// What its targets bear while they are cold; none if that has no bound.
+    /// The limits of its targets while they are cold; none if they have no limit.
     pub warmup: Option<Warmup>,
 }
 
-/// A configuration: everything that operators decide.
+/// A configuration, as operators publish it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
     /// Its version.
@@ -143,35 +143,35 @@
     pub routes: Routes,
     /// The services by name.
     pub services: IndexMap<ServiceId, Service>,
-    /// Limits on callers.
+    /// The limits on callers.
     pub limits: CallerLimits,
 }
 
-/// One life of a target, as the target announced it.
+/// One incarnation of a target, as the target announced it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Target {
-    /// The id; a later life may have the same one.
+    /// The id; a later incarnation may have the same one.
     pub id: TargetId,
-    /// When this life began; 0 if the target doesn't say.
+    /// When this incarnation started; 0 if the target doesn't announce it.
     #[serde(rename = "born")]
     pub start_time: StartTime,
     /// The service it belongs to.
     pub service: ServiceId,
-    /// Where it answers.
+    /// Where it accepts connections.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// How many requests it runs at once.
+    /// How many requests it runs concurrently.
     pub slots: usize,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it is draining: it is about to stop and takes no new requests.
     pub leaving: bool,
-    /// How much longer it is cold, from its announcement on.
+    /// How much longer it stays cold, counted from its announcement.
     pub cold: Duration,
 }
 
 impl Target {
-    /// Returns whether two announcements are of one life.
+    /// Returns whether two announcements are of the same incarnation.
     ///
     /// # Example
     ///
@@ -198,7 +198,7 @@
     }
 }
 
-/// Decodes what the platform holds; implemented once for each dialect.
+/// Decodes the items that a platform stores; implemented once for each platform.
 pub trait Catalogue {
     /// Returns the key under which the configuration is stored.
     fn config_key(&self) -> &str;
@@ -206,8 +206,8 @@
     /// Returns the prefix of the keys under which targets announce themselves.
     fn targets_prefix(&self) -> &str;
 
-    /// Returns the failure domain that an operator evacuates for as long as a key stands in the store; none
-    /// if the key is another's.
+    /// Returns the failure domain that is evacuated while the key exists in the store; `None` if the key
+    /// doesn't mark an evacuation.
     fn evacuated_domain(&self, key: &str) -> Option<DomainId>;
 
     /// Decodes a configuration.
@@ -217,10 +217,10 @@
     /// [`Error::Unreadable`] when the bytes are not a valid configuration.
     fn config(&self, value: &[u8]) -> Result<Config, Error>;
 
-    /// Decodes a target's announcement; `key` is the whole key under which it was stored.
+    /// Decodes a target's announcement; `key` is the full key under which it is stored.
     ///
     /// # Errors
     ///
-    /// [`Error::Unreadable`] when the bytes name no target to use.
+    /// [`Error::Unreadable`] when the bytes don't describe a usable target.
     fn target(&self, key: &str, value: &[u8]) -> Result<Target, Error>;
 }
--- a/engine/src/catalogue/routes.rs
+++ b/engine/src/catalogue/routes.rs
@@ -1,4 +1,4 @@
-//! The route table: host, longest prefix, and the split of a route among services.
+//! The route table: finds a request's route by host and longest path prefix, and splits routes among services.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::{Kind, ServiceId};
 
-/// A service's part of a route.
+/// A service and its weight within a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ServiceWeight {
@@ -17,33 +17,33 @@
     pub weight: u32,
 }
 
-/// Where requests of one prefix go, and what they may cost.
+/// The services for requests under one path prefix, with their time limits and priority.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Route {
     /// The route's name, for logs.
     pub name: String,
-    /// What its paths begin with; begins and ends with a slash.
+    /// The path prefix; it begins and ends with a slash.
     pub prefix: String,
-    /// How often a request may run.
+    /// Whether a request may run more than once.
     pub kind: Kind,
-    /// The services; never empty.
+    /// The services with their weights; never empty.
     #[serde(rename = "shares")]
     pub service_weights: Vec<ServiceWeight>,
-    /// The longest time that a caller is kept waiting.
+    /// The maximum time within which a caller gets a response.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The latency objective: a response within this time has the highest value.
     pub goal: Duration,
-    /// To how many targets one request may be sent.
+    /// The maximum number of targets to which one request is sent.
     pub attempts: u32,
-    /// The rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u32,
 }
 
 impl Route {
-    /// Picks a service by a number drawn evenly from all of `u64`.
+    /// Picks a service by a random number that is uniform over all of `u64`.
     ///
-    /// Weights of zero are never picked; if all are zero, the first service is.
+    /// A service of weight zero is never picked, unless all weights are zero: then the first service is.
     ///
     /// # Example
     ///
@@ -52,12 +52,12 @@
     ///
     /// use bramleypier_engine::catalogue::{Kind, Route, ServiceWeight};
     ///
-    /// let share = |service: &str, weight| ServiceWeight { service: service.into(), weight };
+    /// let weight_of = |service: &str, weight| ServiceWeight { service: service.into(), weight };
     /// let route = Route {
     ///     name: "r".into(),
     ///     prefix: "/a/".into(),
     ///     kind: Kind::Idempotent,
-    ///     service_weights: vec![share("x", 90), share("y", 10)],
+    ///     service_weights: vec![weight_of("x", 90), weight_of("y", 10)],
     ///     timeout: Duration::from_secs(1),
     ///     goal: Duration::from_millis(200),
     ///     attempts: 2,
@@ -66,26 +66,26 @@
     /// assert_eq!(route.pick_service(0), "x");
     /// assert_eq!(route.pick_service(u64::MAX), "y");
     /// ```
-    pub fn pick_service(&self, draw: u64) -> &str {
+    pub fn pick_service(&self, random: u64) -> &str {
         let total: u64 = self
             .service_weights
             .iter()
             .map(|it| u64::from(it.weight))
             .sum();
-        let scaled = u128::from(draw) * u128::from(total.max(1));
-        let mut point = u64::try_from(scaled >> 64).unwrap_or(0);
-        for share in &self.service_weights {
-            let weight = u64::from(share.weight);
-            if point < weight {
-                return &share.service;
+        let scaled = u128::from(random) * u128::from(total.max(1));
+        let mut offset = u64::try_from(scaled >> 64).unwrap_or(0);
+        for candidate in &self.service_weights {
+            let weight = u64::from(candidate.weight);
+            if offset < weight {
+                return &candidate.service;
             }
-            point -= weight;
+            offset -= weight;
         }
         self.service_weights.first().map_or("", |it| &it.service)
     }
 }
 
-/// What a look-up found.
+/// The result of a look-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found<'a> {
     /// The route of the longest prefix.
@@ -111,7 +111,7 @@
         routes.insert(route.prefix.clone(), route);
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     ///
     /// # Example
     ///
@@ -124,7 +124,7 @@
         self.hosts.values().map(IndexMap::len).sum()
     }
 
-    /// Returns whether there is no route.
+    /// Returns whether there are no routes.
     ///
     /// # Example
     ///
@@ -137,9 +137,9 @@
         self.len() == 0
     }
 
-    /// Finds the route with the longest prefix of a path, in one look-up per slash of the path.
+    /// Finds the route with the longest matching prefix, in at most one look-up per slash of the path.
     ///
-    /// The host may carry a port, which doesn't count; its case doesn't either.
+    /// A port in `host` and the case of its letters are ignored.
     ///
     /// # Example
     ///
--- a/engine/src/fleet/change_log.rs
+++ b/engine/src/fleet/change_log.rs
@@ -1,4 +1,4 @@
-//! What a VM has taken in lately, so that others can be told only what they lack.
+//! Keeps the changes that a VM has applied lately, so that other VMs get only the changes that they lack.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -10,47 +10,49 @@
 
 use crate::store::{Change, Item, Revision};
 
-/// How many changes are kept; who lacks more is told everything.
-const CHANGES: usize = 512;
+/// How many changes are kept; a VM that lacks more gets the whole state.
+const MAX_CHANGES: usize = 512;
 
-/// How far somebody has followed a VM's journal.
+/// How far a VM has read another VM's change log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct LogPosition {
-    /// The start of the process whose journal it is.
+    /// The start of the process that keeps the log.
     pub start: String,
-    /// How many of its changes are known.
+    /// The number of its changes that have been read.
     pub count: u64,
 }
 
-/// What somebody lacks.
+/// The state that one VM relays to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Relay {
-    /// Some changes.
+    /// The changes that the receiver lacks.
     Changes {
         /// The newest change of each key, oldest first.
         changes: Vec<Change>,
-        /// By prefix: who takes the changes knows what stood there in the store at this revision.
+        /// By prefix: the revision of the store up to which a receiver of the changes is up to date.
         followed: IndexMap<String, Revision>,
-        /// Where that leads.
-        place: LogPosition,
+        /// The log position after these changes.
+        #[serde(rename = "place")]
+        position: LogPosition,
     },
-    /// Everything that is known.
+    /// The whole state.
     Whole {
         /// The items.
         items: Vec<Item>,
-        /// By prefix: what stood there in the store at this revision is among them.
+        /// By prefix: the revision of the store as of which the items are complete.
         ///
-        /// Of a prefix that isn't named, anything may be missing.
+        /// Any item may be missing under a prefix that isn't listed here.
         followed: IndexMap<String, Revision>,
-        /// Where that leads.
-        place: LogPosition,
+        /// The log position after these items.
+        #[serde(rename = "place")]
+        position: LogPosition,
     },
 }
 
 impl Relay {
-    /// Returns where the relay leads.
+    /// Returns the log position of a receiver that has applied the relay.
     ///
     /// # Example
     ///
@@ -60,18 +62,18 @@
     /// let relay = Relay::Whole {
     ///     items: vec![],
     ///     followed: [].into(),
-    ///     place: LogPosition::default(),
+    ///     position: LogPosition::default(),
     /// };
     /// assert_eq!(relay.position().count, 0);
     /// assert!(relay.followed().is_empty());
     /// ```
     pub fn position(&self) -> &LogPosition {
         match self {
-            Self::Changes { place, .. } | Self::Whole { place, .. } => place,
+            Self::Changes { position, .. } | Self::Whole { position, .. } => position,
         }
     }
 
-    /// Returns up to which revision each prefix is known by whoever takes the relay in.
+    /// Returns up to which revision, by prefix, a receiver that has applied the relay is up to date.
     ///
     /// # Example
     ///
@@ -83,7 +85,7 @@
     }
 }
 
-/// The latest changes, with a count of all before.
+/// The latest changes, and the number of all changes so far.
 ///
 /// # Example
 ///
@@ -93,12 +95,12 @@
 ///     store::Change,
 /// };
 ///
-/// let mut journal = ChangeLog::default();
-/// let place = journal.position("start");
-/// journal.add(&Change::Removed { key: "a".into(), revision: 1 });
-/// let relay = journal.since("start", &place).unwrap();
+/// let mut change_log = ChangeLog::default();
+/// let position = change_log.position("start");
+/// change_log.add(&Change::Removed { key: "a".into(), revision: 1 });
+/// let relay = change_log.since("start", &position).unwrap();
 /// assert!(matches!(relay, Relay::Changes { changes, .. } if changes.len() == 1));
-/// assert!(journal.since("another start", &place).is_none());
+/// assert!(change_log.since("another start", &position).is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
@@ -113,14 +115,14 @@
     ///
     /// See [`ChangeLog`].
     pub fn add(&mut self, change: &Change) {
-        if self.changes.len() >= CHANGES {
+        if self.changes.len() >= MAX_CHANGES {
             self.changes.pop_front();
         }
         self.changes.push_back(Rc::new(change.clone()));
         self.count += 1;
     }
 
-    /// Returns the place after the last change.
+    /// Returns the log position after the last change.
     ///
     /// # Example
     ///
@@ -132,30 +134,30 @@
         }
     }
 
-    /// Returns the changes after a place; none if the place is another process's or too old.
+    /// Returns the changes after a log position; `None` if it belongs to another process or is too old.
     ///
     /// # Example
     ///
     /// See [`ChangeLog`].
-    pub fn since(&self, start: &str, place: &LogPosition) -> Option<Relay> {
-        let lacking = self.count.checked_sub(place.count)?;
-        let lacking = usize::try_from(lacking).ok()?;
-        if place.start != start || lacking > self.changes.len() {
+    pub fn since(&self, start: &str, position: &LogPosition) -> Option<Relay> {
+        let missing = self.count.checked_sub(position.count)?;
+        let missing = usize::try_from(missing).ok()?;
+        if position.start != start || missing > self.changes.len() {
             return None;
         }
-        let first = self.changes.len() - lacking;
-        // Of a key that changed several times only the newest is of use; records are large and change often.
-        let mut told = HashSet::new();
+        let first = self.changes.len() - missing;
+        // Only the newest change of each key is sent; records are large and change often.
+        let mut seen = HashSet::new();
         let newest = self.changes.range(first..).rev();
         let mut changes: Vec<Change> = newest
-            .filter(|it| told.insert(it.key()))
+            .filter(|it| seen.insert(it.key()))
             .map(|it| Change::clone(it))
             .collect();
         changes.reverse();
         Some(Relay::Changes {
             changes,
             followed: IndexMap::new(),
-            place: self.position(start),
+            position: self.position(start),
         })
     }
 }
--- a/engine/src/fleet/cold.rs
+++ b/engine/src/fleet/cold.rs
@@ -1,4 +1,4 @@
-//! Targets that are cold, by what they say and by what happened to them.
+//! Tracks which targets are cold, by their announcements and after the end of an evacuation.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::catalogue::{ServiceId, Target, Warmup};
 
 impl Fleet {
-    /// Returns what cold targets bear, by service; services without a bound are left out.
+    /// Returns the limits of cold targets by service; services without a limit are left out.
     ///
     /// # Example
     ///
@@ -23,7 +23,7 @@
         limited.collect()
     }
 
-    /// Returns whether any target of a service is cold, or may be.
+    /// Returns whether any target of a service is cold or may be cold.
     ///
     /// # Example
     ///
@@ -40,11 +40,11 @@
         targets.any(|target| target.service == service)
     }
 
-    /// Takes note of how long a target says that it stays cold, from now on.
+    /// Records how long a target stays cold from now on, as it announced.
     ///
-    /// Also where it says the same as before: it may have turned cold again, and what it said in between
-    /// may be lost.
-    pub(super) fn note_cold(&mut self, now: Duration, target: &Target) {
+    /// An announcement equal to the previous one counts too: the target may have become cold again, and the
+    /// announcements in between may be lost.
+    pub(super) fn set_cold(&mut self, now: Duration, target: &Target) {
         if target.cold.is_zero() {
             self.cold.swap_remove(&target.id);
         } else {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Forgets a target; returns whether it was known.
-    pub(super) fn forget_target(&mut self, id: &str) -> bool {
+    /// Removes a target; returns whether it was known.
+    pub(super) fn remove_target(&mut self, id: &str) -> bool {
         self.cold.swap_remove(id);
         self.targets.swap_remove(id).is_some()
     }
--- a/engine/src/fleet/entries.rs
+++ b/engine/src/fleet/entries.rs
@@ -1,8 +1,8 @@
-//! What each kind of entry changes: the configuration, targets, records, the manager, VMs.
+//! Applies changes of single store entries: the configuration, targets, records, the manager, VMs.
 
 use std::{rc::Rc, time::Duration};
 
-use super::{Fleet, Recorded, StoreKeys, Vm};
+use super::{Fleet, StoreKeys, StoredRecord, Vm};
 use crate::{
     catalogue::Catalogue,
     owner::record::Record,
@@ -10,7 +10,8 @@
 };
 
 impl Fleet {
-    pub(super) fn put<C>(
+    /// Applies a written entry; returns log lines.
+    pub(super) fn apply_put<C>(
         &mut self,
         now: Duration,
         item: &Item,
@@ -26,14 +27,14 @@
             revision,
         } = item;
         if key == catalogue.config_key() {
-            return self.put_config(key, value, *revision, catalogue);
+            return self.apply_config(key, value, *revision, catalogue);
         }
         if key.starts_with(catalogue.targets_prefix()) {
-            self.vanished.swap_remove(key);
-            return self.put_target(now, item, catalogue);
+            self.pending_removals.swap_remove(key);
+            return self.apply_target(now, item, catalogue);
         }
         if let Some(domain) = catalogue.evacuated_domain(key) {
-            return self.evacuate(now, domain, *revision);
+            return self.start_evacuation(now, domain, *revision);
         }
         if *key == keys.manager() {
             self.manager = Vm::decode(value);
@@ -41,7 +42,7 @@
             return vec![format!("event=manager vm={name} revision={revision}")];
         }
         if let Some(service) = key.strip_prefix(&keys.record("")) {
-            return self.put_record(service, value, *revision);
+            return self.apply_record(service, value, *revision);
         }
         if let Some(vm) = key.strip_prefix(&keys.vm("")).zip(Vm::decode(value)) {
             let note = format!("event=vm-up vm={} start={}", vm.0, vm.1.start);
@@ -51,7 +52,7 @@
         Vec::new()
     }
 
-    fn put_config<C>(
+    fn apply_config<C>(
         &mut self,
         key: &str,
         value: &[u8],
@@ -82,7 +83,7 @@
         vec![note]
     }
 
-    fn put_target<C>(&mut self, now: Duration, item: &Item, catalogue: &C) -> Vec<String>
+    fn apply_target<C>(&mut self, now: Duration, item: &Item, catalogue: &C) -> Vec<String>
     where
         C: Catalogue + ?Sized,
     {
@@ -103,13 +104,13 @@
                     target.leaving,
                     target.cold.as_millis()
                 );
-                self.note_cold(now, &target);
+                self.set_cold(now, &target);
                 self.targets.insert(target.id.clone(), target);
                 vec![note]
             }
             Err(error) => {
                 let id = key.rsplit('/').next().unwrap_or_default();
-                self.forget_target(id);
+                self.remove_target(id);
                 vec![format!(
                     "event=target-unreadable revision={revision} {error}"
                 )]
@@ -117,7 +118,7 @@
         }
     }
 
-    fn put_record(&mut self, service: &str, value: &[u8], revision: Revision) -> Vec<String> {
+    fn apply_record(&mut self, service: &str, value: &[u8], revision: Revision) -> Vec<String> {
         let record = match Record::decode(value) {
             Ok(record) => Rc::new(record),
             Err(error) => {
@@ -129,12 +130,13 @@
             record.term,
             record.ranges.len()
         );
-        let recorded = Recorded { revision, record };
+        let recorded = StoredRecord { revision, record };
         self.records.insert(service.to_owned(), recorded);
         vec![note]
     }
 
-    pub(super) fn remove<C>(
+    /// Applies the removal of an entry; returns log lines.
+    pub(super) fn apply_removal<C>(
         &mut self,
         now: Duration,
         key: &str,
@@ -146,7 +148,7 @@
     {
         let id = key.rsplit('/').next().unwrap_or_default();
         if key.starts_with(catalogue.targets_prefix()) {
-            let known = self.forget_target(id);
+            let known = self.remove_target(id);
             return if known {
                 vec![format!("event=target-gone target={id}")]
             } else {
@@ -154,7 +156,7 @@
             };
         }
         if let Some(domain) = catalogue.evacuated_domain(key) {
-            return self.take_back(now, &domain);
+            return self.end_evacuation(now, &domain);
         }
         if key == keys.manager() {
             self.manager = None;
@@ -163,7 +165,7 @@
         if key.starts_with(&keys.vm("")) && self.vms.swap_remove(id).is_some() {
             return vec![format!("event=vm-gone vm={id}")];
         }
-        // A configuration or a record that was removed stays in force: neither may go backwards.
+        // A removed configuration or record stays in force: neither may go back to an older state.
         Vec::new()
     }
 }
--- a/engine/src/fleet/entry.rs
+++ b/engine/src/fleet/entry.rs
@@ -1,4 +1,4 @@
-//! The engine's own items in the store: their keys, and the entry of a VM.
+//! The engine's own items in the store: their keys, and the entry by which a VM announces itself.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 use super::VmId;
 use crate::catalogue::DomainId;
 
-/// Where the engine keeps its own items in the store.
+/// Builds the keys of the engine's own items in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreKeys {
-    /// What all keys begin with.
+    /// The prefix of all these keys.
     pub prefix: String,
 }
 
@@ -28,7 +28,7 @@
         format!("{}manager", self.prefix)
     }
 
-    /// Returns the key of a service's record.
+    /// Returns the key of a service's owners record.
     ///
     /// # Example
     ///
@@ -55,19 +55,19 @@
     }
 }
 
-/// A start of a VM's process, as it announces itself to the others.
+/// A running process of a VM, as it announces itself to other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Vm {
     /// The VM's name.
     pub name: VmId,
-    /// The start of its process; another start has another.
+    /// Identifies this start of its process; each start has another value.
     pub start: String,
-    /// Where other VMs reach it.
+    /// The address at which other VMs reach it.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// What it can do as the manager, in thousandths of a core.
+    /// Its capacity as the manager, in thousandths of a core.
     #[serde(rename = "power")]
     pub capacity_millicores: u32,
 }
@@ -90,11 +90,11 @@
     /// assert_eq!(Vm::decode(&vm.encode()), Some(vm));
     /// ```
     pub fn encode(&self) -> Vec<u8> {
-        // Text and numbers always encode.
+        // Strings and numbers always encode.
         rmp_serde::to_vec(self).unwrap_or_default()
     }
 
-    /// Decodes a stored entry; `None` if the bytes are none.
+    /// Decodes a stored entry; `None` if the bytes are not a valid entry.
     ///
     /// # Example
     ///
--- a/engine/src/fleet/evacuation.rs
+++ b/engine/src/fleet/evacuation.rs
@@ -1,7 +1,7 @@
-//! Failure domains that operators have evacuated.
+//! Tracks the failure domains that operators have evacuated.
 //!
-//! Load pattern: an operator empties a failure domain, and a third of all targets is gone within a second; when
-//! it is taken back they are all cold at once, before any of them has said so.
+//! Load pattern: an operator evacuates a failure domain, and a third of all targets becomes unavailable within a
+//! second. When the evacuation ends, all of them are cold at once, before any has announced it.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::{catalogue::DomainId, store::Revision};
 
 impl Fleet {
-    /// Returns whether the targets of a failure domain are to get nothing.
+    /// Returns whether a failure domain is evacuated, so that its targets get no requests.
     ///
     /// # Example
     ///
@@ -22,7 +22,8 @@
         self.evacuated.contains_key(domain)
     }
 
-    pub(super) fn evacuate(
+    /// Starts the evacuation of a failure domain; returns log lines.
+    pub(super) fn start_evacuation(
         &mut self,
         now: Duration,
         domain: DomainId,
@@ -37,9 +38,11 @@
         vec![note]
     }
 
-    /// Takes an evacuated failure domain back: its targets may be cold, and may say so later.
-    pub(super) fn take_back(&mut self, now: Duration, domain: &str) -> Vec<String> {
-        // Who hears of the end only has missed the evacuation, and its targets may be cold all the same.
+    /// Ends the evacuation of a failure domain; returns log lines.
+    ///
+    /// Its targets may be cold before they announce it, so that they count as cold from now on.
+    pub(super) fn end_evacuation(&mut self, now: Duration, domain: &str) -> Vec<String> {
+        // A VM that missed the start of the evacuation treats the targets as cold all the same.
         let since = self.evacuated.shift_remove(domain).unwrap_or(now);
         let warmups = self.warmups();
         let targets = self.targets.values().filter(|it| it.domain == domain);
--- a/engine/src/fleet/mod.rs
+++ b/engine/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! What this VM believes of the fleet: configuration, targets, owners of keys, the manager, VMs.
+//! This VM's view of the fleet: the configuration, targets, owners of keys, the manager and VMs.
 //!
-//! [`Fleet`] changes by what the store tells and never goes backwards; [`SharedFleet`] shows its newest
-//! state to the tasks of the process and wakes those that listen.
+//! [`Fleet`] applies changes of the store, read by this VM or relayed by another one, and never goes back to an
+//! older state. [`SharedFleet`] gives the tasks of the process its newest state and notifies them of changes.
 
 mod change_log;
 mod cold;
@@ -30,69 +30,70 @@
 /// The name of a VM.
 pub type VmId = String;
 
-/// How long after trouble of the store a target that has vanished from it counts as there.
+/// How long after a failed call to the store the removal of a target is delayed.
 ///
 /// Targets announce themselves again within some 2 s of the store's return.
-pub const REMOVAL_PATIENCE: Duration = Duration::from_millis(2500);
+pub const REMOVAL_GRACE: Duration = Duration::from_millis(2500);
 
-/// How many keys are remembered, removed ones among them: so many targets come and go within hours.
-const KNOWN_MOST: usize = 20_000;
+/// How many keys are remembered, removed ones included: so many targets start and end within hours.
+const MAX_KNOWN_KEYS: usize = 20_000;
 
-/// A record with the revision at which it stands.
+/// An owners record with its revision in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Recorded {
-    /// The revision.
+pub struct StoredRecord {
+    /// The revision at which it was written.
     pub revision: Revision,
     /// The record.
     pub record: Rc<Record>,
 }
 
-/// The newest that is known of one key.
+/// The newest known state of one key.
 #[derive(Clone, Debug)]
 struct Known {
     revision: Revision,
-    /// None once it was removed.
+    /// `None` if the key was removed.
     value: Option<Rc<Vec<u8>>>,
 }
 
-/// Everything that one VM believes.
+/// The state of the fleet as one VM knows it.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    /// The configuration in force; none until the first is known.
+    /// The configuration in force; `None` until the first is known.
     pub config: Option<Rc<Config>>,
-    /// Whether this VM itself follows the configuration in the store, so that it knows the newest.
+    /// Whether this VM follows the configuration in the store itself, so that it knows the newest.
     pub config_followed: bool,
-    /// The targets that are announced.
+    /// The announced targets.
     pub targets: IndexMap<TargetId, Target>,
-    /// The failure domains whose targets get nothing, and since when that is known.
+    /// The evacuated failure domains, whose targets get no requests, and since when that is known.
     pub evacuated: IndexMap<DomainId, Duration>,
-    /// Until when targets are cold, or may be.
+    /// Until when targets are cold or may be cold.
     pub cold: IndexMap<TargetId, Duration>,
-    /// The owners by service.
-    pub records: IndexMap<ServiceId, Recorded>,
-    /// The manager.
+    /// The owners records by service.
+    pub records: IndexMap<ServiceId, StoredRecord>,
+    /// The current manager, if one is known.
     pub manager: Option<Vm>,
-    /// The VMs.
+    /// The VMs that have an entry in the store.
     pub vms: IndexMap<VmId, Vm>,
     /// Whether the targets have been listed.
     pub targets_listed: bool,
-    /// What stands in the store, and what was removed from it.
+    /// The newest known state of each key, removed keys included.
     known: IndexMap<String, Known>,
-    /// Up to which revision removals may be missing from what is known: they were forgotten, or came
-    /// before a listing.
-    forgotten: Revision,
-    /// Up to which revision of the store each prefix was followed here.
+    /// All removals after this revision are in `known`. Earlier ones may be missing: they were dropped to limit
+    /// memory, or happened before a listing.
+    removals_since: Revision,
+    /// Up to which revision of the store each prefix has been followed.
     followed: IndexMap<String, Revision>,
-    /// What was taken in, for other VMs.
-    journal: ChangeLog,
-    /// Targets that vanished in or after trouble of the store, and when they count as gone.
-    vanished: IndexMap<String, (Duration, Revision)>,
-    /// When the store was last in trouble.
-    trouble: Option<Duration>,
+    /// The changes that were applied here, kept for other VMs.
+    change_log: ChangeLog,
+    /// Targets removed from the store shortly after a failed call, with the time from which they count as
+    /// gone and the revision of the removal.
+    pending_removals: IndexMap<String, (Duration, Revision)>,
+    /// When a call to the store last failed.
+    last_failure: Option<Duration>,
 }
 
 impl Fleet {
-    /// Takes note that a call to the store failed.
+    /// Records that a call to the store failed.
     ///
     /// # Example
     ///
@@ -106,12 +107,12 @@
     /// assert!(fleet.expire(Duration::from_secs(9)).is_empty());
     /// ```
     pub fn on_store_failure(&mut self, now: Duration) {
-        self.trouble = Some(now);
+        self.last_failure = Some(now);
     }
 
-    /// Takes a listing of a prefix in: what it lacks is gone.
+    /// Applies a listing of a prefix: keys that it lacks were removed.
     ///
-    /// Returns what changed, for the log.
+    /// Returns log lines about the changes.
     pub fn on_listing<C>(
         &mut self,
         now: Duration,
@@ -124,37 +125,38 @@
         C: Catalogue + ?Sized,
     {
         let items = &listing.items;
-        // A listing doesn't tell what was removed before it.
-        self.forgotten = self.forgotten.max(listing.revision);
-        let mut notes = self.remove_missing(now, prefix, items, listing.revision, keys, catalogue);
+        // A listing doesn't contain earlier removals.
+        self.removals_since = self.removals_since.max(listing.revision);
+        let mut log_lines =
+            self.remove_missing(now, prefix, items, listing.revision, keys, catalogue);
         for item in &listing.items {
-            self.doubt_removal(&item.key, listing.revision);
+            self.cancel_removal(&item.key, listing.revision);
             let change = Change::Put(item.clone());
-            notes.extend(self.on_change(now, &change, keys, catalogue));
+            log_lines.extend(self.on_change(now, &change, keys, catalogue));
         }
         self.targets_listed |= catalogue.targets_prefix().starts_with(prefix);
-        notes
+        log_lines
     }
 
-    /// Forgets that a key was removed: a listing as of a revision not older has it.
-    fn doubt_removal(&mut self, key: &str, upto: Revision) {
-        let removed = |known: &Known| known.value.is_none() && known.revision <= upto;
+    /// Cancels the removal of a key that a listing as of revision `listed_at` contains.
+    fn cancel_removal(&mut self, key: &str, listed_at: Revision) {
+        let removed = |known: &Known| known.value.is_none() && known.revision <= listed_at;
         if self.known.get(key).is_some_and(removed) {
             self.known.swap_remove(key);
         }
-        let vanished = |(_, at): &(Duration, Revision)| *at <= upto;
-        if self.vanished.get(key).is_some_and(vanished) {
-            self.vanished.swap_remove(key);
+        let pending = |(_, removed_at): &(Duration, Revision)| *removed_at <= listed_at;
+        if self.pending_removals.get(key).is_some_and(pending) {
+            self.pending_removals.swap_remove(key);
         }
     }
 
-    /// Removes what a listing as of `upto` lacks.
+    /// Removes the keys that a listing as of revision `listed_at` lacks; returns log lines.
     fn remove_missing<C>(
         &mut self,
         now: Duration,
         prefix: &str,
         items: &[Item],
-        upto: Revision,
+        listed_at: Revision,
         keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
@@ -165,22 +167,22 @@
         let missing: Vec<String> = self
             .known
             .iter()
-            .filter(|(_, known)| known.value.is_some() && known.revision <= upto)
+            .filter(|(_, known)| known.value.is_some() && known.revision <= listed_at)
             .filter(|(key, _)| key.starts_with(prefix) && !listed.contains(key.as_str()))
             .map(|(key, _)| key.clone())
             .collect();
-        let mut notes = Vec::new();
+        let mut log_lines = Vec::new();
         for key in missing {
-            let revision = upto;
+            let revision = listed_at;
             let change = Change::Removed { key, revision };
-            notes.extend(self.on_change(now, &change, keys, catalogue));
+            log_lines.extend(self.on_change(now, &change, keys, catalogue));
         }
-        notes
+        log_lines
     }
 
-    /// Takes a change in; one that is older than what is known changes nothing.
+    /// Applies a change, unless it is older than the known state of its key.
     ///
-    /// Returns what changed, for the log.
+    /// Returns log lines about the change.
     pub fn on_change<C>(
         &mut self,
         now: Duration,
@@ -203,79 +205,81 @@
         match change {
             Change::Put(_) if revision <= newest => Vec::new(),
             Change::Put(item) => {
-                self.keep(key, revision, Some(Rc::new(item.value.clone())));
-                self.journal.add(change);
-                self.put(now, item, keys, catalogue)
+                self.set_known(key, revision, Some(Rc::new(item.value.clone())));
+                self.change_log.add(change);
+                self.apply_put(now, item, keys, catalogue)
             }
             Change::Removed { .. } if revision < newest => Vec::new(),
             Change::Removed { key, .. } => {
-                let until = self.trouble.map(|at| at + REMOVAL_PATIENCE);
-                let patience = until.filter(|until| now < *until);
-                let announced = key.starts_with(catalogue.targets_prefix());
-                if let Some(until) = patience.filter(|_| announced) {
-                    self.vanished.insert(key.clone(), (until, revision));
+                let grace_end = self.last_failure.map(|at| at + REMOVAL_GRACE);
+                let active_grace = grace_end.filter(|end| now < *end);
+                let is_target = key.starts_with(catalogue.targets_prefix());
+                if let Some(end) = active_grace.filter(|_| is_target) {
+                    self.pending_removals.insert(key.clone(), (end, revision));
                     return Vec::new();
                 }
-                self.keep(key, revision, None);
-                self.journal.add(change);
-                self.remove(now, key, keys, catalogue)
+                self.set_known(key, revision, None);
+                self.change_log.add(change);
+                self.apply_removal(now, key, keys, catalogue)
             }
         }
     }
 
-    fn keep(&mut self, key: &str, revision: Revision, value: Option<Rc<Vec<u8>>>) {
-        if self.known.len() >= KNOWN_MOST {
+    /// Stores the newest state of a key; drops a removed key if too many are known.
+    fn set_known(&mut self, key: &str, revision: Revision, value: Option<Rc<Vec<u8>>>) {
+        if self.known.len() >= MAX_KNOWN_KEYS {
             let removed = self
                 .known
                 .iter()
                 .position(|(_, known)| known.value.is_none());
             if let Some((_, known)) = removed.and_then(|it| self.known.shift_remove_index(it)) {
-                self.forgotten = self.forgotten.max(known.revision);
+                self.removals_since = self.removals_since.max(known.revision);
             }
         }
         self.known.insert(key.to_owned(), Known { revision, value });
     }
 
-    /// Removes targets that have been missing for long enough after trouble of the store.
+    /// Removes the targets whose delayed removal is due; returns their ids.
     ///
     /// # Example
     ///
     /// See [`Fleet::on_store_failure`].
     pub fn expire(&mut self, now: Duration) -> Vec<TargetId> {
-        let gone: Vec<(String, Revision)> = self
-            .vanished
+        let due: Vec<(String, Revision)> = self
+            .pending_removals
             .iter()
             .filter(|(_, (at, _))| now >= *at)
             .map(|(key, (_, revision))| (key.clone(), *revision))
             .collect();
         let mut ids = Vec::new();
-        for (key, revision) in gone {
-            self.vanished.swap_remove(&key);
-            self.keep(&key, revision, None);
+        for (key, revision) in due {
+            self.pending_removals.swap_remove(&key);
+            self.set_known(&key, revision, None);
             let id = key.rsplit('/').next().unwrap_or_default().to_owned();
-            self.journal.add(&Change::Removed { key, revision });
-            if self.forget_target(&id) {
+            self.change_log.add(&Change::Removed { key, revision });
+            if self.remove_target(&id) {
                 ids.push(id);
             }
         }
         ids
     }
 
-    /// Returns when [`Fleet::expire`] has something to do.
+    /// Returns when the next delayed removal is due, for [`Fleet::expire`].
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier_engine::fleet::Fleet;
     ///
-    /// assert!(Fleet::default().expiry().is_none());
+    /// assert!(Fleet::default().next_expiry().is_none());
     /// ```
-    pub fn expiry(&self) -> Option<Duration> {
-        self.vanished.values().map(|(at, _)| *at).min()
+    pub fn next_expiry(&self) -> Option<Duration> {
+        self.pending_removals.values().map(|(at, _)| *at).min()
     }
 
-    /// Returns what the dispatcher needs to know: targets that leave, or that stand in an evacuated failure domain,
-    /// get no new work.
+    /// Returns the part of the state that the dispatcher needs.
+    ///
+    /// Targets that are draining or stand in an evacuated failure domain are left out: they get no new requests.
     ///
     /// # Example
     ///
@@ -292,8 +296,8 @@
                 evacuated.insert(target.service.clone());
                 continue;
             }
-            let list = targets.entry(target.service.clone()).or_default();
-            list.push(target.clone());
+            let available = targets.entry(target.service.clone()).or_default();
+            available.push(target.clone());
         }
         evacuated.retain(|service| !targets.contains_key(service));
         let records = self.records.iter();
@@ -309,7 +313,7 @@
         }
     }
 
-    /// Returns whether callers can be served: a configuration is known, and the targets are.
+    /// Returns whether callers can be served: a configuration is known and the targets have been listed.
     ///
     /// # Example
     ///
@@ -323,7 +327,7 @@
     }
 }
 
-/// Returns whether a key is one of those that this engine follows; others may stand in the store too.
+/// Returns whether the engine follows a key; the store may hold keys of other programs too.
 fn is_followed<C>(key: &str, keys: &StoreKeys, catalogue: &C) -> bool
 where
     C: Catalogue + ?Sized,
--- a/engine/src/fleet/relaying.rs
+++ b/engine/src/fleet/relaying.rs
@@ -1,4 +1,4 @@
-//! What a VM tells another of its beliefs, and what it takes from one.
+//! Relays the state of the fleet from one VM to another, as changes or as a whole.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 };
 
 impl Fleet {
-    /// Returns what another VM lacks that has followed this one up to a place, and the store up to
-    /// `followed` by prefix.
+    /// Returns what another VM lacks, which has read this VM's change log up to `position` and followed the store
+    /// up to the revisions `followed`, by prefix.
     ///
     /// # Example
     ///
@@ -26,23 +26,30 @@
     pub fn relay(
         &self,
         start: &str,
-        place: &LogPosition,
+        position: &LogPosition,
         followed: &IndexMap<String, Revision>,
     ) -> Relay {
-        if let Some(Relay::Changes { changes, place, .. }) = self.journal.since(start, place) {
+        if let Some(Relay::Changes {
+            changes, position, ..
+        }) = self.change_log.since(start, position)
+        {
             return Relay::Changes {
                 changes,
-                followed: self.settled(),
-                place,
+                followed: self.applied_revisions(),
+                position,
             };
         }
-        // Removals that aren't known here can't be told one by one.
-        let knows = |prefix: &String| followed.get(prefix).is_some_and(|it| *it >= self.forgotten);
-        if !self.followed.is_empty() && self.followed.keys().all(knows) {
+        // Removals before `removals_since` may be unknown here and can't be relayed one by one.
+        let has_removals = |prefix: &String| {
+            followed
+                .get(prefix)
+                .is_some_and(|it| *it >= self.removals_since)
+        };
+        if !self.followed.is_empty() && self.followed.keys().all(has_removals) {
             return Relay::Changes {
                 changes: self.changes_since(followed),
-                followed: self.settled(),
-                place: self.journal.position(start),
+                followed: self.applied_revisions(),
+                position: self.change_log.position(start),
             };
         }
         let items = self.known.iter().filter_map(|(key, known)| {
@@ -55,21 +62,21 @@
         });
         Relay::Whole {
             items: items.collect(),
-            followed: self.settled(),
-            place: self.journal.position(start),
+            followed: self.applied_revisions(),
+            position: self.change_log.position(start),
         }
     }
 
-    /// Returns what has changed since prefixes were followed up to these revisions.
+    /// Returns what has changed since the given revisions, by prefix.
     ///
-    /// All VMs hear a new manager for the first time at once, and its link can't bear to tell each everything.
+    /// All VMs contact a new manager at the same time, and its link can't carry the whole state for each of them.
     fn changes_since(&self, followed: &IndexMap<String, Revision>) -> Vec<Change> {
-        let old = |key: &str, known: &Known| {
+        let is_old = |key: &str, known: &Known| {
             followed
                 .iter()
                 .any(|(prefix, upto)| key.starts_with(prefix.as_str()) && known.revision <= *upto)
         };
-        let newer = self.known.iter().filter(|(key, known)| !old(key, known));
+        let newer = self.known.iter().filter(|(key, known)| !is_old(key, known));
         newer
             .map(|(key, known)| {
                 let (key, revision) = (key.clone(), known.revision);
@@ -85,17 +92,20 @@
             .collect()
     }
 
-    /// Returns up to which revision all of each prefix has been taken in.
+    /// Returns up to which revision all changes of each prefix have been applied.
     ///
-    /// A removal that waits for trouble to pass is yet to be told.
-    fn settled(&self) -> IndexMap<String, Revision> {
-        let held = self.vanished.values().map(|(_, revision)| revision - 1);
-        let most = held.min().unwrap_or(Revision::MAX);
-        let settled = |(prefix, upto): (&String, &Revision)| (prefix.clone(), most.min(*upto));
-        self.followed.iter().map(settled).collect()
+    /// A delayed removal has not been applied yet, so that the revisions end before it.
+    fn applied_revisions(&self) -> IndexMap<String, Revision> {
+        let before_pending = self
+            .pending_removals
+            .values()
+            .map(|(_, revision)| revision - 1);
+        let limit = before_pending.min().unwrap_or(Revision::MAX);
+        let applied = |(prefix, upto): (&String, &Revision)| (prefix.clone(), limit.min(*upto));
+        self.followed.iter().map(applied).collect()
     }
 
-    /// Returns up to which revision each prefix was followed, in the store itself or by what others told.
+    /// Returns up to which revision each prefix has been followed, in the store itself or by relays.
     ///
     /// # Example
     ///
@@ -104,7 +114,7 @@
         &self.followed
     }
 
-    /// Takes note up to which revision a prefix was followed.
+    /// Records up to which revision a prefix has been followed; a lower revision changes nothing.
     ///
     /// # Example
     ///
@@ -120,53 +130,58 @@
         *known = revision.max(*known);
     }
 
-    /// Takes in what another VM relays; returns what changed, for the log.
+    /// Applies a relay from another VM; returns log lines about the changes.
     ///
-    /// `well` tells that the other is the manager and follows the store without trouble. Targets that it
-    /// says are gone are gone then, however this VM itself fares with the store.
+    /// `healthy_manager` says that the other VM is the manager and follows the store without failures. Targets
+    /// that it reports as removed are then removed at once, even if calls of this VM to the store have failed.
     ///
-    /// What a relay of everything lacks is gone, if the other VM has followed its prefix in the
-    /// store, and unless it is newer than that.
+    /// A relay of the whole state removes the keys that it lacks, for each prefix that the other VM has followed
+    /// in the store; keys that are newer than the revision it has followed stay.
     pub fn on_relay<C>(
         &mut self,
         now: Duration,
         relay: &Relay,
-        well: bool,
+        healthy_manager: bool,
         keys: &StoreKeys,
         catalogue: &C,
     ) -> Vec<String>
     where
         C: Catalogue + ?Sized,
     {
-        let mut notes = Vec::new();
+        let mut log_lines = Vec::new();
         match relay {
             Relay::Whole {
                 items, followed, ..
             } => {
                 for (prefix, upto) in followed {
-                    notes.extend(self.remove_missing(now, prefix, items, *upto, keys, catalogue));
-                    // What was removed before it isn't told.
-                    self.forgotten = self.forgotten.max(*upto);
+                    log_lines
+                        .extend(self.remove_missing(now, prefix, items, *upto, keys, catalogue));
+                    // The relay doesn't contain earlier removals.
+                    self.removals_since = self.removals_since.max(*upto);
                 }
                 let prefix = catalogue.targets_prefix();
                 self.targets_listed |= items.iter().any(|item| item.key.starts_with(prefix));
                 for item in items {
                     let change = Change::Put(item.clone());
-                    notes.extend(self.on_change(now, &change, keys, catalogue));
+                    log_lines.extend(self.on_change(now, &change, keys, catalogue));
                 }
             }
             Relay::Changes { changes, .. } => {
-                // This VM may take its own late calls for an outage, in which removals wait.
-                let trouble = if well { self.trouble.take() } else { None };
+                // Late calls of this VM may look like an outage of the store, which delays removals.
+                let failure = if healthy_manager {
+                    self.last_failure.take()
+                } else {
+                    None
+                };
                 for change in changes {
-                    notes.extend(self.on_change(now, change, keys, catalogue));
+                    log_lines.extend(self.on_change(now, change, keys, catalogue));
                 }
-                self.trouble = self.trouble.or(trouble);
+                self.last_failure = self.last_failure.or(failure);
             }
         }
         for (prefix, upto) in relay.followed() {
             self.on_followed(prefix, *upto);
         }
-        notes
+        log_lines
     }
 }
--- a/engine/src/fleet/shared.rs
+++ b/engine/src/fleet/shared.rs
@@ -1,4 +1,4 @@
-//! The newest state, shown to the tasks of the process.
+//! Shares the newest [`Fleet`] with the tasks of the process and notifies them of changes.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -6,15 +6,15 @@
 
 use super::Fleet;
 
-/// The newest beliefs, shared by the tasks of a process.
+/// A handle on this VM's view of the fleet; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct SharedFleet {
-    now: Rc<RefCell<Rc<Fleet>>>,
-    listeners: Rc<RefCell<Vec<mpsc::UnboundedSender<()>>>>,
+    fleet: Rc<RefCell<Rc<Fleet>>>,
+    subscribers: Rc<RefCell<Vec<mpsc::UnboundedSender<()>>>>,
 }
 
 impl SharedFleet {
-    /// Returns the newest state.
+    /// Returns a snapshot of the newest state.
     ///
     /// # Example
     ///
@@ -24,10 +24,10 @@
     /// assert!(SharedFleet::default().get().config.is_none());
     /// ```
     pub fn get(&self) -> Rc<Fleet> {
-        self.now.borrow().clone()
+        self.fleet.borrow().clone()
     }
 
-    /// Changes the state and wakes all listeners.
+    /// Changes the state and notifies all subscribers.
     ///
     /// # Example
     ///
@@ -42,13 +42,13 @@
     where
         F: FnOnce(&mut Fleet) -> R,
     {
-        let result = change(Rc::make_mut(&mut *self.now.borrow_mut()));
-        let mut listeners = self.listeners.borrow_mut();
-        listeners.retain(|listener| listener.unbounded_send(()).is_ok());
+        let result = change(Rc::make_mut(&mut *self.fleet.borrow_mut()));
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.retain(|subscriber| subscriber.unbounded_send(()).is_ok());
         result
     }
 
-    /// Returns a stream with an item for each change from now on.
+    /// Returns a stream that yields an item for each change from now on.
     ///
     /// # Example
     ///
@@ -62,7 +62,7 @@
     /// ```
     pub fn subscribe(&self) -> mpsc::UnboundedReceiver<()> {
         let (sender, receiver) = mpsc::unbounded();
-        self.listeners.borrow_mut().push(sender);
+        self.subscribers.borrow_mut().push(sender);
         receiver
     }
 }
--- a/engine/src/follow.rs
+++ b/engine/src/follow.rs
@@ -1,7 +1,7 @@
-//! Follows the store: a listing, then watches, and listings again when history is lost.
+//! Follows the store: a listing, then watches, and another listing when the store has dropped its history.
 //!
-//! Load pattern: hundreds of VMs need the same news, and each call to the store is paid for. So one VM, the
-//! manager, watches, and tells the others; whoever doesn't hear it watches for itself.
+//! Load pattern: hundreds of VMs need the same changes, and each call to the store is charged. So one VM, the
+//! manager, watches the store and relays the changes; a VM that can't reach the manager watches the store itself.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -17,44 +17,44 @@
     store::{Error, Read, Revision, Store},
 };
 
-/// All keys: one listing and one watch tell of everything that is followed.
-const PREFIX: &str = "";
-/// How long a watch waits: each that ends without news is paid for, and a longer one gains little.
-const WAIT: Duration = Duration::from_secs(30);
-/// How long the first watch after trouble waits: it shows whether watches are answered again.
+/// The prefix of all keys: one listing and one watch cover everything that is followed.
+const ALL_KEYS: &str = "";
+/// How long a watch waits: each one that ends without changes is charged, and longer ones save little.
+const WATCH_WAIT: Duration = Duration::from_secs(30);
+/// How long a watch waits after a failed call or a break: it shows whether watches are answered.
 const PROBE_WAIT: Duration = Duration::from_millis(50);
-/// The pause after a call that failed while the pulse is well.
-const PAUSE: Duration = Duration::from_millis(200);
-/// The longest such pause: a configuration must be in force two seconds after it was accepted.
-const PAUSE_MOST: Duration = Duration::from_millis(800);
-/// How long changes gather at the manager before it asks for the next: each answer is paid for.
-const GATHER: Duration = Duration::from_millis(100);
-/// How long they gather at any other VM, which asks for itself only until it hears the manager: hundreds may ask
-/// at once.
-const GATHER_ALONE: Duration = Duration::from_millis(300);
-/// How long a VM that knows the manager waits to be told by it before it asks the store.
-const TELL_WAIT: Duration = Duration::from_millis(400);
-
-/// What following needs.
+/// The initial delay before the next call when a call has failed while the store health check succeeds.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// The maximum of this delay: a configuration must be in force two seconds after it was accepted.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
+/// How long the manager waits after a watch, so that the next response, which is charged, has several changes.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// The same for any other VM, which watches the store only until it reaches the manager: hundreds may do so
+/// at the same time.
+const DIRECT_BATCH_DELAY: Duration = Duration::from_millis(300);
+/// How long a VM that knows the manager waits for its response before it calls the store.
+const MANAGER_WAIT: Duration = Duration::from_millis(400);
+
+/// The dependencies of the task.
 #[derive(Clone)]
 pub struct Context {
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Decodes what is stored.
+    /// Decodes stored items.
     pub catalogue: Rc<dyn Catalogue>,
-    /// The engine's own keys.
+    /// The engine's own keys in the store.
     pub keys: Rc<StoreKeys>,
-    /// What is believed.
+    /// This VM's view of the fleet.
     pub shared_fleet: SharedFleet,
-    /// Whether the store answers.
+    /// Whether the store answers this VM.
     pub store_health: Health,
-    /// Whether the manager is heard, who tells what is new; never on the manager itself.
+    /// Whether the manager answers and relays changes; always unhealthy on the manager itself.
     pub manager_health: Health,
     /// Whether this VM is the manager.
     pub leading: Rc<Cell<bool>>,
     /// The clock.
     pub clock: Clock,
-    /// Logs and counters.
+    /// The log and the metrics.
     pub report: Report,
 }
 
@@ -64,65 +64,69 @@
     }
 }
 
-/// How the store stands for this VM.
+/// Whether this VM's watches of the store work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Sight {
+enum WatchState {
     /// Watches are answered.
-    Clear,
-    /// This VM has not watched for a while, so that nothing is known of its watches.
-    Resumed,
-    /// A call has failed.
-    Lost,
+    Working,
+    /// This VM has not watched for a while, so that the state is unknown.
+    Untested,
+    /// The last call has failed.
+    Failed,
 }
 
-/// How a call ended that asked for news.
+/// How a call for changes ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    /// All up to this revision is known.
+enum Outcome {
+    /// All changes up to this revision are known.
     Followed(Revision),
-    /// The manager tells from now on.
-    Told,
+    /// The manager relays changes from now on.
+    Relayed,
 }
 
-/// Follows the store for as long as the process lives, whenever the manager isn't heard.
+/// Follows the store until the process ends, whenever the manager doesn't answer.
 pub async fn run(context: Context) {
     let follower = Follower { context };
-    let mut pause = PAUSE;
-    let mut sight = Sight::Resumed;
-    // What has changed since an old listing, the watch after it tells, as long as there is history.
+    let mut retry_delay = RETRY_DELAY;
+    let mut state = WatchState::Untested;
+    // A stale listing suffices: the watch after it returns the changes since, as long as the store has the history.
     let mut listing = Some(Read::Stale);
     loop {
-        if follower.told().await {
-            sight = Sight::Resumed;
+        if follower.wait_while_relayed().await {
+            state = WatchState::Untested;
         }
         let result = match listing {
             Some(read) => follower.list(read).await,
-            None => follower.watch(sight).await,
+            None => follower.watch(state).await,
         };
         match result {
-            Ok(Asked::Told) => {}
-            Ok(Asked::Followed(revision)) => {
-                follower.followed(revision);
-                if sight == Sight::Lost {
-                    follower.note("store-back", "");
+            Ok(Outcome::Relayed) => {}
+            Ok(Outcome::Followed(revision)) => {
+                follower.set_followed(revision);
+                if state == WatchState::Failed {
+                    follower.log("store-back", "");
                 }
                 if listing.take().is_some() {
-                    follower.wait_to_be_told().await;
+                    follower.wait_for_manager().await;
                 }
-                (sight, pause) = (Sight::Clear, PAUSE);
+                (state, retry_delay) = (WatchState::Working, RETRY_DELAY);
             }
             Err(Error::Compacted(_)) => {
-                follower.note("history-lost", "");
+                follower.log("history-lost", "");
                 listing = Some(Read::Fresh);
             }
             Err(error) => {
-                follower.trouble(sight, &error);
-                sight = Sight::Lost;
+                follower.on_failure(state, &error);
+                state = WatchState::Failed;
                 let jitter = rand::rng().random_range(0.7..1.3);
-                follower.context.clock.sleep(pause.mul_f64(jitter)).await;
-                follower.context.store_health.well().await;
-                follower.wait_to_be_told().await;
-                pause = (pause * 2).min(PAUSE_MOST);
+                follower
+                    .context
+                    .clock
+                    .sleep(retry_delay.mul_f64(jitter))
+                    .await;
+                follower.context.store_health.wait_healthy().await;
+                follower.wait_for_manager().await;
+                retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
             }
         }
     }
@@ -133,30 +137,32 @@
 }
 
 impl Follower {
-    fn note(&self, event: &str, rest: &str) {
-        self.context.report.line(&format!("event={event} {rest}"));
+    fn log(&self, event: &str, details: &str) {
+        self.context
+            .report
+            .line(&format!("event={event} {details}"));
     }
 
-    fn followed(&self, revision: Revision) {
+    fn set_followed(&self, revision: Revision) {
         self.context.shared_fleet.update(|fleet| {
-            fleet.on_followed(PREFIX, revision);
+            fleet.on_followed(ALL_KEYS, revision);
             fleet.config_followed = true;
         });
     }
 
-    fn trouble(&self, sight: Sight, error: &Error) {
+    fn on_failure(&self, state: WatchState, error: &Error) {
         let now = self.context.clock.now();
         self.context.shared_fleet.update(|fleet| {
             fleet.on_store_failure(now);
             fleet.config_followed = false;
         });
-        if sight != Sight::Lost {
-            self.note("store-lost", &error.to_string());
+        if state != WatchState::Failed {
+            self.log("store-lost", &error.to_string());
         }
     }
 
-    /// Waits for as long as the manager is heard; returns whether it was.
-    async fn told(&self) -> bool {
+    /// Waits for as long as the manager relays changes; returns whether it did.
+    async fn wait_while_relayed(&self) -> bool {
         let context = &self.context;
         if !context.manager_health.is_healthy() {
             return false;
@@ -164,85 +170,87 @@
         context
             .shared_fleet
             .update(|fleet| fleet.config_followed = false);
-        context.manager_health.ill().await;
+        context.manager_health.wait_unhealthy().await;
         true
     }
 
-    /// Gives a manager that is known the time to tell: all VMs would ask the store at once otherwise.
-    async fn wait_to_be_told(&self) {
+    /// Waits for the response of a known manager: otherwise all VMs would call the store at the same time.
+    async fn wait_for_manager(&self) {
         let context = &self.context;
         if context.leading.get() || context.shared_fleet.get().manager.is_none() {
             return;
         }
-        // That it doesn't is the answer: this VM asks the store itself.
+        // After a timeout this VM calls the store itself.
         let _ = context
             .clock
-            .timeout(TELL_WAIT, context.manager_health.well())
+            .timeout(MANAGER_WAIT, context.manager_health.wait_healthy())
             .await;
     }
 
-    async fn list(&self, read: Read) -> Result<Asked, Error> {
+    async fn list(&self, read: Read) -> Result<Outcome, Error> {
         let context = &self.context;
-        let listing = context.store.list(PREFIX, read).await?;
+        let listing = context.store.list(ALL_KEYS, read).await?;
         let now = context.clock.now();
-        let notes = context.shared_fleet.update(|fleet| {
-            fleet.on_listing(now, PREFIX, &listing, &context.keys, &*context.catalogue)
+        let log_lines = context.shared_fleet.update(|fleet| {
+            fleet.on_listing(now, ALL_KEYS, &listing, &context.keys, &*context.catalogue)
         });
-        context.report.lines(&notes);
-        Ok(Asked::Followed(listing.revision))
+        context.report.lines(&log_lines);
+        Ok(Outcome::Followed(listing.revision))
     }
 
-    /// Watches, unless the pulse fails meanwhile: then nothing is known of the watch.
-    async fn watch(&self, sight: Sight) -> Result<Asked, Error> {
+    /// Watches the store, until the manager relays changes or the store health check fails.
+    ///
+    /// In the second case the state of the watch is unknown, so that it counts as failed.
+    async fn watch(&self, state: WatchState) -> Result<Outcome, Error> {
         let context = &self.context;
-        let wait = if sight == Sight::Clear {
-            WAIT
+        let wait = if state == WatchState::Working {
+            WATCH_WAIT
         } else {
             PROBE_WAIT
         };
-        let known = context.shared_fleet.get().followed().get(PREFIX).copied();
+        let known = context.shared_fleet.get().followed().get(ALL_KEYS).copied();
         let after = known.unwrap_or(0);
-        let watch = context.store.watch(PREFIX, after, wait);
-        let ended = future::select(
-            Box::pin(context.manager_health.well()),
-            Box::pin(context.store_health.ill()),
+        let watch = context.store.watch(ALL_KEYS, after, wait);
+        let interrupted = future::select(
+            Box::pin(context.manager_health.wait_healthy()),
+            Box::pin(context.store_health.wait_unhealthy()),
         );
-        let news = match future::select(watch, ended).await {
-            Either::Left((news, _)) => news?,
-            Either::Right((Either::Left(_), _)) => return Ok(Asked::Told),
+        let batch = match future::select(watch, interrupted).await {
+            Either::Left((batch, _)) => batch?,
+            Either::Right((Either::Left(_), _)) => return Ok(Outcome::Relayed),
             Either::Right((Either::Right(_), _)) => {
                 let reason = "other calls are not answered".to_owned();
                 return Err(Error::NotApplied("watch", reason));
             }
         };
         let now = context.clock.now();
-        let notes = context.shared_fleet.update(|fleet| {
-            let mut notes = Vec::new();
-            for change in &news.changes {
-                notes.extend(fleet.on_change(now, change, &context.keys, &*context.catalogue));
+        let log_lines = context.shared_fleet.update(|fleet| {
+            let mut log_lines = Vec::new();
+            for change in &batch.changes {
+                log_lines.extend(fleet.on_change(now, change, &context.keys, &*context.catalogue));
             }
-            notes
+            log_lines
         });
-        context.report.lines(&notes);
-        if !news.changes.is_empty() {
-            let span = if context.leading.get() {
-                GATHER
+        context.report.lines(&log_lines);
+        if !batch.changes.is_empty() {
+            let delay = if context.leading.get() {
+                BATCH_DELAY
             } else {
-                GATHER_ALONE
+                DIRECT_BATCH_DELAY
             };
-            context.clock.sleep(span).await;
+            context.clock.sleep(delay).await;
         }
-        Ok(Asked::Followed(news.revision))
+        Ok(Outcome::Followed(batch.revision))
     }
 }
 
-/// Removes targets that stay away after trouble of the store.
+/// Removes targets whose entries are still missing some time after a failed call to the store.
 pub async fn expire_targets(shared_fleet: SharedFleet, clock: Clock, report: Report) {
-    const TICK: Duration = Duration::from_millis(250);
+    const CHECK_INTERVAL: Duration = Duration::from_millis(250);
     loop {
-        clock.sleep(TICK).await;
+        clock.sleep(CHECK_INTERVAL).await;
         let now = clock.now();
-        if shared_fleet.get().expiry().is_none_or(|at| now < at) {
+        if shared_fleet.get().next_expiry().is_none_or(|at| now < at) {
             continue;
         }
         for id in shared_fleet.update(|fleet| fleet.expire(now)) {
--- a/engine/src/health.rs
+++ b/engine/src/health.rs
@@ -1,7 +1,7 @@
-//! Whether the store answers this VM, told by one cheap call every second.
+//! Tracks whether calls to the store, or to the manager, are answered.
 //!
-//! A watch that is lost on its way looks like one that has nothing to tell. Whoever watches asks
-//! again when the pulse has failed, and makes no calls of its own until it is back.
+//! One cheap call a second checks the store: a watch whose response is lost looks like one without changes. So a
+//! failed check ends the watch, and no further call is made until the check succeeds again.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,7 +15,7 @@
 
 type Signal = Shared<oneshot::Receiver<()>>;
 
-/// The state of the pulse; clones share it.
+/// Whether calls to one peer are answered; clones share the state.
 ///
 /// # Example
 ///
@@ -31,9 +31,9 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Health {
-    well: Rc<Cell<bool>>,
+    healthy: Rc<Cell<bool>>,
     failures: Rc<Cell<u64>>,
-    /// When the latest call was sent that was answered.
+    /// When the most recent answered call was sent.
     answered: Rc<Cell<Option<Duration>>>,
     change: Rc<RefCell<(oneshot::Sender<()>, Signal)>>,
 }
@@ -41,7 +41,7 @@
 impl Default for Health {
     fn default() -> Self {
         Self {
-            well: Rc::new(Cell::new(true)),
+            healthy: Rc::new(Cell::new(true)),
             failures: Rc::default(),
             answered: Rc::default(),
             change: Rc::new(RefCell::new(signal())),
@@ -55,7 +55,7 @@
 }
 
 impl Health {
-    /// Takes note of one call's outcome.
+    /// Records whether a call was answered.
     ///
     /// # Example
     ///
@@ -64,7 +64,7 @@
         if !ok {
             self.failures.set(self.failures.get() + 1);
         }
-        if self.well.replace(ok) != ok {
+        if self.healthy.replace(ok) != ok {
             // The receivers wake when the sender is dropped.
             drop(self.change.replace(signal()));
         }
@@ -76,7 +76,7 @@
     ///
     /// See [`Health`].
     pub fn is_healthy(&self) -> bool {
-        self.well.get()
+        self.healthy.get()
     }
 
     /// Returns how many calls have failed.
@@ -88,7 +88,7 @@
         self.failures.get()
     }
 
-    /// Takes note of a call that was sent at this time and answered, whoever made it.
+    /// Records that a call sent at this time was answered, whichever task made it.
     ///
     /// # Example
     ///
@@ -107,7 +107,7 @@
         self.answered.set(self.answered.get().max(Some(sent)));
     }
 
-    /// Returns whether a call was answered that was sent at this time or later.
+    /// Returns whether a call sent at this time or later was answered.
     ///
     /// # Example
     ///
@@ -116,15 +116,15 @@
         self.answered.get().is_some_and(|sent| sent >= since)
     }
 
-    /// Waits until the store answers, at once if it does.
-    pub async fn well(&self) {
+    /// Waits until calls are answered; returns at once if they are.
+    pub async fn wait_healthy(&self) {
         while !self.is_healthy() {
             self.changed().await;
         }
     }
 
-    /// Waits until the store stops answering, at once if it doesn't.
-    pub async fn ill(&self) {
+    /// Waits until calls are not answered; returns at once if they aren't.
+    pub async fn wait_unhealthy(&self) {
         while self.is_healthy() {
             self.changed().await;
         }
@@ -132,7 +132,7 @@
 
     async fn changed(&self) {
         let signal = self.change.borrow().1.clone();
-        // An error is the wake-up: the sender was dropped.
+        // The signal is the error of a dropped sender.
         let _ = signal.await;
     }
 }
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask a VM: how it stands, and what it did.
+//! Answers operators' requests for a VM's status and for the timeline of its events.
 
 use std::time::Duration;
 
@@ -14,30 +14,30 @@
     owner::record::Term,
 };
 
-/// The path that tells how a VM stands.
+/// The path of a VM's status.
 pub const STATUS_PATH: &str = "/status";
-/// The path that tells what a VM did; a stamp may follow as the query.
+/// The path of a VM's timeline; the query may be a stamp after which events are returned.
 pub const TIMELINE_PATH: &str = "/timeline";
 
-/// Who owns the keys of one service, as a VM knows it.
+/// A summary of one service's owners record, as a VM knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Owned {
-    /// The manager's turn.
+    /// The term of the manager that wrote the record.
     pub term: Term,
-    /// How many ranges there are.
+    /// The number of key ranges.
     pub ranges: usize,
-    /// How many of them have an owner.
+    /// The number of ranges with an owner.
     pub owned: usize,
 }
 
-/// How a VM stands.
+/// The status of a VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
-    /// The VM.
+    /// The VM's name.
     pub vm: String,
-    /// This start of its process.
+    /// Identifies this start of its process.
     pub start: String,
     /// Its failure domain.
     pub domain: String,
@@ -45,29 +45,29 @@
     pub ready: bool,
     /// Whether the platform's store answers it.
     pub store: bool,
-    /// The VM that it takes for the manager.
+    /// The VM that it considers the manager.
     pub manager: Option<String>,
-    /// Whether it is the manager itself.
+    /// Whether it is the manager.
     pub leading: bool,
     /// The version of the configuration in force.
     pub version: Version,
-    /// How many targets are announced, those that leave among them.
+    /// The number of announced targets, draining ones included.
     pub targets: usize,
-    /// How many of them leave.
+    /// The number of draining targets.
     pub leaving: usize,
-    /// Evacuated failure domains, with the time for which that has been known, in milliseconds.
+    /// Evacuated failure domains, with the time since that became known, in milliseconds.
     pub evacuated: IndexMap<DomainId, u64>,
-    /// Targets that are cold, or may be, with the time left, in milliseconds.
+    /// Targets that are cold or may be cold, with the remaining time, in milliseconds.
     pub cold: IndexMap<TargetId, u64>,
-    /// The services with owners.
+    /// The services with owners records.
     pub services: IndexMap<ServiceId, Owned>,
     /// The VMs that it knows.
     pub vms: Vec<Vm>,
 }
 
 impl Status {
-    /// Tells how a VM stands that believes this of the fleet.
-    fn of(context: &Context, fleet: &Fleet) -> Self {
+    /// Builds the status from this VM's view of the fleet.
+    fn new(context: &Context, fleet: &Fleet) -> Self {
         let services = fleet.records.iter().map(|(name, recorded)| {
             let parts = &recorded.record.ranges;
             let owned = Owned {
@@ -78,7 +78,7 @@
             (name.clone(), owned)
         });
         let now = context.clock.now();
-        let millis = |span: Duration| u64::try_from(span.as_millis()).unwrap_or(u64::MAX);
+        let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
         let evacuated = fleet.evacuated.iter();
         let evacuated =
             evacuated.map(|(domain, since)| (domain.clone(), millis(now.saturating_sub(*since))));
@@ -103,14 +103,14 @@
     }
 }
 
-/// Answers an operator's question.
+/// Answers an operator's request.
 pub(super) fn answer(context: &Context, request: &Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
         return super::refuse(StatusCode::METHOD_NOT_ALLOWED);
     }
     let uri = request.uri();
     match uri.path() {
-        STATUS_PATH => encoded(&Status::of(context, &context.shared_fleet.get())),
+        STATUS_PATH => encoded(&Status::new(context, &context.shared_fleet.get())),
         TIMELINE_PATH => {
             let since: Option<Stamp> = uri.query().map_or(Some(0), |it| it.parse().ok());
             match since {
@@ -122,10 +122,10 @@
     }
 }
 
-fn encoded<T>(answer: &T) -> Response<Body>
+fn encoded<T>(content: &T) -> Response<Body>
 where
     T: Serialize,
 {
-    // Text and numbers always encode.
-    Response::new(Body::from(rmp_serde::to_vec(answer).unwrap_or_default()))
+    // Strings and numbers always encode.
+    Response::new(Body::from(rmp_serde::to_vec(content).unwrap_or_default()))
 }
--- a/engine/src/peer/board.rs
+++ b/engine/src/peer/board.rs
@@ -1,4 +1,8 @@
-//! What all VMs have under way and waiting, as they told the manager.
+//! Keeps the in-flight and queued requests of all VMs at the manager, and assigns quotas of each target's free
+//! capacity.
+//!
+//! Load pattern: many VMs queue requests for the same busy target. Each VM sends the manager its load with every sync
+//! request, and gets the load of all others and its quotas in the response.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -14,54 +18,57 @@
     target::Rate,
 };
 
-/// How long a VM's word counts at the least. A VM that is lost has no requests; one that is slow still
-/// tells several times a second.
-const LIFE_LEAST: Duration = Duration::from_millis(600);
-/// How many of its pauses a VM's word counts: one word may be lost on its way.
-const LIFE_PAUSES: u32 = 3;
+/// The minimum time for which a VM's report counts.
+///
+/// A failed VM has no requests; a slow one still reports several times a second.
+const MIN_VALIDITY: Duration = Duration::from_millis(600);
+/// For how many of the VM's sync intervals a report counts: one report may be lost on the network.
+const VALIDITY_INTERVALS: u32 = 3;
 
-/// One VM's word.
+/// The load that one VM has reported.
 #[derive(Clone, Debug)]
-struct Word {
-    flights: Vec<(TargetHash, u32)>,
+struct VmReport {
+    in_flight: Vec<(TargetHash, u32)>,
     queues: Vec<TargetQueue>,
-    /// What it may have sent since, by the rights that it got.
-    given: Vec<(TargetHash, u32)>,
-    at: Duration,
-    /// Until when it counts.
-    until: Duration,
+    /// Requests that it may have sent since, by the quotas that it got.
+    granted: Vec<(TargetHash, u32)>,
+    received_at: Duration,
+    /// When the report stops counting.
+    valid_until: Duration,
 }
 
-impl Word {
-    /// Takes note of rights that the VM gets: what waited is on its way.
-    fn give(&mut self, share: &Quota) {
+impl VmReport {
+    /// Records a quota that the VM gets: these requests leave its queue.
+    fn record_quota(&mut self, share: &Quota) {
         let count = share.within_goal + share.past_goal;
         if count > 0 {
-            self.given.push((share.target, count));
+            self.granted.push((share.target, count));
         }
         let queues = self.queues.iter_mut();
         for queue in queues.filter(|queue| queue.target == share.target) {
             queue.first.retain(|it| !share.demoted.contains(&it.ticket));
-            let gone = queue.first.len().min(share.within_goal as usize);
-            queue.first.drain(..gone);
-            let beyond = u32::try_from(share.demoted.len()).unwrap_or(u32::MAX);
-            queue.within_goal = queue.within_goal.saturating_sub(share.within_goal + beyond);
+            let sent = queue.first.len().min(share.within_goal as usize);
+            queue.first.drain(..sent);
+            let demoted = u32::try_from(share.demoted.len()).unwrap_or(u32::MAX);
+            queue.within_goal = queue
+                .within_goal
+                .saturating_sub(share.within_goal + demoted);
             queue.past_goal = queue.past_goal.saturating_sub(share.past_goal);
         }
     }
 }
 
-/// What waits for one target and what is there, of all VMs.
+/// All VMs' queued and in-flight requests for one target.
 #[derive(Debug, Default)]
-struct Line<'a> {
+struct TargetLoad<'a> {
     own: Option<&'a TargetQueue>,
-    /// Other VMs' queues, with the milliseconds since they told.
+    /// Other VMs' queues, with the milliseconds since they were reported.
     others: Vec<(&'a TargetQueue, u32)>,
-    /// Requests there, and rights to send that are not used yet.
-    flights: u32,
+    /// In-flight requests, including granted ones that are not reported yet.
+    in_flight: u32,
 }
 
-/// The requests of each VM at each target, and those that wait for one.
+/// The in-flight and queued requests of each VM for each target.
 ///
 /// # Example
 ///
@@ -78,15 +85,15 @@
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct FleetLoad {
-    words: HashMap<String, Word>,
-    /// The rates that targets have named to any VM.
+    reports: HashMap<String, VmReport>,
+    /// The rate limits that targets have requested from any VM.
     rates: Rates,
-    /// What may go to the targets that are held to one.
+    /// The token buckets of the targets with a rate limit.
     buckets: IndexMap<TargetHash, TokenBucket>,
 }
 
 impl FleetLoad {
-    /// Takes in what a VM has under way and waiting; `pause` is the time until its next word.
+    /// Records the load of the VM with the process start `start`; `interval` is the time until its next report.
     ///
     /// # Example
     ///
@@ -95,22 +102,22 @@
         &mut self,
         now: Duration,
         start: &str,
-        flights: Vec<(TargetHash, u32)>,
+        in_flight: Vec<(TargetHash, u32)>,
         queues: Vec<TargetQueue>,
-        pause: Duration,
+        interval: Duration,
     ) {
-        self.words.retain(|_, word| now < word.until);
-        let word = Word {
-            flights,
+        self.reports.retain(|_, report| now < report.valid_until);
+        let report = VmReport {
+            in_flight,
             queues,
-            given: Vec::new(),
-            at: now,
-            until: now + LIFE_LEAST.max(pause * LIFE_PAUSES),
+            granted: Vec::new(),
+            received_at: now,
+            valid_until: now + MIN_VALIDITY.max(interval * VALIDITY_INTERVALS),
         };
-        self.words.insert(start.to_owned(), word);
+        self.reports.insert(start.to_owned(), report);
     }
 
-    /// Takes in the rates that targets have named to a VM.
+    /// Merges the rate limits that targets have requested from a VM.
     ///
     /// # Example
     ///
@@ -125,12 +132,12 @@
     /// assert_eq!(fleet_load.rates(Duration::ZERO), [news]);
     /// ```
     pub fn merge_rates(&mut self, now: Duration, news: &[RateReport]) {
-        // VMs log what they believe; what changes here they hear with the next word, and forget by themselves.
+        // Changes aren't logged here: each VM gets them with the next response and logs its own state.
         let _ = self.rates.merge(now, news);
         let _ = self.rates.expire(now);
     }
 
-    /// Returns the rates that targets have named to any VM.
+    /// Returns the rate limits that targets have requested from any VM, for other VMs.
     ///
     /// # Example
     ///
@@ -139,7 +146,7 @@
         self.rates.reports(now)
     }
 
-    /// Returns the targets that ask to be held to a rate, with the rates.
+    /// Returns the targets that have requested a rate limit, with the rates.
     ///
     /// # Example
     ///
@@ -157,22 +164,22 @@
         self.rates.active().collect()
     }
 
-    /// Returns what all others have under way.
+    /// Returns the in-flight requests of all other VMs by target.
     ///
     /// # Example
     ///
     /// See [`FleetLoad`].
     pub fn in_flight_elsewhere(&self, now: Duration, start: &str) -> Vec<(TargetHash, u32)> {
         let mut sums: HashMap<TargetHash, u32> = HashMap::new();
-        for (_, word) in self.live(now).filter(|(other, _)| *other != start) {
-            for (target, count) in word.flights.iter().chain(&word.given) {
+        for (_, report) in self.valid_reports(now).filter(|(other, _)| *other != start) {
+            for (target, count) in report.in_flight.iter().chain(&report.granted) {
                 *sums.entry(*target).or_default() += count;
             }
         }
         sums.into_iter().collect()
     }
 
-    /// Shares out the room at each target for which requests wait, and notes what this VM got.
+    /// Assigns this VM its quota of each target with queued requests, and records what it got.
     ///
     /// # Example
     ///
@@ -184,7 +191,7 @@
     ///     placement::quota::{TargetQueue, QueuedRequest},
     /// };
     ///
-    /// let waiting = |age| TargetQueue {
+    /// let queue = |age| TargetQueue {
     ///     target: 7,
     ///     slots: 2,
     ///     limit: 3,
@@ -194,52 +201,54 @@
     /// };
     /// let mut fleet_load = FleetLoad::default();
     /// let now = Duration::ZERO;
-    /// fleet_load.update(now, "vm-1", vec![(7, 2)], vec![waiting(20)], Duration::ZERO);
-    /// fleet_load.update(now, "vm-2", Vec::new(), vec![waiting(30)], Duration::ZERO);
-    /// assert_eq!(fleet_load.assign_quotas(now, "vm-1")[0].within_goal, 0, "the other waits longer");
+    /// fleet_load.update(now, "vm-1", vec![(7, 2)], vec![queue(20)], Duration::ZERO);
+    /// fleet_load.update(now, "vm-2", Vec::new(), vec![queue(30)], Duration::ZERO);
+    /// assert_eq!(fleet_load.assign_quotas(now, "vm-1")[0].within_goal, 0, "the other VM has waited longer");
     /// assert_eq!(fleet_load.assign_quotas(now, "vm-2")[0].within_goal, 1);
     /// ```
     pub fn assign_quotas(&mut self, now: Duration, start: &str) -> Vec<Quota> {
-        let rooms = self.rooms(now);
-        let lines = self.lines(now, start);
-        let shares = lines.into_iter().map(|(target, line)| {
-            let own = line.own.cloned().unwrap_or(TargetQueue {
+        let rate_capacities = self.rate_capacities(now);
+        let loads = self.target_loads(now, start);
+        let quotas = loads.into_iter().map(|(target, load)| {
+            let own = load.own.cloned().unwrap_or(TargetQueue {
                 target,
                 ..TargetQueue::default()
             });
-            match rooms.get(&target) {
-                Some(room) => quota::allot_at_rate(*room, &own, &line.others, line.flights),
-                None => quota::allot(&own, &line.others, line.flights),
+            match rate_capacities.get(&target) {
+                Some(capacity) => {
+                    quota::allot_at_rate(*capacity, &own, &load.others, load.in_flight)
+                }
+                None => quota::allot(&own, &load.others, load.in_flight),
             }
         });
-        let shares: Vec<Quota> = shares
-            .filter(|share| share.busy || share.past_goal > 0 || share.others_past > 0)
+        let quotas: Vec<Quota> = quotas
+            .filter(|quota| quota.busy || quota.past_goal > 0 || quota.others_past > 0)
             .collect();
-        for share in &shares {
-            if let Some(bucket) = self.buckets.get_mut(&share.target) {
-                bucket.take(share.within_goal + share.past_goal);
+        for quota in &quotas {
+            if let Some(bucket) = self.buckets.get_mut(&quota.target) {
+                bucket.take(quota.within_goal + quota.past_goal);
             }
         }
-        if let Some(word) = self.words.get_mut(start) {
-            for share in &shares {
-                word.give(share);
+        if let Some(report) = self.reports.get_mut(start) {
+            for quota in &quotas {
+                report.record_quota(quota);
             }
         }
-        shares
+        quotas
     }
 
-    /// What may go now to each target that is held to a rate.
-    fn rooms(&mut self, now: Duration) -> IndexMap<TargetHash, RateCapacity> {
+    /// Returns how many requests each target with a rate limit may get now.
+    fn rate_capacities(&mut self, now: Duration) -> IndexMap<TargetHash, RateCapacity> {
         let rates = &self.rates;
         self.buckets
             .retain(|target, _| rates.rate(*target).is_some());
-        let mut rooms = IndexMap::new();
+        let mut capacities = IndexMap::new();
         for (target, rate) in rates.active() {
             let bucket = self.buckets.entry(target);
             let bucket = bucket.or_insert_with(|| TokenBucket::new(now));
             let most = bucket.available(now, rate);
             let wait = bucket.wait_time(rate);
-            rooms.insert(
+            capacities.insert(
                 target,
                 RateCapacity {
                     available: most,
@@ -247,37 +256,37 @@
                 },
             );
         }
-        rooms
+        capacities
     }
 
-    /// Gathers what waits for each target, and what is there; one pass over all words.
-    fn lines(&self, now: Duration, start: &str) -> IndexMap<TargetHash, Line<'_>> {
-        let mut lines: IndexMap<TargetHash, Line<'_>> = IndexMap::new();
-        for (name, word) in self.live(now) {
-            let since = now.saturating_sub(word.at).as_millis();
-            let since = u32::try_from(since).unwrap_or(u32::MAX);
-            for queue in &word.queues {
-                let line = lines.entry(queue.target).or_default();
+    /// Collects the queued and in-flight requests for each target with a queue, as VM `start` sees them.
+    fn target_loads(&self, now: Duration, start: &str) -> IndexMap<TargetHash, TargetLoad<'_>> {
+        let mut loads: IndexMap<TargetHash, TargetLoad<'_>> = IndexMap::new();
+        for (name, report) in self.valid_reports(now) {
+            let age_ms = now.saturating_sub(report.received_at).as_millis();
+            let age_ms = u32::try_from(age_ms).unwrap_or(u32::MAX);
+            for queue in &report.queues {
+                let load = loads.entry(queue.target).or_default();
                 if name == start {
-                    line.own = Some(queue);
+                    load.own = Some(queue);
                 } else {
-                    line.others.push((queue, since));
+                    load.others.push((queue, age_ms));
                 }
             }
         }
-        for (_, word) in self.live(now) {
-            for (target, count) in word.flights.iter().chain(&word.given) {
-                if let Some(line) = lines.get_mut(target) {
-                    line.flights += count;
+        for (_, report) in self.valid_reports(now) {
+            for (target, count) in report.in_flight.iter().chain(&report.granted) {
+                if let Some(load) = loads.get_mut(target) {
+                    load.in_flight += count;
                 }
             }
         }
-        lines
+        loads
     }
 
-    fn live(&self, now: Duration) -> impl Iterator<Item = (&str, &Word)> {
-        let words = self.words.iter();
-        let live = words.filter(move |(_, word)| now < word.until);
-        live.map(|(start, word)| (start.as_str(), word))
+    fn valid_reports(&self, now: Duration) -> impl Iterator<Item = (&str, &VmReport)> {
+        let reports = self.reports.iter();
+        let valid = reports.filter(move |(_, report)| now < report.valid_until);
+        valid.map(|(start, report)| (start.as_str(), report))
     }
 }
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! What VMs tell each other, over HTTP with `MessagePack`.
+//! Exchanges state between VMs, over HTTP with `MessagePack`.
 //!
-//! Each VM tells the manager several times a second what it has under way, and hears what the
-//! others have under way and what is new in the store. So targets' queues are known to within a
-//! few ten milliseconds, and the store is watched by one VM instead of all.
+//! Several times a second each VM sends the manager its in-flight and queued requests; the response has those of
+//! all other VMs and the changes in the store. So each VM knows the load of targets to within a few tens of
+//! milliseconds, and one VM watches the store instead of all.
 
 pub mod admin;
 mod board;
@@ -33,92 +33,105 @@
     store::Revision,
 };
 
-/// The path of messages between VMs.
-pub const PATH: &str = "/peer";
-/// How long a message may take: VMs are a few milliseconds apart.
-const TIMEOUT: Duration = Duration::from_millis(300);
-/// The largest message.
-const BYTES: usize = 1 << 20;
+/// The path of sync requests.
+pub const SYNC_PATH: &str = "/peer";
+/// The timeout of a sync exchange: the network latency between VMs is a few milliseconds.
+const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
+/// The maximum size of a message.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 quick_error! {
-    /// Why a message did not arrive.
+    /// Why a sync exchange failed.
     #[derive(Debug)]
     pub enum Error {
-        /// It could not be sent, or got no answer.
+        /// The request could not be sent, or got no response.
         Send(peer: SocketAddr, cause: client::Error) {
             display("step=peer peer={peer} cause={cause}")
             source(cause)
         }
-        /// The answer can't be used.
+        /// The response can't be used.
         Answer(peer: SocketAddr, reason: String) {
             display("step=peer peer={peer} cause={reason}")
         }
     }
 }
 
-/// What a VM tells the manager, several times a second.
+/// The message that a VM sends to the manager several times a second.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Sync {
-    /// The start of the VM that tells.
+pub struct SyncRequest {
+    /// Identifies the sender, by the start of its process.
     pub start: String,
-    /// Whether it believes that the other is the manager.
-    pub knows: bool,
-    /// Its requests at each target.
-    pub flights: Vec<(TargetHash, u32)>,
-    /// What waits there for room at targets.
+    /// Whether the sender considers the receiver the manager.
+    #[serde(rename = "knows")]
+    pub to_manager: bool,
+    /// The number of the sender's in-flight requests at each target.
+    #[serde(rename = "flights")]
+    pub in_flight: Vec<(TargetHash, u32)>,
+    /// The sender's requests that wait for a free slot of a target.
     pub queues: Vec<TargetQueue>,
-    /// How far it has followed the manager's journal.
-    pub place: LogPosition,
-    /// How far it has followed the store itself, by prefix; empty once it follows the journal.
+    /// How far the sender has read the receiver's change log.
+    #[serde(rename = "place")]
+    pub position: LogPosition,
+    /// Up to which revision the sender has followed the store, by prefix; empty once it reads the change log.
     pub followed: IndexMap<String, Revision>,
-    /// Requests by service and key since the last message.
-    pub counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
-    /// Sums and counts of service times without waiting, in seconds, since the last message.
-    pub times: Vec<(TargetHash, f64, u32)>,
-    /// The rates that targets have named to it, or to others as it was told.
+    /// The number of requests by service and key since the last message.
+    #[serde(rename = "counts")]
+    pub key_counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
+    /// By target since the last message: the sum of service times without queueing, in seconds, and their number.
+    #[serde(rename = "times")]
+    pub service_times: Vec<(TargetHash, f64, u32)>,
+    /// The rate limits that targets have requested from the sender, or from other VMs as far as it knows.
     pub rates: Vec<RateReport>,
-    /// How long it waits at the least until it tells again.
-    pub pause: Duration,
+    /// The minimum time until the sender's next message.
+    #[serde(rename = "pause")]
+    pub interval: Duration,
     /// When it was sent, for the time line.
     pub stamp: Stamp,
 }
 
-/// What the manager answers.
+/// The response to a [`SyncRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Synced {
-    /// Whether it is the manager and follows the store without trouble.
-    pub well: bool,
-    /// Other VMs' requests at each target.
-    pub others: Vec<(TargetHash, u32)>,
-    /// What the VM may send to targets for which requests wait.
-    pub shares: Vec<Quota>,
-    /// The rates that targets have named to any VM.
+pub struct SyncResponse {
+    /// Whether the responder is the manager and follows the store without failures.
+    #[serde(rename = "well")]
+    pub healthy: bool,
+    /// The number of other VMs' in-flight requests at each target.
+    #[serde(rename = "others")]
+    pub in_flight_elsewhere: Vec<(TargetHash, u32)>,
+    /// How many requests the VM may send to each target with queued requests.
+    #[serde(rename = "shares")]
+    pub quotas: Vec<Quota>,
+    /// The rate limits that targets have requested from any VM.
     pub rates: Vec<RateReport>,
-    /// What the VM lacks of what this one knows, however old.
+    /// The state that the VM lacks, as far as the responder knows it; it may be old.
     pub relay: Relay,
-    /// How much later than asked for this process wakes up.
+    /// How much later than requested the responder's process wakes up.
     pub lag: Duration,
     /// When it was sent, for the time line.
     pub stamp: Stamp,
 }
 
-/// Tells the manager, and returns its answer.
+/// Sends a sync request and returns the response.
 ///
 /// # Errors
 ///
-/// [`Error`] when there is no answer that can be read.
-pub async fn sync(client: &Client, peer: SocketAddr, message: &Sync) -> Result<Synced, Error> {
-    // Text and numbers always encode.
+/// [`Error`] when there is no valid response.
+pub async fn sync(
+    client: &Client,
+    peer: SocketAddr,
+    message: &SyncRequest,
+) -> Result<SyncResponse, Error> {
+    // Strings and numbers always encode.
     let bytes = rmp_serde::to_vec(message).unwrap_or_default();
     let mut request = Request::new(Body::from(bytes));
     *request.method_mut() = Method::POST;
-    *request.uri_mut() = http::Uri::from_static(PATH);
-    let sent = client.send(peer, request, TIMEOUT).await;
+    *request.uri_mut() = http::Uri::from_static(SYNC_PATH);
+    let sent = client.send(peer, request, SYNC_TIMEOUT).await;
     let response = sent.map_err(|cause| Error::Send(peer, cause))?;
     let status = response.status();
-    let bytes = body::read(response.into_body(), BYTES).await;
+    let bytes = body::read(response.into_body(), MAX_MESSAGE_BYTES).await;
     let bytes = bytes.map_err(|cause| Error::Answer(peer, cause.to_string()))?;
     if !status.is_success() {
         return Err(Error::Answer(peer, format!("status {}", status.as_u16())));
@@ -126,24 +139,24 @@
     rmp_serde::from_slice(&bytes).map_err(|cause| Error::Answer(peer, cause.to_string()))
 }
 
-/// Reads a message that came in.
+/// Reads and decodes a sync request.
 ///
 /// # Errors
 ///
-/// The reason, for the log.
-pub async fn read(request: Request<Incoming>) -> Result<Sync, String> {
-    let bytes = body::read(request.into_body(), BYTES).await;
+/// The reason as text, when the request can't be read.
+pub async fn read(request: Request<Incoming>) -> Result<SyncRequest, String> {
+    let bytes = body::read(request.into_body(), MAX_MESSAGE_BYTES).await;
     let bytes = bytes.map_err(|cause| cause.to_string())?;
     rmp_serde::from_slice(&bytes).map_err(|cause| cause.to_string())
 }
 
-/// Builds the answer to a message.
-pub fn answer(synced: &Synced) -> Response<Body> {
-    // Text and numbers always encode.
-    Response::new(Body::from(rmp_serde::to_vec(synced).unwrap_or_default()))
+/// Builds the HTTP response of a sync response.
+pub fn answer(message: &SyncResponse) -> Response<Body> {
+    // Strings and numbers always encode.
+    Response::new(Body::from(rmp_serde::to_vec(message).unwrap_or_default()))
 }
 
-/// Builds an answer that says only that a message could not be taken.
+/// Builds an empty response with an error status.
 pub fn refuse(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -1,4 +1,4 @@
-//! Both sides of the exchange between a VM and the manager.
+//! Both sides of the sync exchange: a VM sends its load to the manager, and the manager's response updates it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,7 +14,7 @@
 use indexmap::IndexMap;
 
 use super::{
-    FleetLoad, Sync, Synced, admin,
+    FleetLoad, SyncRequest, SyncResponse, admin,
     sync_interval::{self, Lag},
 };
 use crate::{
@@ -26,52 +26,52 @@
     report::Report,
 };
 
-/// How long after the last good answer the manager still counts as heard, at the least.
-const FRESH: Duration = Duration::from_millis(450);
-/// After how many pauses without a good answer it doesn't: one exchange may fail.
-const FRESH_PAUSES: u32 = 2;
-/// The longest pause between two exchanges at which a manager that is heard goes on to be: what is to be in
-/// force in two seconds can't wait for longer than two such pauses.
-const PROMPT_MOST: Duration = Duration::from_millis(600);
-/// The longest pause at which a manager comes to be heard.
-const PROMPT: Duration = Duration::from_millis(400);
-/// How long ago the latest call may have been sent that the store answered the manager.
-const ANSWERED_MOST: Duration = Duration::from_millis(900);
+/// The minimum time for which a VM relies on the manager after a valid response.
+const MIN_RELIANCE: Duration = Duration::from_millis(450);
+/// The number of sync intervals for which it relies on the manager: one exchange may fail.
+const RELIANCE_INTERVALS: u32 = 2;
+/// The maximum sync interval at which a VM continues to rely on the manager: changes that must be in force in two
+/// seconds can't wait for more than two such intervals.
+const MAX_RELIED_INTERVAL: Duration = Duration::from_millis(600);
+/// The maximum sync interval at which a VM starts to rely on the manager.
+const MAX_START_INTERVAL: Duration = Duration::from_millis(400);
+/// The maximum age of the manager's most recent call that the store answered, from when it was sent.
+const MAX_STORE_ANSWER_AGE: Duration = Duration::from_millis(900);
 
-/// What both sides share.
+/// The dependencies of both sides.
 #[derive(Clone)]
 pub struct Context {
-    /// This start of this VM.
+    /// This VM's entry for this process.
     pub vm: Vm,
-    /// What is believed of the fleet.
+    /// This VM's view of the fleet.
     pub shared_fleet: SharedFleet,
-    /// Decodes what is stored.
+    /// Decodes stored items.
     pub catalogue: Rc<dyn Catalogue>,
-    /// The engine's own keys.
+    /// The engine's own keys in the store.
     pub keys: Rc<StoreKeys>,
     /// Whether the store answers this VM.
     pub store_health: Health,
-    /// Whether the manager is heard; told here.
+    /// Whether this VM relies on the manager's responses; updated here.
     pub manager_health: Health,
     /// Whether this VM is the manager.
     pub leading: Rc<Cell<bool>>,
-    /// What all VMs have under way, if this is the manager.
+    /// The in-flight and queued requests of all VMs, if this VM is the manager.
     pub fleet_load: Rc<RefCell<FleetLoad>>,
-    /// How far this process lags.
+    /// How much later than requested this process wakes up.
     pub lag: Rc<RefCell<Lag>>,
-    /// This VM's requests by key.
+    /// Counts this VM's requests by key.
     pub tally: Tally,
-    /// Decides on targets.
+    /// The dispatcher, which decides where requests go.
     pub dispatcher: task::Handle,
     /// This VM's manager task.
     pub manager: mpsc::UnboundedSender<manager::Message>,
-    /// Other VMs to ask while none is known.
+    /// Addresses of VMs to contact while none is known from the store.
     pub seeds: Vec<SocketAddr>,
-    /// Connections to other VMs.
+    /// The connections to other VMs.
     pub client: Client,
     /// The clock.
     pub clock: Clock,
-    /// Logs and counters.
+    /// The log and the metrics.
     pub report: Report,
 }
 
@@ -83,13 +83,13 @@
     }
 }
 
-/// Answers a VM that tells this one, the manager, what it has under way.
+/// Answers a sync request of another VM, or an operator's request.
 pub async fn handle_request(context: Context, request: Request<Incoming>) -> Response<Body> {
-    if request.uri().path() != super::PATH {
+    if request.uri().path() != super::SYNC_PATH {
         return admin::answer(&context, &request);
     }
     match super::read(request).await {
-        Ok(message) => super::answer(&context.take(message)),
+        Ok(message) => super::answer(&context.handle_sync(message)),
         Err(reason) => {
             context
                 .report
@@ -100,49 +100,49 @@
 }
 
 impl Context {
-    /// Takes a VM's message in and builds the answer.
-    fn take(&self, message: Sync) -> Synced {
+    /// Records a VM's sync request and builds the response.
+    fn handle_sync(&self, message: SyncRequest) -> SyncResponse {
         self.report.merge(message.stamp);
         let now = self.clock.now();
-        let well = self.leading.get()
+        let healthy = self.leading.get()
             && self.store_health.is_healthy()
             && self
                 .store_health
-                .answered_since(now.saturating_sub(ANSWERED_MOST));
+                .answered_since(now.saturating_sub(MAX_STORE_ANSWER_AGE));
         let mut fleet_load = self.fleet_load.borrow_mut();
         fleet_load.update(
             now,
             &message.start,
-            message.flights,
+            message.in_flight,
             message.queues,
-            message.pause,
+            message.interval,
         );
         fleet_load.merge_rates(now, &message.rates);
-        let others = fleet_load.in_flight_elsewhere(now, &message.start);
-        let shares = fleet_load.assign_quotas(now, &message.start);
+        let in_flight_elsewhere = fleet_load.in_flight_elsewhere(now, &message.start);
+        let quotas = fleet_load.assign_quotas(now, &message.start);
         let rates = fleet_load.rates(now);
         let load = manager::Message::Load {
-            counts: message.counts,
-            times: message.times,
+            counts: message.key_counts,
+            times: message.service_times,
             rates: fleet_load.rate_limits(),
         };
-        // The manager's task ends with the process only.
+        // The manager task runs until the process ends, so that the send can't fail.
         let _ = self.manager.unbounded_send(load);
-        if self.leading.get() && message.knows {
+        if self.leading.get() && message.to_manager {
             let _ = self
                 .manager
                 .unbounded_send(manager::Message::SyncReceived(message.start.clone()));
         }
-        // Who isn't the manager tells what it knows too, however old: a VM that starts while nobody
-        // reaches the store could serve nothing otherwise, and no belief goes back by it.
+        // A VM that isn't the manager relays its state too, however old: otherwise a VM that starts while no VM
+        // reaches the store could serve no requests. Older state never replaces newer state.
         let relay =
             self.shared_fleet
                 .get()
-                .relay(&self.vm.start, &message.place, &message.followed);
-        Synced {
-            well,
-            others,
-            shares,
+                .relay(&self.vm.start, &message.position, &message.followed);
+        SyncResponse {
+            healthy,
+            in_flight_elsewhere,
+            quotas,
             rates,
             relay,
             lag: self.lag.borrow().mean(),
@@ -150,11 +150,12 @@
         }
     }
 
-    /// Takes note of how late this process woke up.
-    fn note_lag(&self, asked: Duration, took: Duration) {
+    /// Records how much later than requested this process woke up.
+    fn record_lag(&self, requested: Duration, actual: Duration) {
         let mut lag = self.lag.borrow_mut();
-        self.report.time("lag", took.saturating_sub(asked), &[]);
-        if lag.add(asked, took) {
+        self.report
+            .time("lag", actual.saturating_sub(requested), &[]);
+        if lag.add(requested, actual) {
             let event = if lag.is_long() {
                 "lagging"
             } else {
@@ -168,12 +169,12 @@
         }
     }
 
-    /// Takes in what another VM relays.
-    fn take_relay(&self, vm: &Vm, relay: &Relay, well: bool) {
+    /// Applies a relay from another VM and logs the changes.
+    fn apply_relay(&self, vm: &Vm, relay: &Relay, healthy_manager: bool) {
         let now = self.clock.now();
-        let notes = self
-            .shared_fleet
-            .update(|fleet| fleet.on_relay(now, relay, well, &self.keys, &*self.catalogue));
+        let log_lines = self.shared_fleet.update(|fleet| {
+            fleet.on_relay(now, relay, healthy_manager, &self.keys, &*self.catalogue)
+        });
         if let Relay::Whole {
             items, followed, ..
         } = relay
@@ -182,25 +183,29 @@
                 "event=told-everything vm={} items={} followed={followed:?} changes={}",
                 vm.name,
                 items.len(),
-                notes.len()
+                log_lines.len()
             ));
         }
-        self.report.lines(&notes);
+        self.report.lines(&log_lines);
     }
 
-    /// Takes note of the manager's answer; returns whether this VM can rest on its word.
-    fn note_word(&self, synced: &Synced, vm: &Vm, pause: Duration) -> bool {
-        let heard = self.manager_health.is_healthy();
-        let prompt = if heard { PROMPT_MOST } else { PROMPT };
-        if !synced.well {
-            self.unheard("it doesn't follow the store");
+    /// Checks the manager's response; returns whether this VM can rely on the manager.
+    fn accept_response(&self, response: &SyncResponse, vm: &Vm, interval: Duration) -> bool {
+        let relied = self.manager_health.is_healthy();
+        let max_interval = if relied {
+            MAX_RELIED_INTERVAL
+        } else {
+            MAX_START_INTERVAL
+        };
+        if !response.healthy {
+            self.stop_relying("the manager does not follow the store");
             return false;
         }
-        if pause > prompt {
-            self.unheard("it lags");
+        if interval > max_interval {
+            self.stop_relying("the manager lags");
             return false;
         }
-        if !heard {
+        if !relied {
             self.report
                 .line(&format!("event=manager-heard vm={}", vm.name));
         }
@@ -208,7 +213,8 @@
         true
     }
 
-    fn unheard(&self, cause: &str) {
+    /// Stops relying on the manager, so that this VM follows the store itself.
+    fn stop_relying(&self, cause: &str) {
         if self.manager_health.is_healthy() {
             self.report
                 .line(&format!("event=manager-unheard cause=\"{cause}\""));
@@ -216,116 +222,116 @@
         }
     }
 
-    /// Builds this VM's message.
-    async fn message(&self, place: LogPosition, pause: Duration) -> Sync {
+    /// Builds this VM's sync request.
+    async fn message(&self, position: LogPosition, interval: Duration) -> SyncRequest {
         let state = self.dispatcher.take_snapshot().await;
         let fleet = self.shared_fleet.get();
-        let follows = fleet
+        let reads_log = fleet
             .manager
             .as_ref()
-            .is_some_and(|it| it.start == place.start);
-        let followed = if follows {
+            .is_some_and(|it| it.start == position.start);
+        let followed = if reads_log {
             IndexMap::new()
         } else {
             fleet.followed().clone()
         };
-        Sync {
+        SyncRequest {
             start: self.vm.start.clone(),
-            knows: true,
-            flights: state.in_flight,
+            to_manager: true,
+            in_flight: state.in_flight,
             queues: state.queues,
-            place,
+            position,
             followed,
-            counts: self.tally.take(),
-            times: state.service_times,
+            key_counts: self.tally.take(),
+            service_times: state.service_times,
             rates: state.rates,
-            pause,
+            interval,
             stamp: self.report.stamp(),
         }
     }
 }
 
-/// Tells the manager for as long as the process lives.
+/// Exchanges with the manager until the process ends.
 pub async fn run(context: Context) {
-    let mut place = LogPosition::default();
-    let mut heard_at = Duration::ZERO;
-    let mut others = Others::default();
-    let mut pause = Duration::ZERO;
+    let mut position = LogPosition::default();
+    let mut valid_at = Duration::ZERO;
+    let mut peers = PeerRotation::default();
+    let mut interval = Duration::ZERO;
     let mut lag = Duration::ZERO;
-    let mut follows = None;
+    let mut manager_start = None;
     context.manager_health.record_outcome(false);
     loop {
         let manager = context.shared_fleet.get().manager.clone();
         let start = manager.as_ref().map(|vm| vm.start.clone());
-        if start != follows {
-            // What the one before lagged says nothing of this one.
-            (follows, lag) = (start, Duration::ZERO);
+        if start != manager_start {
+            // The lag of the previous manager says nothing about the new one.
+            (manager_start, lag) = (start, Duration::ZERO);
         }
-        let message = context.message(place.clone(), pause).await;
-        let busy = !message.flights.is_empty();
-        let answer = match manager {
+        let message = context.message(position.clone(), interval).await;
+        let busy = !message.in_flight.is_empty();
+        let response = match manager {
             Some(vm) if vm.start == context.vm.start => {
                 // The manager follows the store itself.
                 context.manager_health.record_outcome(false);
-                Some(context.take(message))
+                Some(context.handle_sync(message))
             }
             Some(vm) => {
                 let sent = context.clock.now();
-                let answer = exchange(&context, &vm, &message, &mut place).await;
-                if let Some(synced) = &answer
-                    && context.note_word(synced, &vm, pause)
+                let response = exchange(&context, &vm, &message, &mut position).await;
+                if let Some(response) = &response
+                    && context.accept_response(response, &vm, interval)
                 {
-                    heard_at = sent;
+                    valid_at = sent;
                 }
-                answer
+                response
             }
             None => None,
         };
-        if answer.is_none()
+        if response.is_none()
             && !context.manager_health.is_healthy()
             && !context.store_health.is_healthy()
         {
-            ask_others(&context, &mut others).await;
+            sync_with_next_peer(&context, &mut peers).await;
         }
-        if let Some(synced) = &answer {
-            // The manager's own words cost it no exchange.
+        if let Some(response) = &response {
+            // The manager's own sync requests need no exchange.
             lag = if context.leading.get() {
                 Duration::ZERO
             } else {
-                synced.lag
+                response.lag
             };
         }
         let vms = context.shared_fleet.get().vms.len();
-        pause = sync_interval::next_interval(busy, vms, lag);
-        if let Some(synced) = answer {
-            let shares = synced.shares.into_iter();
+        interval = sync_interval::next_interval(busy, vms, lag);
+        if let Some(response) = response {
+            let quotas = response.quotas.into_iter();
             context
                 .dispatcher
                 .send(dispatch::Event::Sync(dispatch::SyncUpdate {
-                    others: synced.others.into_iter().collect(),
-                    quotas: shares.map(|share| (share.target, share)).collect(),
-                    rates: synced.rates,
-                    sync_interval: pause,
+                    others: response.in_flight_elsewhere.into_iter().collect(),
+                    quotas: quotas.map(|quota| (quota.target, quota)).collect(),
+                    rates: response.rates,
+                    sync_interval: interval,
                 }));
         }
-        if context.clock.now() > heard_at + FRESH.max(pause * FRESH_PAUSES) {
-            context.unheard("no answer");
+        if context.clock.now() > valid_at + MIN_RELIANCE.max(interval * RELIANCE_INTERVALS) {
+            context.stop_relying("no valid response in time");
         }
-        let slept = context.clock.now();
-        context.clock.sleep(pause).await;
-        context.note_lag(pause, context.clock.now().saturating_sub(slept));
+        let sleep_start = context.clock.now();
+        context.clock.sleep(interval).await;
+        context.record_lag(interval, context.clock.now().saturating_sub(sleep_start));
     }
 }
 
-/// Whom to ask next, and how far each was followed.
+/// The next VM to contact, and how far the change log of each has been read.
 #[derive(Debug, Default)]
-struct Others {
+struct PeerRotation {
     next: usize,
-    places: HashMap<SocketAddr, LogPosition>,
+    positions: HashMap<SocketAddr, LogPosition>,
 }
 
-/// Asks one other VM for what it knows: neither the store nor the manager answers this one.
-async fn ask_others(context: &Context, others: &mut Others) {
+/// Gets the state of one other VM, while neither the store nor the manager answers this one.
+async fn sync_with_next_peer(context: &Context, peers: &mut PeerRotation) {
     let fleet = context.shared_fleet.get();
     let known = fleet.vms.values().map(|vm| vm.address);
     let mut addresses: Vec<SocketAddr> = known.chain(context.seeds.iter().copied()).collect();
@@ -333,34 +339,35 @@
     if addresses.is_empty() {
         return;
     }
-    others.next = (others.next + 1) % addresses.len();
-    let address = addresses[others.next];
+    peers.next = (peers.next + 1) % addresses.len();
+    let address = addresses[peers.next];
     let vm = Vm {
         name: address.to_string(),
         address,
         ..context.vm.clone()
     };
-    let place = others.places.entry(address).or_default();
-    let message = Sync {
+    let position = peers.positions.entry(address).or_default();
+    let message = SyncRequest {
         start: context.vm.start.clone(),
-        place: place.clone(),
+        position: position.clone(),
         followed: fleet.followed().clone(),
         stamp: context.report.stamp(),
-        ..Sync::default()
+        ..SyncRequest::default()
     };
-    // What it tells of requests is the manager's business.
-    exchange(context, &vm, &message, place).await;
+    // Only the manager assigns quotas, so that the rest of the response is ignored.
+    exchange(context, &vm, &message, position).await;
 }
 
+/// Sends a sync request and applies the relay in the response; returns `None` after a failure.
 async fn exchange(
     context: &Context,
     vm: &Vm,
-    message: &Sync,
-    place: &mut LogPosition,
-) -> Option<Synced> {
+    message: &SyncRequest,
+    position: &mut LogPosition,
+) -> Option<SyncResponse> {
     let sent = context.clock.now();
-    let synced = match super::sync(&context.client, vm.address, message).await {
-        Ok(synced) => synced,
+    let response = match super::sync(&context.client, vm.address, message).await {
+        Ok(response) => response,
         Err(error) => {
             if context.manager_health.is_healthy() {
                 context
@@ -372,10 +379,10 @@
     };
     let took = context.clock.now().saturating_sub(sent);
     context.report.time("sync", took, &[]);
-    context.report.merge(synced.stamp);
-    if synced.relay.position() != place {
-        context.take_relay(vm, &synced.relay, synced.well);
-        *place = synced.relay.position().clone();
+    context.report.merge(response.stamp);
+    if response.relay.position() != position {
+        context.apply_relay(vm, &response.relay, response.healthy);
+        *position = response.relay.position().clone();
     }
-    Some(synced)
+    Some(response)
 }
--- a/engine/src/peer/sync_interval.rs
+++ b/engine/src/peer/sync_interval.rs
@@ -1,42 +1,42 @@
-//! How long a VM waits between two exchanges with the manager.
+//! Computes the time between two sync exchanges of a VM with the manager.
 //!
-//! Load pattern: the manager hears every other VM several times a second, answers callers, and renews
-//! all grants, perhaps with a tenth of a core. What it can't keep up with delays its own calls to the
-//! store until they time out; it loses its lease, and the next one fares no better.
+//! Load pattern: the manager gets a sync request from every other VM several times a second, answers callers and
+//! renews all grants, perhaps with a tenth of a core. A backlog delays its own calls to the store until they time
+//! out; it loses its lease, and the next manager is overloaded in the same way.
 
 use std::time::Duration;
 
 use crate::settings::BASELINE_VMS;
 
-/// The time between two exchanges while requests are under way.
+/// The time between two exchanges while requests are in flight.
 ///
-/// A target gets a request every 40 to 60 ms at the loads that are known; older counts would let
-/// several VMs take the same free place.
-const PERIOD: Duration = Duration::from_millis(40);
-/// The time between two exchanges while nothing is under way.
-const IDLE_PERIOD: Duration = Duration::from_millis(150);
-/// The longest time between two exchanges: counts of requests are believed for 250 ms.
-const PERIOD_MOST: Duration = Duration::from_millis(150);
+/// At the known loads a target gets a request every 40 to 60 ms; with older counts several VMs would take
+/// the same free slot.
+const BUSY_INTERVAL: Duration = Duration::from_millis(40);
+/// The time between two exchanges while no requests are in flight.
+const IDLE_INTERVAL: Duration = Duration::from_millis(150);
+/// The maximum interval before the manager's lag is added: counts of requests are used for 250 ms.
+const MAX_BASE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// By how much the pause grows for each millisecond that the manager lags.
+/// By how many milliseconds the interval grows for each millisecond that the manager lags.
 ///
-/// Steep enough that a manager which can take in one word a second from each VM lags by less than its calls
-/// to the store may take to connect.
-const YIELD: u32 = 16;
-/// The lag that leaves the pause as it is: timers fire some milliseconds late.
-const LAG_USUAL: Duration = Duration::from_millis(5);
-/// The longest pause, however far the manager lags: targets that leave may be known so much later, and
-/// get no new work 2 s after they have said so.
-const YIELD_MOST: Duration = Duration::from_secs(1);
-/// The part of a new measurement in the mean lag, as a divisor: one late wake-up is no trend.
-const PART: u32 = 4;
-/// A wake-up that is later than this tells of a process that was stopped, not of one with too little
-/// processor.
-const STOPPED: Duration = Duration::from_secs(1);
-/// From which mean lag on a process's own calls can fail by it: a connection has 150 ms to open.
-const LONG: Duration = Duration::from_millis(75);
+/// High enough that a manager which can process one sync request a second from each VM lags by less than the
+/// connect timeout of its calls to the store.
+const LAG_FACTOR: u32 = 16;
+/// The lag that doesn't change the interval: timers fire some milliseconds late.
+const LAG_ALLOWANCE: Duration = Duration::from_millis(5);
+/// The maximum interval, however far the manager lags: it delays the news that a target is draining, and such
+/// a target must get no new requests 2 s after its announcement.
+const MAX_INTERVAL: Duration = Duration::from_secs(1);
+/// The divisor of a new measurement's weight in the mean lag: one late wake-up is no trend.
+const MEAN_DIVISOR: u32 = 4;
+/// A wake-up later than this is left out of the mean: the process was suspended, rather than short of processor
+/// time.
+const SUSPENDED_LAG: Duration = Duration::from_secs(1);
+/// The mean lag from which a process's own calls can time out: a connection has 150 ms to open.
+const HIGH_LAG: Duration = Duration::from_millis(75);
 
-/// How much later than asked for a process wakes up, as far as it has too little processor.
+/// Measures how much later than requested a process wakes up, for lack of processor time.
 ///
 /// # Example
 ///
@@ -57,31 +57,32 @@
 }
 
 impl Lag {
-    /// Takes in a sleep that should have taken `asked`; returns whether the lag has become long by it, or is
-    /// long no more.
+    /// Records a sleep that should have taken `requested` and took `actual`.
+    ///
+    /// Returns whether [`is_long`](Lag::is_long) has changed.
     ///
     /// # Example
     ///
     /// See [`Lag`].
-    pub fn add(&mut self, asked: Duration, took: Duration) -> bool {
+    pub fn add(&mut self, requested: Duration, actual: Duration) -> bool {
         let was_long = self.is_long();
-        let late = took.saturating_sub(asked);
-        if late < STOPPED {
-            self.mean = (self.mean * (PART - 1) + late) / PART;
+        let late = actual.saturating_sub(requested);
+        if late < SUSPENDED_LAG {
+            self.mean = (self.mean * (MEAN_DIVISOR - 1) + late) / MEAN_DIVISOR;
         }
         was_long != self.is_long()
     }
 
-    /// Returns whether the process has too little processor for its own calls to be in time.
+    /// Returns whether the process has so little processor time that its own calls can time out.
     ///
     /// # Example
     ///
     /// See [`Lag`].
     pub fn is_long(&self) -> bool {
-        self.mean >= LONG
+        self.mean >= HIGH_LAG
     }
 
-    /// Returns the mean of the latest.
+    /// Returns the moving mean.
     ///
     /// # Example
     ///
@@ -91,8 +92,10 @@
     }
 }
 
-/// Returns the pause until the next exchange: `busy` tells whether requests are under way, `vms` how many
-/// VMs exchange with the manager, `lag` how far that lags by its last answer.
+/// Returns the time until the next exchange.
+///
+/// `busy` says whether requests are in flight, `vms` is the number of VMs that exchange with the manager, and
+/// `lag` the manager's mean lag according to its last response.
 ///
 /// # Example
 ///
@@ -104,14 +107,14 @@
 /// let ms = Duration::from_millis;
 /// assert_eq!(sync_interval::next_interval(true, 8, Duration::ZERO), ms(40));
 /// assert_eq!(sync_interval::next_interval(false, 8, Duration::ZERO), ms(150));
-/// assert_eq!(sync_interval::next_interval(true, 48, Duration::ZERO), ms(80), "more VMs, fewer words of each");
+/// assert_eq!(sync_interval::next_interval(true, 48, Duration::ZERO), ms(80), "more VMs, fewer requests from each");
 /// assert!(sync_interval::next_interval(true, 88, ms(50)) > ms(500), "the manager can't keep up");
 /// ```
 pub fn next_interval(busy: bool, vms: usize, lag: Duration) -> Duration {
-    let period = if busy { PERIOD } else { IDLE_PERIOD };
+    let interval = if busy { BUSY_INTERVAL } else { IDLE_INTERVAL };
     let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
-    let period = (period * vms / BASELINE_VMS).min(PERIOD_MOST);
-    // A manager with little processor would have its own calls wait behind the words of all VMs.
-    let late = lag.saturating_sub(LAG_USUAL);
-    (period + late * YIELD).min(YIELD_MOST)
+    let interval = (interval * vms / BASELINE_VMS).min(MAX_BASE_INTERVAL);
+    // Otherwise the own calls of a manager with little processor time would queue behind the requests of all VMs.
+    let excess = lag.saturating_sub(LAG_ALLOWANCE);
+    (interval + excess * LAG_FACTOR).min(MAX_INTERVAL)
 }
--- a/engine/src/registration.rs
+++ b/engine/src/registration.rs
@@ -1,4 +1,6 @@
-//! This VM's own entry in the store, under a lease.
+//! Keeps this VM's entry in the store, under a lease that it renews.
+//!
+//! The renewals are also the store health check.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -12,34 +14,34 @@
     store::{Error, LeaseId, Put, Store, Transaction},
 };
 
-/// How long the entry's lease lasts: nothing safe rests on it, and each renewal is paid for.
-const LEASE: Duration = Duration::from_secs(10);
-/// The time from one renewal to the next while this VM follows the store itself.
+/// The duration of the entry's lease: no safety property relies on it, and each renewal is charged.
+const LEASE_DURATION: Duration = Duration::from_secs(10);
+/// The time between two renewals while this VM follows the store itself.
 ///
-/// A renewal shows within a second or two that the store is out of reach; a configuration must be in
+/// A renewal shows within a second or two that the store is unreachable; a configuration must be in
 /// force two seconds after the store has accepted it.
-const RENEW: Duration = Duration::from_secs(1);
-/// The time from one renewal to the next while the manager tells what is new: two that are lost are borne.
-const RENEW_TOLD: Duration = Duration::from_secs(3);
-/// The pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(600);
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
+/// The time between two renewals while the manager relays changes: the lease outlasts two lost renewals.
+const RELAYED_RENEW_INTERVAL: Duration = Duration::from_secs(3);
+/// The delay after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(600);
 
-/// What the task needs.
+/// The dependencies of the task.
 #[derive(Clone)]
 pub struct Context {
-    /// This start of this VM.
+    /// This VM's entry for this process.
     pub vm: Vm,
     /// The platform's store.
     pub store: Rc<dyn Store>,
-    /// Keys in the store.
+    /// The engine's own keys in the store.
     pub keys: Rc<StoreKeys>,
-    /// Whether the store answers; told here.
+    /// Whether the store answers this VM; updated here.
     pub store_health: Health,
-    /// Whether the manager is heard.
+    /// Whether the manager answers and relays changes.
     pub manager_health: Health,
     /// The clock.
     pub clock: Clock,
-    /// Logs and counters.
+    /// The log and the metrics.
     pub report: Report,
 }
 
@@ -51,7 +53,7 @@
     }
 }
 
-/// Ends the entry when the process stops.
+/// Removes the entry when the process stops.
 #[derive(Clone, Debug)]
 pub struct Handle {
     context: Context,
@@ -60,7 +62,7 @@
 }
 
 impl Handle {
-    /// Ends the entry; a failure is left to the lease's own end.
+    /// Removes the entry by ending its lease; after a failure the entry stays until the lease expires.
     pub async fn end(&self) {
         const TIMEOUT: Duration = Duration::from_millis(300);
         self.ended.set(true);
@@ -80,7 +82,7 @@
     }
 }
 
-/// Starts the task that keeps the entry.
+/// Starts the task that announces this VM and renews the lease.
 pub fn start(context: Context) -> Handle {
     let handle = Handle {
         context,
@@ -88,12 +90,12 @@
         ended: Rc::default(),
     };
     let own = handle.clone();
-    compio::runtime::spawn(async move { own.keep().await }).detach();
+    compio::runtime::spawn(async move { own.run().await }).detach();
     handle
 }
 
 impl Handle {
-    async fn keep(self) {
+    async fn run(self) {
         while !self.ended.get() {
             let sent = self.context.clock.now();
             let result = match self.lease.get() {
@@ -101,46 +103,50 @@
                 Some(lease) => self.context.store.renew(lease).await.map(|_| ()),
             };
             let answered = matches!(result, Ok(()) | Err(Error::NoLease(_)));
-            let was_well = self.context.store_health.is_healthy();
+            let was_healthy = self.context.store_health.is_healthy();
             self.context.store_health.record_outcome(answered);
             if answered {
                 self.context.store_health.record_answer(sent);
             }
-            if answered && !was_well {
+            if answered && !was_healthy {
                 self.context.report.line("event=pulse-back");
             }
-            let span = match result {
-                Ok(()) => RENEW,
+            let delay = match result {
+                Ok(()) => RENEW_INTERVAL,
                 Err(Error::NoLease(_)) => {
                     self.lease.set(None);
                     Duration::ZERO
                 }
                 Err(error) => {
-                    if was_well {
+                    if was_healthy {
                         let line = format!("event=pulse-lost {error}");
                         self.context.report.line(&line);
                     }
-                    PAUSE
+                    RETRY_DELAY
                 }
             };
-            self.rest(span).await;
+            self.wait(delay).await;
         }
     }
 
-    /// Waits until the next call: longer while the manager tells what is new, no longer than that.
-    async fn rest(&self, span: Duration) {
+    /// Waits until the next call: `delay`, or longer while the manager relays changes.
+    async fn wait(&self, delay: Duration) {
         let context = &self.context;
-        if span.is_zero() || !context.manager_health.is_healthy() {
-            context.clock.sleep(span).await;
+        if delay.is_zero() || !context.manager_health.is_healthy() {
+            context.clock.sleep(delay).await;
             return;
         }
-        let unheard = Box::pin(context.manager_health.ill());
-        future::select(Box::pin(context.clock.sleep(RENEW_TOLD)), unheard).await;
+        let unhealthy = Box::pin(context.manager_health.wait_unhealthy());
+        future::select(
+            Box::pin(context.clock.sleep(RELAYED_RENEW_INTERVAL)),
+            unhealthy,
+        )
+        .await;
     }
 
     async fn announce(&self) -> Result<(), Error> {
         let context = &self.context;
-        let lease = context.store.lease(LEASE).await?;
+        let lease = context.store.lease(LEASE_DURATION).await?;
         let put = Put {
             key: context.keys.vm(&context.vm.name),
             value: context.vm.encode(),
--- a/engine/src/store/counting.rs
+++ b/engine/src/store/counting.rs
@@ -1,4 +1,4 @@
-//! A store that counts its calls by kind.
+//! A wrapper of a store that counts its calls by kind.
 
 use std::{rc::Rc, time::Duration};
 
@@ -7,10 +7,10 @@
 };
 use crate::report::Report;
 
-/// The counter of calls; its tag is the kind of call.
-const CALLS: &str = "store.calls";
+/// The name of the counter of calls; its tag is the kind of call.
+const CALLS_METRIC: &str = "store.calls";
 
-/// Passes calls on to a store and counts them: the platform's are paid for.
+/// Forwards calls to a store and counts them: the platform charges for each call.
 #[derive(Clone)]
 pub struct CountingStore {
     store: Rc<dyn Store>,
@@ -24,13 +24,13 @@
 }
 
 impl CountingStore {
-    /// Counts the calls to a store on a report.
+    /// Wraps a store; the calls are counted in `report`.
     pub fn new(store: Rc<dyn Store>, report: Report) -> Self {
         Self { store, report }
     }
 
     fn count(&self, kind: &str) {
-        self.report.count(CALLS, &[("kind", kind)]);
+        self.report.count(CALLS_METRIC, &[("kind", kind)]);
     }
 }
 
@@ -60,9 +60,9 @@
         self.store.commit(transaction)
     }
 
-    fn lease(&self, span: Duration) -> Reply<'_, Lease> {
+    fn lease(&self, duration: Duration) -> Reply<'_, Lease> {
         self.count("lease");
-        self.store.lease(span)
+        self.store.lease(duration)
     }
 
     fn renew(&self, id: LeaseId) -> Reply<'_, Duration> {
--- a/engine/src/store/mod.rs
+++ b/engine/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! The platform's key-value store, as the engine uses it.
+//! The interface of the platform's key-value store.
 //!
-//! An adapter implements [`Store`]; its calls are linearizable unless [`Read::Stale`] is asked for.
+//! An adapter implements [`Store`]; its calls are linearizable, except reads with [`Read::Stale`].
 
 mod counting;
 
@@ -13,7 +13,7 @@
 
 pub use self::counting::CountingStore;
 
-/// A count of the store's changes; it only grows.
+/// The number of changes of the store so far, which never decreases.
 pub type Revision = u64;
 /// The id of a lease.
 pub type LeaseId = u64;
@@ -22,19 +22,19 @@
     /// Why a call to the store failed.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The store did nothing: it refused, or could not be reached.
+        /// The call had no effect: the store refused it or could not be reached.
         NotApplied(step: &'static str, reason: String) {
             display("step={step} peer=store cause={reason}")
         }
-        /// The call may have taken effect, or may still.
+        /// The call may have taken effect, or may still take effect.
         OutcomeUnknown(step: &'static str, reason: String) {
-            display("step={step} peer=store cause={reason}; it may have taken effect")
+            display("step={step} peer=store cause={reason}; the call may have taken effect")
         }
-        /// The store no longer has the history that a watch asked for.
+        /// The store has dropped the history that a watch asked for.
         Compacted(step: &'static str) {
-            display("step={step} peer=store cause=history is gone")
+            display("step={step} peer=store cause=the requested history was dropped")
         }
-        /// There is no such lease any more.
+        /// The lease has ended.
         NoLease(step: &'static str) {
             display("step={step} peer=store cause=the lease has ended")
         }
@@ -50,11 +50,11 @@
     /// Its value.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
-    /// When it was last written.
+    /// The revision of its last write.
     pub revision: Revision,
 }
 
-/// What happened to one key.
+/// A change of one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
@@ -64,7 +64,7 @@
     Removed {
         /// The key.
         key: String,
-        /// When.
+        /// The revision of the removal.
         revision: Revision,
     },
 }
@@ -93,25 +93,25 @@
 pub struct Listing {
     /// The items, by key.
     pub items: Vec<Item>,
-    /// A revision from which a watch misses nothing that the listing lacks.
+    /// The revision after which a watch returns all changes that the listing lacks.
     pub revision: Revision,
 }
 
-/// What a watch heard.
+/// The changes that one watch returned.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WatchBatch {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// Where to go on.
+    /// The revision after which the next watch continues.
     pub revision: Revision,
 }
 
-/// How fresh a read must be.
+/// How recent the result of a read must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Read {
-    /// As of now.
+    /// The current state.
     Fresh,
-    /// It may be seconds old, and costs a tenth.
+    /// A state that may be seconds old; such a read costs a tenth.
     Stale,
 }
 
@@ -122,23 +122,23 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease with which the key ends; none for a key that stays.
+    /// The lease with which the key ends; `None` for a key without one.
     pub lease: Option<LeaseId>,
 }
 
 /// Changes that take effect together, or not at all.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// The revision that each key must have; 0 where the key must not exist.
+    /// The revision that each key must have; 0 if the key must not exist.
     pub expected: IndexMap<String, Revision>,
-    /// Values to write.
+    /// The values to write.
     pub puts: Vec<Put>,
-    /// Keys to remove.
+    /// The keys to remove.
     pub removes: Vec<String>,
 }
 
 impl Transaction {
-    /// Writes one value for good, if its key still stands at a revision.
+    /// Creates a transaction that writes one value without a lease, if its key still has a given revision.
     ///
     /// # Example
     ///
@@ -166,31 +166,31 @@
 pub enum Commit {
     /// It took effect at this revision.
     Done(Revision),
-    /// It didn't: these are the expected keys as they stand.
+    /// It had no effect: these are the current items of the expected keys.
     Conflict(Vec<Item>),
 }
 
-/// A lease as granted.
+/// A lease that the store has granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// Its id.
     pub id: LeaseId,
-    /// How long it lasts from the arrival of the call.
+    /// How long it lasts, from the time when the call arrived.
     pub duration: Duration,
 }
 
-/// The answer of a call to the store.
+/// The future result of a call to the store.
 pub type Reply<'a, T> = LocalBoxFuture<'a, Result<T, Error>>;
 
-/// The platform's store; implemented once for each dialect.
+/// The platform's store; implemented once for each platform.
 pub trait Store {
-    /// Reads one item; `None` if there is none.
+    /// Reads one item; `None` if the key doesn't exist.
     fn get<'a>(&'a self, key: &'a str) -> Reply<'a, Option<Item>>;
 
     /// Lists all items under a prefix, page by page.
     fn list<'a>(&'a self, prefix: &'a str, read: Read) -> Reply<'a, Listing>;
 
-    /// Waits until something under a prefix has changed after a revision, or the wait has passed.
+    /// Waits up to `wait` for changes under a prefix after a revision, and returns them.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -201,12 +201,12 @@
     /// Runs a transaction.
     fn commit(&self, transaction: Transaction) -> Reply<'_, Commit>;
 
-    /// Takes a lease.
-    fn lease(&self, span: Duration) -> Reply<'_, Lease>;
+    /// Creates a lease that lasts for `duration`, if the store allows it.
+    fn lease(&self, duration: Duration) -> Reply<'_, Lease>;
 
-    /// Renews a lease and returns the span that it now lasts.
+    /// Renews a lease; returns how long it lasts from now on.
     fn renew(&self, id: LeaseId) -> Reply<'_, Duration>;
 
-    /// Ends a lease, and with it the keys that it holds.
+    /// Ends a lease, and removes the keys that belong to it.
     fn end(&self, id: LeaseId) -> Reply<'_, ()>;
 }
