--- a/engine/src/fleet/relaying.rs
+++ b/engine/src/fleet/relaying.rs
@@ -39,13 +39,13 @@
                 position,
             };
         }
-        // Removals before `removals_since` may be unknown here and can't be relayed one by one.
-        let has_removals = |prefix: &String| {
+        // Removals up to `removals_since` may be unknown here and can't be relayed one by one.
+        let knows_removals = |prefix: &String| {
             followed
                 .get(prefix)
                 .is_some_and(|it| *it >= self.removals_since)
         };
-        if !self.followed.is_empty() && self.followed.keys().all(has_removals) {
+        if !self.followed.is_empty() && self.followed.keys().all(knows_removals) {
             return Relay::Changes {
                 changes: self.changes_since(followed),
                 followed: self.applied_revisions(),
--- a/engine/src/peer/board.rs
+++ b/engine/src/peer/board.rs
@@ -137,7 +137,7 @@
         let _ = self.rates.expire(now);
     }
 
-    /// Returns the rate limits that targets have requested from any VM, for other VMs.
+    /// Returns the rate limits that targets have requested from any VM, with their ages.
     ///
     /// # Example
     ///
@@ -259,7 +259,7 @@
         capacities
     }
 
-    /// Collects the queued and in-flight requests for each target with a queue, as VM `start` sees them.
+    /// Collects the queued and in-flight requests for each target with a queue; `start` marks the VM's own queues.
     fn target_loads(&self, now: Duration, start: &str) -> IndexMap<TargetHash, TargetLoad<'_>> {
         let mut loads: IndexMap<TargetHash, TargetLoad<'_>> = IndexMap::new();
         for (name, report) in self.valid_reports(now) {
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -86,7 +86,7 @@
     /// The minimum time until the sender's next message.
     #[serde(rename = "pause")]
     pub interval: Duration,
-    /// When it was sent, for the time line.
+    /// When it was sent, for the timeline.
     pub stamp: Stamp,
 }
 
@@ -109,7 +109,7 @@
     pub relay: Relay,
     /// How much later than requested the responder's process wakes up.
     pub lag: Duration,
-    /// When it was sent, for the time line.
+    /// When it was sent, for the timeline.
     pub stamp: Stamp,
 }
 
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -126,7 +126,7 @@
             times: message.service_times,
             rates: fleet_load.rate_limits(),
         };
-        // The manager task runs until the process ends, so that the send can't fail.
+        // The send can't fail: the manager task runs until the process ends.
         let _ = self.manager.unbounded_send(load);
         if self.leading.get() && message.to_manager {
             let _ = self
@@ -189,7 +189,7 @@
         self.report.lines(&log_lines);
     }
 
-    /// Checks the manager's response; returns whether this VM can rely on the manager.
+    /// Decides by the manager's response whether this VM relies on the manager, and returns the decision.
     fn accept_response(&self, response: &SyncResponse, vm: &Vm, interval: Duration) -> bool {
         let relied = self.manager_health.is_healthy();
         let max_interval = if relied {
@@ -354,7 +354,7 @@
         stamp: context.report.stamp(),
         ..SyncRequest::default()
     };
-    // Only the manager assigns quotas, so that the rest of the response is ignored.
+    // Only the relay is used: quotas and counts of a VM that isn't the manager mean nothing.
     exchange(context, &vm, &message, position).await;
 }
 
--- a/engine/src/peer/sync_interval.rs
+++ b/engine/src/peer/sync_interval.rs
@@ -28,7 +28,7 @@
 /// The maximum interval, however far the manager lags: it delays the news that a target is draining, and such
 /// a target must get no new requests 2 s after its announcement.
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
-/// The divisor of a new measurement's weight in the mean lag: one late wake-up is no trend.
+/// The inverse weight of a new measurement in the mean lag: one late wake-up is no trend.
 const MEAN_DIVISOR: u32 = 4;
 /// A wake-up later than this is left out of the mean: the process was suspended, rather than short of processor
 /// time.
