--- a/engine/src/fleet/evacuation.rs
+++ b/engine/src/fleet/evacuation.rs
@@ -9,7 +9,7 @@
 use crate::{catalogue::DomainId, store::Revision};
 
 impl Fleet {
-    /// Returns whether a failure domain is evacuated, so that its targets get no requests.
+    /// Returns whether a failure domain is evacuated, so its targets get no requests.
     ///
     /// # Example
     ///
@@ -40,7 +40,7 @@
 
     /// Ends the evacuation of a failure domain; returns log lines.
     ///
-    /// Its targets may be cold before they announce it, so that they count as cold from now on.
+    /// Its targets may be cold before they announce it, so they count as cold from now on.
     pub(super) fn end_evacuation(&mut self, now: Duration, domain: &str) -> Vec<String> {
         // A VM that missed the start of the evacuation treats the targets as cold all the same.
         let since = self.evacuated.shift_remove(domain).unwrap_or(now);
--- a/engine/src/fleet/mod.rs
+++ b/engine/src/fleet/mod.rs
@@ -60,7 +60,7 @@
 pub struct Fleet {
     /// The configuration in force; `None` until the first is known.
     pub config: Option<Rc<Config>>,
-    /// Whether this VM follows the configuration in the store itself, so that it knows the newest.
+    /// Whether this VM follows the configuration in the store itself, so it knows the newest one.
     pub config_followed: bool,
     /// The announced targets.
     pub targets: IndexMap<TargetId, Target>,
@@ -279,7 +279,7 @@
 
     /// Returns the part of the state that the dispatcher needs.
     ///
-    /// Targets that are draining or stand in an evacuated failure domain are left out: they get no new requests.
+    /// Targets that are draining or in an evacuated failure domain are left out: they get no new requests.
     ///
     /// # Example
     ///
--- a/engine/src/fleet/relaying.rs
+++ b/engine/src/fleet/relaying.rs
@@ -94,7 +94,7 @@
 
     /// Returns up to which revision all changes of each prefix have been applied.
     ///
-    /// A delayed removal has not been applied yet, so that the revisions end before it.
+    /// A delayed removal has not been applied yet, so the returned revisions stay below it.
     fn applied_revisions(&self) -> IndexMap<String, Revision> {
         let before_pending = self
             .pending_removals
--- a/engine/src/follow.rs
+++ b/engine/src/follow.rs
@@ -69,7 +69,7 @@
 enum WatchState {
     /// Watches are answered.
     Working,
-    /// This VM has not watched for a while, so that the state is unknown.
+    /// This VM has not watched for a while, so the state is unknown.
     Untested,
     /// The last call has failed.
     Failed,
@@ -200,7 +200,7 @@
 
     /// Watches the store, until the manager relays changes or the store health check fails.
     ///
-    /// In the second case the state of the watch is unknown, so that it counts as failed.
+    /// In the second case the state of the watch is unknown, so it counts as failed.
     async fn watch(&self, state: WatchState) -> Result<Outcome, Error> {
         let context = &self.context;
         let wait = if state == WatchState::Working {
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -16,7 +16,7 @@
 
 /// The path of a VM's status.
 pub const STATUS_PATH: &str = "/status";
-/// The path of a VM's timeline; the query may be a stamp after which events are returned.
+/// The path of a VM's timeline; the query may be a stamp from which events are returned.
 pub const TIMELINE_PATH: &str = "/timeline";
 
 /// A summary of one service's owners record, as a VM knows it.
--- a/engine/src/peer/board.rs
+++ b/engine/src/peer/board.rs
@@ -127,13 +127,13 @@
     /// use bramleypier_engine::{peer::FleetLoad, placement::rates::RateReport};
     ///
     /// let mut fleet_load = FleetLoad::default();
-    /// let news = RateReport { target: 7, rate: Some(1.5), age: Duration::ZERO };
-    /// fleet_load.merge_rates(Duration::ZERO, &[news]);
-    /// assert_eq!(fleet_load.rates(Duration::ZERO), [news]);
+    /// let report = RateReport { target: 7, rate: Some(1.5), age: Duration::ZERO };
+    /// fleet_load.merge_rates(Duration::ZERO, &[report]);
+    /// assert_eq!(fleet_load.rates(Duration::ZERO), [report]);
     /// ```
-    pub fn merge_rates(&mut self, now: Duration, news: &[RateReport]) {
+    pub fn merge_rates(&mut self, now: Duration, reports: &[RateReport]) {
         // Changes aren't logged here: each VM gets them with the next response and logs its own state.
-        let _ = self.rates.merge(now, news);
+        let _ = self.rates.merge(now, reports);
         let _ = self.rates.expire(now);
     }
 
@@ -156,8 +156,8 @@
     /// use bramleypier_engine::{peer::FleetLoad, placement::rates::RateReport};
     ///
     /// let mut fleet_load = FleetLoad::default();
-    /// let news = RateReport { target: 7, rate: Some(1.5), age: Duration::ZERO };
-    /// fleet_load.merge_rates(Duration::ZERO, &[news]);
+    /// let report = RateReport { target: 7, rate: Some(1.5), age: Duration::ZERO };
+    /// fleet_load.merge_rates(Duration::ZERO, &[report]);
     /// assert_eq!(fleet_load.rate_limits(), [(7, 1.5)]);
     /// ```
     pub fn rate_limits(&self) -> Vec<(TargetHash, Rate)> {
--- a/engine/src/registration.rs
+++ b/engine/src/registration.rs
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Waits until the next call: `delay`, or longer while the manager relays changes.
+    /// Waits until the next call: `delay`, or longer for as long as the manager relays changes.
     async fn wait(&self, delay: Duration) {
         let context = &self.context;
         if delay.is_zero() || !context.manager_health.is_healthy() {
