--- a/engine/src/caller/attempt.rs
+++ b/engine/src/caller/attempt.rs
@@ -131,9 +131,9 @@
             drop(rest);
             permit.finish(CompletionKind::Lost, None);
             let what = if foreign {
-                "the response belongs to another request"
+                "another request's answer"
             } else {
-                "the response is not signed"
+                "an unsigned answer"
             };
             return AttemptResult::Lost(format!("status={} cause={what}", head.status.as_u16()));
         }
@@ -147,7 +147,7 @@
             Ok(Ok(read)) => read,
             Ok(Err(error)) => {
                 permit.finish(CompletionKind::Lost, reply.load);
-                return AttemptResult::Lost(format!("cause=the response was truncated: {error}"));
+                return AttemptResult::Lost(format!("cause=the answer was cut: {error}"));
             }
             Err(_) => {
                 drop(permit);
--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -157,19 +157,19 @@
     let remaining = routed.deadline.saturating_sub(context.clock.now());
     if remaining < MIN_ATTEMPT_TIME {
         return history.give_up(LocalResponse::not_run(
-            "the request's time ran out in the queue",
+            "its time ended while it waited",
             RETRY_AFTER,
         ));
     }
     if !presence.0.get() {
         return history.give_up(LocalResponse::not_run(
-            "the caller disconnected while the request was queued",
+            "its caller left while it waited",
             RETRY_AFTER,
         ));
     }
     let Some(body) = payload.take() else {
         return history.give_up(LocalResponse::not_run(
-            "the streamed body can't be sent again",
+            "its body has been sent once",
             RETRY_AFTER,
         ));
     };
@@ -258,10 +258,7 @@
             ));
             history.not_owner += 1;
             if history.not_owner > MAX_NOT_OWNER {
-                return history.give_up(LocalResponse::not_run(
-                    "the key is moving to another owner",
-                    RETRY_AFTER,
-                ));
+                return history.give_up(LocalResponse::not_run("the key is moving", RETRY_AFTER));
             }
             return Step::Again;
         }
@@ -292,28 +289,19 @@
             }
             history.uncertain = Some(LocalResponse::new(Failure::Lost, cause));
             if !may_retry {
-                return history.give_up(LocalResponse::new(
-                    Failure::Lost,
-                    "the target's response was lost",
-                ));
+                return history.give_up(LocalResponse::new(Failure::Lost, "lost"));
             }
             Step::Again
         }
         AttemptResult::TimedOut => {
-            history.uncertain = Some(LocalResponse::new(
-                Failure::TimedOut,
-                "no response from the target in time",
-            ));
-            return history.give_up(LocalResponse::new(
-                Failure::TimedOut,
-                "no response from the target in time",
-            ));
+            history.uncertain = Some(LocalResponse::new(Failure::TimedOut, "no answer in time"));
+            return history.give_up(LocalResponse::new(Failure::TimedOut, "no answer in time"));
         }
     };
     if history.reached.len() >= max_attempts || !payload.is_left() {
         let retry_after = history.turn.max(MIN_RETRY_AFTER);
         return history.give_up(LocalResponse::not_run(
-            "every attempted target refused the request",
+            "every allowed target refused it",
             retry_after,
         ));
     }
--- a/engine/src/caller/body.rs
+++ b/engine/src/caller/body.rs
@@ -133,7 +133,7 @@
             Poll::Ready(Some(Ok(frame))) => {
                 let bytes = frame.data_ref().map_or(0, |it| it.len() as u64);
                 if !self.count(bytes) {
-                    return Poll::Ready(Some(Err("the body exceeds the size limit".into())));
+                    return Poll::Ready(Some(Err("the body is longer than allowed".into())));
                 }
             }
             Poll::Pending => {}
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -89,7 +89,7 @@
         .config(shared_fleet, clock, info.remaining)
         .await
     else {
-        let local = LocalResponse::not_run("no configuration has been received yet", RETRY_AFTER);
+        let local = LocalResponse::not_run("no configuration is known yet", RETRY_AFTER);
         return finish(
             &context,
             &info,
@@ -161,7 +161,7 @@
         }
     })
     .detach();
-    let lost = || LocalResponse::new(Failure::Lost, "the request's task ended unexpectedly");
+    let lost = || LocalResponse::new(Failure::Lost, "the request's task ended early");
     let _guard = DisconnectGuard(presence);
     match receiver.await {
         Ok(response) => response,
@@ -234,10 +234,7 @@
     if context.shared_fleet.get().config_followed || context.manager_health.is_healthy() {
         LocalResponse::new(Failure::NoRoute, cause)
     } else {
-        LocalResponse::not_run(
-            format!("{cause}; this VM currently receives no configuration changes"),
-            RETRY_AFTER,
-        )
+        LocalResponse::not_run(format!("{cause}, and no news of newer ones"), RETRY_AFTER)
     }
 }
 
--- a/engine/src/caller/payload.rs
+++ b/engine/src/caller/payload.rs
@@ -68,7 +68,7 @@
     let path = head.uri.path_and_query().map_or("/", |it| it.as_str());
     let uri = path
         .parse()
-        .map_err(|_| LocalResponse::new(Failure::Malformed, "the path can't be parsed"))?;
+        .map_err(|_| LocalResponse::new(Failure::Malformed, "the path can't be read"))?;
     let outgoing = OutgoingRequest {
         id: routed.info.id.clone(),
         method: head.method,
@@ -98,13 +98,13 @@
         Ok(Err(error)) => {
             return Err(LocalResponse::new(
                 Failure::Malformed,
-                format!("the request body was truncated: {error}"),
+                format!("the body broke off: {error}"),
             ));
         }
         Err(_) => {
             return Err(LocalResponse::new(
                 Failure::TooSlow,
-                "the request body did not arrive in time",
+                "the body did not arrive in time",
             ));
         }
     };
