--- a/engine/tests/evacuation.rs
+++ b/engine/tests/evacuation.rs
@@ -1,7 +1,7 @@
 //! What VMs believe of evacuated failure domains and of cold targets, whichever way news come.
 
 mod desk_world;
-mod fleet_world;
+mod fleet_fixture;
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 use crate::{
     desk_world::{ask, dispatcher, ms, refused},
-    fleet_world::{Plain, SPAN, keys, put, removed},
+    fleet_fixture::{Plain, SPAN, keys, put, removed},
 };
 
 fn hear(fleet: &mut Fleet, at: u64, change: &Change) -> Vec<String> {
--- a/engine/tests/evacuation_news.rs
+++ b/engine/tests/evacuation_updates.rs
@@ -1,6 +1,6 @@
 //! News of evacuations among three VMs, lost, late, doubled and told by others.
 
-mod fleet_world;
+mod fleet_fixture;
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-use crate::fleet_world::{Plain, keys, put, removed};
+use crate::fleet_fixture::{Plain, keys, put, removed};
 
 const NOW: Duration = Duration::from_secs(50);
 
--- a/engine/tests/ownership.rs
+++ b/engine/tests/ownership.rs
@@ -4,9 +4,9 @@
 //! holds, new lives, grants applied late) and of the store (compare-and-swap, a lease, lost
 //! answers, outages for some). Rules left out on purpose show that the check would notice.
 
-mod ownership_world;
+mod ownership_simulation;
 
-use ownership_world::{Flaw, Step, World};
+use ownership_simulation::{Flaw, Step, World};
 use proptest::{
     prelude::*,
     strategy::ValueTree as _,
