--- a/engine/tests/evacuation_updates.rs
+++ b/engine/tests/evacuation_updates.rs
@@ -1,4 +1,4 @@
-//! News of evacuations among three VMs, lost, late, doubled and told by others.
+//! Tests that three VMs agree with the store about evacuations while changes are lost, delayed, duplicated or relayed.
 
 mod fleet_fixture;
 
@@ -12,21 +12,22 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-use crate::fleet_fixture::{Plain, keys, put, removed};
+use crate::fleet_fixture::{TextCatalogue, put, removed, store_keys};
 
 const NOW: Duration = Duration::from_secs(50);
 
-/// One thing that happens among three VMs that follow one store.
+/// An event among three VMs that follow the same store.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The operator evacuates a domain, or takes it back.
+    /// The operator evacuates a domain.
     Evacuate(usize),
+    /// The operator takes a domain back into service.
     TakeBack(usize),
-    /// A VM hears what changed, up to all of it; some of it twice.
+    /// A VM receives changes from its watch, all but the newest few, and some of them twice.
     Watch(usize, usize),
-    /// A VM hears what another one knows.
+    /// A VM relays what it knows to another VM.
     Relay(usize, usize),
-    /// A VM starts again with a listing as of some time ago.
+    /// A VM restarts with a listing that is some revisions old.
     Restart(usize, usize),
 }
 
@@ -34,28 +35,28 @@
     prop_oneof![
         (0..2_usize).prop_map(Step::Evacuate),
         (0..2_usize).prop_map(Step::TakeBack),
-        (0..3_usize, 0..6_usize).prop_map(|(vm, lacks)| Step::Watch(vm, lacks)),
+        (0..3_usize, 0..6_usize).prop_map(|(vm, missing)| Step::Watch(vm, missing)),
         (0..3_usize, 0..3_usize).prop_map(|(from, to)| Step::Relay(from, to)),
-        (0..3_usize, 0..4_usize).prop_map(|(vm, ago)| Step::Restart(vm, ago)),
+        (0..3_usize, 0..4_usize).prop_map(|(vm, age)| Step::Restart(vm, age)),
     ]
 }
 
-/// The store's history, and VMs with the revision up to which each has heard of it.
-struct World {
+/// The history of the store, and VMs with the revision up to which each has followed it.
+struct Simulation {
     history: Vec<Change>,
     vms: Vec<(Fleet, Revision)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             history: Vec::new(),
             vms: vec![(Fleet::default(), 0); 3],
         };
-        world.write("config", Some("1"));
-        world.write("targets/a", Some("d0 0"));
-        world.write("targets/b", Some("d1 0"));
-        world
+        simulation.write("config", Some("1"));
+        simulation.write("targets/a", Some("d0 0"));
+        simulation.write("targets/b", Some("d1 0"));
+        simulation
     }
 
     fn revision(&self) -> Revision {
@@ -70,11 +71,11 @@
         });
     }
 
-    /// The domains that are evacuated as of a revision.
-    fn evacuated(&self, upto: Revision) -> Vec<String> {
+    /// The domains that are evacuated at a revision.
+    fn evacuated(&self, up_to: Revision) -> Vec<String> {
         let mut all = Vec::new();
-        for change in self.history.iter().take(usize::try_from(upto).unwrap()) {
-            let Some(domain) = Plain.evacuated_domain(change.key()) else {
+        for change in self.history.iter().take(usize::try_from(up_to).unwrap()) {
+            let Some(domain) = TextCatalogue.evacuated_domain(change.key()) else {
                 continue;
             };
             all.retain(|it| *it != domain);
@@ -86,9 +87,9 @@
         all
     }
 
-    fn items(&self, upto: Revision) -> Vec<Item> {
+    fn items(&self, up_to: Revision) -> Vec<Item> {
         let mut items: IndexMap<String, Item> = IndexMap::new();
-        for change in self.history.iter().take(usize::try_from(upto).unwrap()) {
+        for change in self.history.iter().take(usize::try_from(up_to).unwrap()) {
             match change {
                 Change::Put(item) => items.insert(item.key.clone(), item.clone()),
                 Change::Removed { key, .. } => items.shift_remove(key),
@@ -97,44 +98,44 @@
         items.into_values().collect()
     }
 
-    fn watch(&mut self, vm: usize, upto: Revision) {
-        let heard = self.vms[vm].1;
-        // The last that was heard comes again.
-        let from = usize::try_from(heard.saturating_sub(1)).unwrap();
-        let changes = self.history[from..usize::try_from(upto).unwrap().max(from)].to_vec();
-        let (fleet, known) = &mut self.vms[vm];
+    fn watch(&mut self, vm: usize, up_to: Revision) {
+        let received = self.vms[vm].1;
+        // The last change that the VM has received is delivered again.
+        let from = usize::try_from(received.saturating_sub(1)).unwrap();
+        let changes = self.history[from..usize::try_from(up_to).unwrap().max(from)].to_vec();
+        let (fleet, followed) = &mut self.vms[vm];
         for change in &changes {
-            fleet.on_change(NOW, change, &keys(), &Plain);
+            fleet.on_change(NOW, change, &store_keys(), &TextCatalogue);
         }
-        *known = upto.max(*known);
-        fleet.on_followed("", *known);
+        *followed = up_to.max(*followed);
+        fleet.on_followed("", *followed);
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match step {
             Step::Evacuate(domain) => self.write(&format!("evacuated/d{domain}"), Some("{}")),
             Step::TakeBack(domain) => self.write(&format!("evacuated/d{domain}"), None),
-            Step::Watch(vm, lacks) => {
-                let upto = self.revision().saturating_sub(*lacks as Revision);
-                self.watch(*vm, upto);
+            Step::Watch(vm, missing) => {
+                let up_to = self.revision().saturating_sub(*missing as Revision);
+                self.watch(*vm, up_to);
             }
             Step::Relay(from, to) => {
-                let teller = self.vms[*from].clone();
-                let (fleet, known) = &mut self.vms[*to];
-                let relay = teller
+                let sender = self.vms[*from].clone();
+                let (fleet, followed) = &mut self.vms[*to];
+                let relay = sender
                     .0
-                    .relay("teller", &LogPosition::default(), fleet.followed());
-                fleet.on_relay(NOW, &relay, true, &keys(), &Plain);
-                *known = teller.1.max(*known);
+                    .relay("sender", &LogPosition::default(), fleet.followed());
+                fleet.on_relay(NOW, &relay, true, &store_keys(), &TextCatalogue);
+                *followed = sender.1.max(*followed);
             }
-            Step::Restart(vm, ago) => {
-                let revision = self.revision().saturating_sub(*ago as Revision);
+            Step::Restart(vm, age) => {
+                let revision = self.revision().saturating_sub(*age as Revision);
                 let listing = Listing {
                     items: self.items(revision),
                     revision,
                 };
                 let mut fleet = Fleet::default();
-                fleet.on_listing(NOW, "", &listing, &keys(), &Plain);
+                fleet.on_listing(NOW, "", &listing, &store_keys(), &TextCatalogue);
                 fleet.on_followed("", revision);
                 self.vms[*vm] = (fleet, revision);
             }
@@ -145,19 +146,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late, doubled or told by others: a VM believes what stood in the store at the
-    /// revision that it has followed, and shows no target of a domain that was evacuated then.
+    /// Whatever changes are lost, late, duplicated or relayed: a VM's view equals the store at the revision that it
+    /// has followed, and offers no target of a domain that was evacuated then.
     #[test]
-    fn evacuations_are_known_as_of_what_was_followed(steps in prop::collection::vec(step(), 1..40)) {
-        let mut world = World::new();
+    fn a_view_of_evacuations_matches_the_store_at_the_followed_revision(steps in prop::collection::vec(step(), 1..40)) {
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.play(step);
-            for (fleet, known) in &world.vms {
-                let mut believed: Vec<String> = fleet.evacuated.keys().cloned().collect();
-                believed.sort();
-                prop_assert_eq!(&believed, &world.evacuated(*known), "at {}", known);
+            simulation.run_step(step);
+            for (fleet, followed) in &simulation.vms {
+                let mut evacuated: Vec<String> = fleet.evacuated.keys().cloned().collect();
+                evacuated.sort();
+                prop_assert_eq!(&evacuated, &simulation.evacuated(*followed), "at {}", followed);
                 for target in fleet.view().targets.values().flatten() {
-                    prop_assert!(!believed.contains(&target.domain));
+                    prop_assert!(!evacuated.contains(&target.domain));
                 }
             }
         }
--- a/engine/tests/fleet_fixture/mod.rs
+++ b/engine/tests/fleet_fixture/mod.rs
@@ -1,6 +1,6 @@
-//! A store's items in plain text, and news of them.
+//! A catalogue whose values are plain text, and changes to its entries in the store.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
     store::{Change, Item, Revision},
 };
 
-/// How long targets are cold.
-pub const SPAN: Duration = Duration::from_secs(3);
+/// How long targets stay cold.
+pub const WARMUP_DURATION: Duration = Duration::from_secs(3);
 
-/// Values are plain text: of a configuration its version; of a target `ready`, `leaving`, or its failure
-/// domain and the milliseconds that it stays cold.
-pub struct Plain;
+/// Reads values that are plain text. The value of a configuration is its version; that of a target is `ready`,
+/// `leaving`, or its failure domain and the milliseconds for which it stays cold.
+pub struct TextCatalogue;
 
-impl Catalogue for Plain {
+impl Catalogue for TextCatalogue {
     fn config_key(&self) -> &'static str {
         "config"
     }
@@ -40,7 +40,7 @@
             keyed: true,
             key_warmup: Duration::ZERO,
             warmup: Some(Warmup {
-                duration: SPAN,
+                duration: WARMUP_DURATION,
                 rate: 8.0,
             }),
         };
@@ -56,7 +56,7 @@
         let (domain, cold) = match text.split_once(' ') {
             Some((domain, cold)) => (domain, cold.parse().unwrap()),
             None if matches!(text.as_str(), "ready" | "leaving") => ("d", 0),
-            None => return Err(Error::Unreadable(key.into(), "no target".into())),
+            None => return Err(Error::Unreadable(key.into(), "not a target".into())),
         };
         Ok(Target {
             id: key.trim_start_matches("targets/").into(),
@@ -71,7 +71,7 @@
     }
 }
 
-pub fn keys() -> StoreKeys {
+pub fn store_keys() -> StoreKeys {
     StoreKeys {
         prefix: "own/".into(),
     }
