--- a/engine/tests/ownership.rs
+++ b/engine/tests/ownership.rs
@@ -1,26 +1,28 @@
-//! Random histories of managers, targets and a store: no key ever has two holders.
+//! Runs random histories of managers, targets and a store, and checks that no key ever has two holders.
 //!
-//! The real decisions of [`ownership`] run on three VMs against a small model of targets (fences,
-//! holds, new lives, grants applied late) and of the store (compare-and-swap, a lease, lost
-//! answers, outages for some). Rules left out on purpose show that the check would notice.
+//! The real ownership code runs on three VMs against a simulation of the targets (fences, grants that expire, restarts,
+//! grants applied late) and of the store (compare-and-swap, a lease, lost responses, outages for some VMs). Some tests
+//! leave out a rule on purpose, to show that the check notices it.
 
 mod ownership_simulation;
 
-use ownership_simulation::{Flaw, Step, World};
+use ownership_simulation::{Flaw, Simulation, Step};
 use proptest::{
     prelude::*,
     strategy::ValueTree as _,
     test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner},
 };
 
-/// How many histories are drawn, unless the environment says otherwise.
+/// The number of random histories, unless `BRAMLEYPIER_CASES` sets another.
 const CASES: u32 = 64;
-/// How many steps a history has.
+/// The number of steps in a history.
 const STEPS: usize = 260;
 
-fn cases(usual: u32) -> u32 {
-    let given = std::env::var("BRAMLEYPIER_CASES").ok();
-    given.and_then(|it| it.parse().ok()).unwrap_or(usual)
+fn cases(default_cases: u32) -> u32 {
+    let setting = std::env::var("BRAMLEYPIER_CASES").ok();
+    setting
+        .and_then(|it| it.parse().ok())
+        .unwrap_or(default_cases)
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -48,10 +50,10 @@
     (any::<u64>(), prop::collection::vec(step(), STEPS))
 }
 
-fn play(flaw: Flaw, seed: u64, steps: &[Step]) -> Result<(), String> {
-    let mut world = World::new(flaw, seed);
+fn run_history(flaw: Flaw, seed: u64, steps: &[Step]) -> Result<(), String> {
+    let mut simulation = Simulation::new(flaw, seed);
     for step in steps {
-        world.step(*step)?;
+        simulation.step(*step)?;
     }
     Ok(())
 }
@@ -65,8 +67,8 @@
     }
 }
 
-/// Checks histories, the same ones in each run, and shows the shortest that fails.
-fn check<T>(cases: u32, test: T)
+/// Runs `test` on the same histories in every run, and panics with the shortest one that fails.
+fn check_histories<T>(cases: u32, test: T)
 where
     T: Fn(u64, &[Step]) -> Result<(), String>,
 {
@@ -78,56 +80,58 @@
     match result {
         Ok(()) => {}
         Err(TestError::Fail(reason, (seed, steps))) => panic!("{reason}\nseed {seed}\n{steps:?}"),
-        Err(TestError::Abort(reason)) => panic!("given up: {reason}"),
+        Err(TestError::Abort(reason)) => panic!("gave up: {reason}"),
     }
 }
 
 #[test]
 fn no_key_has_two_holders() {
-    check(cases(CASES), |seed, steps| play(Flaw::None, seed, steps));
+    check_histories(cases(CASES), |seed, steps| {
+        run_history(Flaw::None, seed, steps)
+    });
 }
 
 #[test]
-fn keys_have_owners_again_once_all_is_well() {
-    check(cases(CASES) / 4, |seed, steps| {
-        let mut world = World::new(Flaw::None, seed);
+fn keys_have_owners_again_once_all_faults_are_over() {
+    check_histories(cases(CASES) / 4, |seed, steps| {
+        let mut simulation = Simulation::new(Flaw::None, seed);
         for step in steps {
-            world.step(*step)?;
+            simulation.step(*step)?;
         }
-        world.heal_all();
+        simulation.heal_all();
         for _ in 0..600 {
-            world.step(Step::Run)?;
+            simulation.step(Step::Run)?;
         }
-        let unheld = world.unheld();
-        if unheld.is_empty() {
+        let keys_without_holder = simulation.keys_without_holder();
+        if keys_without_holder.is_empty() {
             return Ok(());
         }
-        Err(format!("keys without a holder: {unheld:?}"))
+        Err(format!("keys without a holder: {keys_without_holder:?}"))
     });
 }
 
-/// Returns after how many histories a flaw shows, if it does.
-fn shows(flaw: Flaw, histories: u64) -> Option<u64> {
+/// Returns the number of histories after which a flaw is noticed, if it is.
+fn histories_until_noticed(flaw: Flaw, histories: u64) -> Option<u64> {
     let mut runner = TestRunner::deterministic();
     (1..=histories).find(|_| {
-        let tree = history().new_tree(&mut runner).expect("a history");
+        let tree = history().new_tree(&mut runner).expect("history generated");
         let (seed, steps) = tree.current();
-        play(flaw, seed, &steps).is_err()
+        run_history(flaw, seed, &steps).is_err()
     })
 }
 
 #[test]
 fn a_release_that_does_not_fence_is_noticed() {
-    assert!(shows(Flaw::ReleaseAtOwnFence, 300).is_some());
+    assert!(histories_until_noticed(Flaw::ReleaseWithoutHigherFence, 300).is_some());
 }
 
 #[test]
 fn a_new_manager_that_does_not_wait_for_earlier_ones_is_noticed() {
-    assert!(shows(Flaw::NoWaitForEarlier, 1500).is_some());
+    assert!(histories_until_noticed(Flaw::NoWaitForEarlierGrants, 1500).is_some());
 }
 
-/// The manager loses the store and all targets but one, which its successor doesn't reach.
-fn lonely_manager() -> Vec<Step> {
+/// The manager loses the store and all targets but one, which its successor can't reach.
+fn isolated_manager() -> Vec<Step> {
     let store = |vm, open| Step::Store { vm, open };
     let cut = |vm, target| Step::Link {
         vm,
@@ -143,24 +147,24 @@
 
 #[test]
 fn a_manager_that_renews_without_end_is_noticed() {
-    let mut steps = lonely_manager();
+    let mut steps = isolated_manager();
     steps.extend([Step::Run; 400]);
-    assert_eq!(play(Flaw::None, 1, &steps), Ok(()));
-    assert!(play(Flaw::RenewsForEver, 1, &steps).is_err());
+    assert_eq!(run_history(Flaw::None, 1, &steps), Ok(()));
+    assert!(run_history(Flaw::RenewsWithoutLease, 1, &steps).is_err());
 }
 
-/// The successor goes in turn, by `end`, while the first manager renews on, and a third follows.
+/// The successor stops too, by `end`, while the first manager still renews its grants, and a third one takes over.
 fn two_successors(end: Step, seed: u64) -> Result<(), String> {
-    let mut steps = lonely_manager();
+    let mut steps = isolated_manager();
     steps.extend([Step::Run; 60]);
     steps.extend([end, Step::Store { vm: 2, open: true }]);
     steps.push(Step::Store { vm: 1, open: false });
     steps.extend([Step::Run; 200]);
-    play(Flaw::None, seed, &steps)
+    run_history(Flaw::None, seed, &steps)
 }
 
 #[test]
-fn the_end_of_one_earlier_manager_says_nothing_of_those_before_it() {
+fn the_end_of_one_earlier_manager_proves_nothing_about_those_before_it() {
     for seed in 0..40 {
         for end in [Step::Resign(1), Step::Restart(1)] {
             assert_eq!(two_successors(end, seed), Ok(()), "{end:?}, seed {seed}");
--- a/engine/tests/ownership_simulation/calls.rs
+++ b/engine/tests/ownership_simulation/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of managers to targets and to the store, and how they end.
+//! Simulated calls of managers to targets and to the store, and their outcomes.
 
 use std::time::Duration;
 
@@ -8,83 +8,91 @@
 };
 use rand::Rng;
 
-use super::{Heard, TICK, TIMEOUT, World};
+use super::{Reply, Simulation, TICK, TIMEOUT};
 
-impl World {
-    pub(super) fn answer(&mut self, vm: usize, delay: Duration, heard: Heard) {
+impl Simulation {
+    pub(super) fn reply_after(&mut self, vm: usize, delay: Duration, reply: Reply) {
         let Some(ownership) = &self.vms[vm].ownership else {
             return;
         };
         let term = ownership.term();
         let at = self.now + delay;
-        self.vms[vm].heard.push((at, term, heard));
+        self.vms[vm].replies.push((at, term, reply));
     }
 
-    fn is_unanswered(&mut self) -> bool {
-        self.random.random_range(0..100) < self.unanswered
+    fn loses_answer(&mut self) -> bool {
+        self.random.random_range(0..100) < self.unanswered_percent
     }
 
-    /// How a call ends that doesn't arrive: on a cut path, or where nobody listens.
-    fn unreached(&self, vm: usize, order: &OwnershipCommand) -> Option<(Duration, CallOutcome)> {
-        if !self.targets.is_open(vm, &order.owner) {
+    /// The delay and outcome of a call that doesn't arrive: the link is cut, or no process listens at the address.
+    fn undelivered(
+        &self,
+        vm: usize,
+        command: &OwnershipCommand,
+    ) -> Option<(Duration, CallOutcome)> {
+        if !self.targets.is_linked(vm, &command.owner) {
             return Some((TIMEOUT, CallOutcome::Unsent));
         }
-        let listens = self.targets.listens(&order.owner);
-        (!listens).then_some((TICK, CallOutcome::Gone))
+        let is_listening = self.targets.is_listening(&command.owner);
+        (!is_listening).then_some((TICK, CallOutcome::Gone))
     }
 
-    pub(super) fn grant(&mut self, vm: usize, order: &OwnershipCommand) -> (Duration, CallOutcome) {
-        if let Some(failed) = self.unreached(vm, order) {
+    pub(super) fn grant(
+        &mut self,
+        vm: usize,
+        command: &OwnershipCommand,
+    ) -> (Duration, CallOutcome) {
+        if let Some(failed) = self.undelivered(vm, command) {
             return failed;
         }
-        if self.is_unanswered() {
+        if self.loses_answer() {
             let late = self.random.random_range(0..4) * Duration::from_millis(900);
-            self.targets.grant_late(self.now, late, order);
+            self.targets.grant_late(self.now, late, command);
             return (TIMEOUT, CallOutcome::Silent);
         }
-        (TICK, self.targets.grant(self.now, order))
+        (TICK, self.targets.grant(self.now, command))
     }
 
     pub(super) fn release(
         &mut self,
         vm: usize,
-        order: &OwnershipCommand,
+        command: &OwnershipCommand,
     ) -> (Duration, CallOutcome) {
-        if let Some(failed) = self.unreached(vm, order) {
+        if let Some(failed) = self.undelivered(vm, command) {
             return failed;
         }
-        self.targets.release(order);
-        if self.is_unanswered() {
+        self.targets.release(command);
+        if self.loses_answer() {
             return (TIMEOUT, CallOutcome::Silent);
         }
         (TICK * 2, CallOutcome::Done(None))
     }
 
     pub(super) fn commit(&mut self, vm: usize, record: Record) {
-        let lost = self.random.random_range(0..100) < self.writes_lost;
-        self.vms[vm].written = Some(record.clone());
-        if !self.vms[vm].store {
-            return self.answer(vm, TICK, Heard::Committed(false));
+        let lost = self.random.random_range(0..100) < self.lost_writes_percent;
+        self.vms[vm].last_write = Some(record.clone());
+        if !self.vms[vm].store_open {
+            return self.reply_after(vm, TICK, Reply::Committed(false));
         }
         let expected = self.vms[vm].revision;
         if lost && self.random.random() {
             let late = self.now + TICK * self.random.random_range(1..60);
             self.late_writes.push((late, expected, record));
-            return self.answer(vm, TIMEOUT, Heard::Committed(false));
+            return self.reply_after(vm, TIMEOUT, Reply::Committed(false));
         }
-        let own = self.record.1 == record;
-        if self.record.0 != expected && !own {
+        let already_written = self.record.1 == record;
+        if self.record.0 != expected && !already_written {
             self.vms[vm].ownership = None;
             return;
         }
-        if !own {
+        if !already_written {
             self.record = (self.record.0 + 1, record);
         }
         if lost {
-            return self.answer(vm, TIMEOUT, Heard::Committed(false));
+            return self.reply_after(vm, TIMEOUT, Reply::Committed(false));
         }
         self.vms[vm].revision = self.record.0;
-        self.answer(vm, TICK, Heard::Committed(true));
+        self.reply_after(vm, TICK, Reply::Committed(true));
     }
 
     pub(super) fn apply_late_writes(&mut self) {
--- a/engine/tests/ownership_simulation/mod.rs
+++ b/engine/tests/ownership_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A small model of VMs, targets and the store around the real keepers.
+//! A simulation of VMs, targets and the store around the real ownership code.
 
 mod calls;
 mod targets;
@@ -11,13 +11,13 @@
 };
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-use targets::{LAST, Targets};
+use targets::{LAST_KEY, Targets};
 
-/// The time of one step.
+/// The simulated time of one step.
 const TICK: Duration = Duration::from_millis(50);
 /// How long the manager's lease lasts.
 const LEASE: Duration = Duration::from_secs(2);
-/// After how long a call without an answer is given up.
+/// How long a call waits for an answer.
 const TIMEOUT: Duration = Duration::from_millis(400);
 
 pub const TIMING: Timing = Timing {
@@ -28,16 +28,20 @@
     latest_expiry: Duration::from_secs(5),
 };
 
-/// A rule that is left out.
+/// A rule of the ownership code that a simulation leaves out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
+    /// Leaves out no rule.
     None,
-    ReleaseAtOwnFence,
-    NoWaitForEarlier,
-    RenewsForEver,
+    /// A release doesn't carry a higher fence than the grant before it.
+    ReleaseWithoutHigherFence,
+    /// A new manager doesn't wait until the grants of earlier managers have expired.
+    NoWaitForEarlierGrants,
+    /// A manager renews grants for long after it has lost its lease.
+    RenewsWithoutLease,
 }
 
-/// What happens next.
+/// An event of a history; each takes one tick.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     Run,
@@ -46,7 +50,7 @@
         ticks: u32,
     },
     Restart(usize),
-    /// A planned stop: the process hands over as far as it can, and starts again.
+    /// A planned stop: the process resigns as far as it can, and restarts.
     Resign(usize),
     Store {
         vm: usize,
@@ -78,61 +82,63 @@
     Heal,
 }
 
-/// What a VM hears later.
+/// The result of a call, which the VM receives later.
 #[derive(Clone, Debug)]
-enum Heard {
-    Called {
+enum Reply {
+    Call {
         from: RequestKey,
         grant: bool,
-        ending: CallOutcome,
+        outcome: CallOutcome,
     },
     Committed(bool),
 }
 
 struct Vm {
+    /// The ticks for which the VM does nothing.
     frozen: u32,
-    store: bool,
+    store_open: bool,
     ownership: Option<ServiceOwnership>,
     revision: u64,
-    /// Until when the VM knows that it has the lease.
+    /// Until when the VM knows that it holds the lease.
     lease: Duration,
     start: u64,
-    heard: Vec<(Duration, u64, Heard)>,
-    written: Option<Record>,
+    replies: Vec<(Duration, u64, Reply)>,
+    last_write: Option<Record>,
     /// The manager before this VM, until it is known to have stopped.
-    earlier: Option<String>,
+    predecessor: Option<String>,
 }
 
-/// Everything.
-pub struct World {
+/// The VMs, the targets, the store and the faults in force.
+pub struct Simulation {
     flaw: Flaw,
     now: Duration,
     random: StdRng,
     vms: Vec<Vm>,
     targets: Targets,
+    /// The stored record and its revision.
     record: (u64, Record),
-    /// Who has the lease in the store, and until when.
+    /// The VM that holds the lease in the store, its start, and the expiry of the lease.
     lease: Option<(usize, u64, Duration)>,
-    unanswered: u8,
-    writes_lost: u8,
-    /// Writes that may still take effect: when, by whom, expected revision, record.
+    unanswered_percent: u8,
+    lost_writes_percent: u8,
+    /// Writes that may still take effect: the time, the expected revision and the record.
     late_writes: Vec<(Duration, u64, Record)>,
-    /// Starts of processes that have ended.
+    /// The starts of the processes that have ended.
     ended: Vec<String>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(flaw: Flaw, seed: u64) -> Self {
         let vm = |start| Vm {
             frozen: 0,
-            store: true,
+            store_open: true,
             ownership: None,
             revision: 0,
             lease: Duration::ZERO,
             start,
-            heard: Vec::new(),
-            written: None,
-            earlier: None,
+            replies: Vec::new(),
+            last_write: None,
+            predecessor: None,
         };
         Self {
             flaw,
@@ -140,10 +146,10 @@
             random: StdRng::seed_from_u64(seed),
             vms: (0..3).map(vm).collect(),
             targets: Targets::new(),
-            record: (1, Record::unowned(LAST)),
+            record: (1, Record::unowned(LAST_KEY)),
             lease: None,
-            unanswered: 0,
-            writes_lost: 0,
+            unanswered_percent: 0,
+            lost_writes_percent: 0,
             late_writes: Vec::new(),
             ended: Vec::new(),
         }
@@ -155,68 +161,68 @@
             Step::Freeze { vm, ticks } => self.vms[vm].frozen = ticks,
             Step::Restart(vm) => self.restart(vm),
             Step::Resign(vm) => self.resign(vm),
-            Step::Store { vm, open } => self.vms[vm].store = open,
+            Step::Store { vm, open } => self.vms[vm].store_open = open,
             Step::Link { vm, target, open } => self.targets.set_link(vm, target, open),
             Step::Crash { target, ticks } => self.targets.crash(target, ticks),
             Step::Leave { target, on } => self.targets.set_leaving(target, on),
             Step::Announce { target, on } => self.targets.set_announced(target, on),
-            Step::Unanswered(percent) => self.unanswered = percent,
-            Step::WritesLost(percent) => self.writes_lost = percent,
+            Step::Unanswered(percent) => self.unanswered_percent = percent,
+            Step::WritesLost(percent) => self.lost_writes_percent = percent,
             Step::Load { key, count } => self.load(key, count),
             Step::Heal => self.heal_all(),
         }
-        self.pass()
+        self.advance()
     }
 
     pub fn heal_all(&mut self) {
         for vm in &mut self.vms {
             vm.frozen = 0;
-            vm.store = true;
+            vm.store_open = true;
         }
         self.targets.heal();
-        self.unanswered = 0;
-        self.writes_lost = 0;
+        self.unanswered_percent = 0;
+        self.lost_writes_percent = 0;
     }
 
-    /// Keys that no target holds.
-    pub fn unheld(&self) -> Vec<RequestKey> {
-        (0..=LAST)
+    /// Keys for which no target holds a valid grant.
+    pub fn keys_without_holder(&self) -> Vec<RequestKey> {
+        (0..=LAST_KEY)
             .filter(|key| self.targets.holders(*key, self.now).is_empty())
             .collect()
     }
 
     fn restart(&mut self, vm: usize) {
         let start = self.random.random();
-        let own = &mut self.vms[vm];
-        self.ended.push(own.start.to_string());
-        own.earlier = None;
-        own.ownership = None;
-        own.heard.clear();
-        own.start = start;
-        own.lease = Duration::ZERO;
-        own.written = None;
+        let state = &mut self.vms[vm];
+        self.ended.push(state.start.to_string());
+        state.predecessor = None;
+        state.ownership = None;
+        state.replies.clear();
+        state.start = start;
+        state.lease = Duration::ZERO;
+        state.last_write = None;
     }
 
-    /// Ends a process in order: its record says so if the store takes that.
+    /// Stops a process in order: the stored record says so if the store accepts the write.
     fn resign(&mut self, vm: usize) {
-        let own = &mut self.vms[vm];
+        let state = &mut self.vms[vm];
         let now = self.now;
-        let record = own.ownership.as_mut().and_then(|it| it.resign(now));
-        let stands = self.record.0 == own.revision && own.store;
-        if let Some(record) = record.filter(|_| stands) {
+        let record = state.ownership.as_mut().and_then(|it| it.resign(now));
+        let is_current = self.record.0 == state.revision && state.store_open;
+        if let Some(record) = record.filter(|_| is_current) {
             self.record = (self.record.0 + 1, record);
         }
-        if self.lease.is_some_and(|(holder, ..)| holder == vm) && self.vms[vm].store {
+        if self.lease.is_some_and(|(holder, ..)| holder == vm) && self.vms[vm].store_open {
             self.lease = None;
         }
         self.restart(vm);
     }
 
-    /// Tells a manager that the one before it has ended, once its VM has started again.
-    fn look_for_earlier(&mut self, vm: usize) {
-        let own = &mut self.vms[vm];
+    /// Reports to a manager that the process of the manager before it has ended, once that VM has restarted.
+    fn notice_stopped_predecessor(&mut self, vm: usize) {
+        let state = &mut self.vms[vm];
         let ended = |start: &mut String| self.ended.contains(start);
-        if own.ownership.is_some() && own.earlier.take_if(ended).is_some() {
+        if state.ownership.is_some() && state.predecessor.take_if(ended).is_some() {
             self.feed(vm, Event::PredecessorStopped);
         }
     }
@@ -227,10 +233,10 @@
         }
     }
 
-    fn pass(&mut self) -> Result<(), String> {
+    fn advance(&mut self) -> Result<(), String> {
         self.now += TICK;
         let now = self.now;
-        self.targets.pass(now);
+        self.targets.advance(now);
         if self.lease.is_some_and(|(.., until)| now >= until) {
             self.lease = None;
         }
@@ -240,9 +246,9 @@
                 self.vms[vm].frozen -= 1;
                 continue;
             }
-            self.hear(vm);
+            self.receive_replies(vm);
             self.renew_or_bid(vm);
-            self.look_for_earlier(vm);
+            self.notice_stopped_predecessor(vm);
             let announced = self.targets.announced();
             self.feed(vm, Event::Targets(announced));
             self.feed(vm, Event::Tick);
@@ -251,7 +257,7 @@
     }
 
     fn check(&self) -> Result<(), String> {
-        for key in 0..=LAST {
+        for key in 0..=LAST_KEY {
             let holders = self.targets.holders(key, self.now);
             if holders.len() > 1 {
                 return Err(format!(
@@ -263,34 +269,34 @@
         Ok(())
     }
 
-    fn hear(&mut self, vm: usize) {
+    fn receive_replies(&mut self, vm: usize) {
         let now = self.now;
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.vms[vm].heard)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.vms[vm].replies)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.vms[vm].heard = later;
-        for (_, term, heard) in due {
+        self.vms[vm].replies = later;
+        for (_, term, reply) in due {
             let current = self.vms[vm].ownership.as_ref().map(ServiceOwnership::term);
             if current != Some(term) {
                 continue;
             }
-            match heard {
-                Heard::Called {
+            match reply {
+                Reply::Call {
                     from,
                     grant: true,
-                    ending,
+                    outcome,
                 } => {
-                    self.feed(vm, Event::GrantEnded(from, ending));
+                    self.feed(vm, Event::GrantEnded(from, outcome));
                 }
-                Heard::Called {
+                Reply::Call {
                     from,
                     grant: false,
-                    ending,
+                    outcome,
                 } => {
-                    self.feed(vm, Event::ReleaseEnded(from, ending));
+                    self.feed(vm, Event::ReleaseEnded(from, outcome));
                 }
-                Heard::Committed(true) => self.feed(vm, Event::Committed),
-                Heard::Committed(false) => self.feed(vm, Event::CommitFailed),
+                Reply::Committed(true) => self.feed(vm, Event::Committed),
+                Reply::Committed(false) => self.feed(vm, Event::CommitFailed),
             }
         }
     }
@@ -298,21 +304,21 @@
     fn renew_or_bid(&mut self, vm: usize) {
         let now = self.now;
         let start = self.vms[vm].start;
-        let mine = self
+        let has_lease = self
             .lease
-            .is_some_and(|(own, of, _)| own == vm && of == start);
-        if !self.vms[vm].store {
+            .is_some_and(|(holder, of, _)| holder == vm && of == start);
+        if !self.vms[vm].store_open {
             return;
         }
-        if mine && self.vms[vm].ownership.is_some() {
+        if has_lease && self.vms[vm].ownership.is_some() {
             self.lease = Some((vm, start, now + LEASE));
             self.vms[vm].lease = now + LEASE;
-            let known = if self.flaw == Flaw::RenewsForEver {
+            let expiry = if self.flaw == Flaw::RenewsWithoutLease {
                 now + Duration::from_hours(1)
             } else {
                 now + LEASE
             };
-            self.feed(vm, Event::LeaseExtended(known));
+            self.feed(vm, Event::LeaseExtended(expiry));
             return;
         }
         if self.lease.is_some() || self.random.random_range(0..10) > 0 {
@@ -320,15 +326,15 @@
         }
         self.lease = Some((vm, start, now + LEASE));
         let mut timing = TIMING;
-        if self.flaw == Flaw::NoWaitForEarlier {
+        if self.flaw == Flaw::NoWaitForEarlierGrants {
             timing.latest_expiry = Duration::ZERO;
         }
         let (revision, record) = self.record.clone();
-        self.vms[vm].earlier = Some(record.manager.clone());
+        self.vms[vm].predecessor = Some(record.manager.clone());
         let (mut ownership, effects) =
             ServiceOwnership::take_over(&start.to_string(), record, timing, now);
-        if self.flaw == Flaw::NoWaitForEarlier {
-            // It still renews as long itself: only the waiting is left out.
+        if self.flaw == Flaw::NoWaitForEarlierGrants {
+            // The manager itself still renews its grants for as long; only the wait for earlier grants is left out.
             let _ = ownership.on(
                 now,
                 Event::LeaseExtended(now + LEASE + TIMING.latest_expiry),
@@ -336,9 +342,9 @@
         }
         self.vms[vm].ownership = Some(ownership);
         self.vms[vm].revision = revision;
-        self.vms[vm].heard.clear();
+        self.vms[vm].replies.clear();
         self.apply(vm, effects);
-        if self.flaw != Flaw::NoWaitForEarlier {
+        if self.flaw != Flaw::NoWaitForEarlierGrants {
             self.feed(vm, Event::LeaseExtended(now + LEASE));
         }
     }
@@ -346,7 +352,7 @@
     fn feed(&mut self, vm: usize, event: Event) {
         let now = self.now;
         let event = match event {
-            Event::LeaseExtended(until) if self.flaw == Flaw::NoWaitForEarlier => {
+            Event::LeaseExtended(until) if self.flaw == Flaw::NoWaitForEarlierGrants => {
                 Event::LeaseExtended(until + TIMING.latest_expiry)
             }
             other => other,
@@ -361,30 +367,30 @@
     fn apply(&mut self, vm: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Grant(order) => {
-                    let (delay, ending) = self.grant(vm, &order);
-                    self.answer(
+                Effect::Grant(command) => {
+                    let (delay, outcome) = self.grant(vm, &command);
+                    self.reply_after(
                         vm,
                         delay,
-                        Heard::Called {
-                            from: order.from,
+                        Reply::Call {
+                            from: command.from,
                             grant: true,
-                            ending,
+                            outcome,
                         },
                     );
                 }
-                Effect::Release(mut order) => {
-                    if self.flaw == Flaw::ReleaseAtOwnFence {
-                        order.fence -= 1;
+                Effect::Release(mut command) => {
+                    if self.flaw == Flaw::ReleaseWithoutHigherFence {
+                        command.fence -= 1;
                     }
-                    let (delay, ending) = self.release(vm, &order);
-                    self.answer(
+                    let (delay, outcome) = self.release(vm, &command);
+                    self.reply_after(
                         vm,
                         delay,
-                        Heard::Called {
-                            from: order.from,
+                        Reply::Call {
+                            from: command.from,
                             grant: false,
-                            ending,
+                            outcome,
                         },
                     );
                 }
--- a/engine/tests/ownership_simulation/targets.rs
+++ b/engine/tests/ownership_simulation/targets.rs
@@ -1,4 +1,4 @@
-//! Targets with fences, holds and lives.
+//! Simulated targets with the fences that they have seen, the grants that they hold, and restarts.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -11,38 +11,38 @@
 };
 
 /// The last key.
-pub const LAST: RequestKey = 15;
-/// How much slower than true a target's clock runs.
-const SLOW: f64 = 1.02;
-/// The time of one step.
+pub const LAST_KEY: RequestKey = 15;
+/// The factor by which a target's clock runs too slowly.
+const CLOCK_SLOWDOWN: f64 = 1.02;
+/// The simulated time of one step.
 const TICK: Duration = Duration::from_millis(50);
 
-struct Own {
+struct SimulatedTarget {
     target: Target,
     up: bool,
     down_for: u32,
     announced: bool,
-    /// The highest fence seen, and the end of the hold, by key.
-    holds: HashMap<RequestKey, (Fence, Duration)>,
+    /// The highest fence seen and the expiry of the grant, by key.
+    grants: HashMap<RequestKey, (Fence, Duration)>,
 }
 
-/// A grant that is applied later; its hold counts from its arrival.
-struct Late {
+/// A grant that is applied some time after its arrival; its duration counts from the arrival.
+struct LateGrant {
     at: Duration,
     arrived: Duration,
-    order: OwnershipCommand,
+    command: OwnershipCommand,
 }
 
 pub struct Targets {
-    all: Vec<Own>,
+    targets: Vec<SimulatedTarget>,
     /// Cut links, by VM and target.
-    cut: Vec<(usize, usize)>,
-    late: Vec<Late>,
+    cut_links: Vec<(usize, usize)>,
+    late_grants: Vec<LateGrant>,
 }
 
 impl Targets {
     pub fn new() -> Self {
-        let own = |number: usize| Own {
+        let simulated = |number: usize| SimulatedTarget {
             target: Target {
                 id: format!("t{number}"),
                 start_time: 1,
@@ -56,140 +56,158 @@
             up: true,
             down_for: 0,
             announced: true,
-            holds: HashMap::new(),
+            grants: HashMap::new(),
         };
         Self {
-            all: (0..4).map(own).collect(),
-            cut: Vec::new(),
-            late: Vec::new(),
+            targets: (0..4).map(simulated).collect(),
+            cut_links: Vec::new(),
+            late_grants: Vec::new(),
         }
     }
 
     pub fn set_link(&mut self, vm: usize, target: usize, open: bool) {
-        self.cut.retain(|it| *it != (vm, target));
+        self.cut_links.retain(|it| *it != (vm, target));
         if !open {
-            self.cut.push((vm, target));
+            self.cut_links.push((vm, target));
         }
     }
 
-    /// Ends a life; another begins under the same id after some steps.
+    /// Ends an incarnation; another one starts under the same id after some steps.
     pub fn crash(&mut self, target: usize, ticks: u32) {
-        let own = &mut self.all[target];
-        own.up = false;
-        own.down_for = ticks;
-        own.holds.clear();
-        let address = own.target.address;
-        self.late.retain(|late| late.order.owner.address != address);
+        let state = &mut self.targets[target];
+        state.up = false;
+        state.down_for = ticks;
+        state.grants.clear();
+        let address = state.target.address;
+        self.late_grants
+            .retain(|late| late.command.owner.address != address);
     }
 
     pub fn set_leaving(&mut self, target: usize, on: bool) {
-        self.all[target].target.leaving = on;
+        self.targets[target].target.leaving = on;
     }
 
     pub fn set_announced(&mut self, target: usize, on: bool) {
-        self.all[target].announced = on;
+        self.targets[target].announced = on;
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
-        for own in &mut self.all {
-            own.announced = true;
-            own.target.leaving = false;
-            own.down_for = own.down_for.min(1);
+        self.cut_links.clear();
+        for state in &mut self.targets {
+            state.announced = true;
+            state.target.leaving = false;
+            state.down_for = state.down_for.min(1);
         }
     }
 
     pub fn announced(&self) -> Vec<Target> {
-        let shown = self.all.iter().filter(|own| own.announced);
-        shown.map(|own| own.target.clone()).collect()
+        let visible = self.targets.iter().filter(|state| state.announced);
+        visible.map(|state| state.target.clone()).collect()
     }
 
-    pub fn pass(&mut self, now: Duration) {
-        for own in &mut self.all {
-            if !own.up && own.down_for <= 1 {
-                own.up = true;
-                own.target.start_time += 1;
+    pub fn advance(&mut self, now: Duration) {
+        for state in &mut self.targets {
+            if !state.up && state.down_for <= 1 {
+                state.up = true;
+                state.target.start_time += 1;
             }
-            own.down_for = own.down_for.saturating_sub(1);
+            state.down_for = state.down_for.saturating_sub(1);
         }
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.late_grants)
             .into_iter()
             .partition(|late| late.at <= now);
-        self.late = later;
+        self.late_grants = later;
         for late in due {
-            self.apply(late.arrived, &late.order);
+            self.apply(late.arrived, &late.command);
         }
     }
 
-    fn place(&self, life: &Incarnation) -> Option<usize> {
-        self.all
+    fn index_of(&self, incarnation: &Incarnation) -> Option<usize> {
+        self.targets
             .iter()
-            .position(|own| own.target.address == life.address)
+            .position(|state| state.target.address == incarnation.address)
     }
 
-    pub fn is_open(&self, vm: usize, life: &Incarnation) -> bool {
-        self.place(life)
-            .is_some_and(|target| !self.cut.contains(&(vm, target)))
+    pub fn is_linked(&self, vm: usize, incarnation: &Incarnation) -> bool {
+        self.index_of(incarnation)
+            .is_some_and(|target| !self.cut_links.contains(&(vm, target)))
     }
 
-    pub fn listens(&self, life: &Incarnation) -> bool {
-        self.place(life).is_some_and(|target| self.all[target].up)
+    pub fn is_listening(&self, incarnation: &Incarnation) -> bool {
+        self.index_of(incarnation)
+            .is_some_and(|target| self.targets[target].up)
     }
 
-    fn apply(&mut self, arrived: Duration, order: &OwnershipCommand) -> CallOutcome {
-        let Some(target) = self.place(&order.owner) else {
+    fn apply(&mut self, arrived: Duration, command: &OwnershipCommand) -> CallOutcome {
+        let Some(target) = self.index_of(&command.owner) else {
             return CallOutcome::Gone;
         };
-        let own = &mut self.all[target];
-        if !own.up {
+        let state = &mut self.targets[target];
+        if !state.up {
             return CallOutcome::Gone;
         }
-        let higher = |key: RequestKey| {
-            own.holds
+        let has_higher_fence = |key: RequestKey| {
+            state
+                .grants
                 .get(&key)
-                .is_some_and(|(seen, _)| *seen > order.fence)
+                .is_some_and(|(seen, _)| *seen > command.fence)
         };
-        if (order.from..=order.to).any(higher) {
+        if (command.from..=command.to).any(has_higher_fence) {
             return CallOutcome::Fenced;
         }
-        let until = arrived + order.grant_duration.mul_f64(SLOW);
-        for key in order.from..=order.to {
-            // Nothing says that a shorter grant ends a longer one.
-            let before = own.holds.get(&key).map_or(until, |(_, before)| *before);
-            own.holds.insert(key, (order.fence, until.max(before)));
+        let until = arrived + command.grant_duration.mul_f64(CLOCK_SLOWDOWN);
+        for key in command.from..=command.to {
+            // The protocol doesn't say that a shorter grant ends a longer one early.
+            let earlier = state
+                .grants
+                .get(&key)
+                .map_or(until, |(_, earlier)| *earlier);
+            state
+                .grants
+                .insert(key, (command.fence, until.max(earlier)));
         }
         CallOutcome::Done(None)
     }
 
-    pub fn grant(&mut self, now: Duration, order: &OwnershipCommand) -> CallOutcome {
-        // It arrives within the step.
-        self.apply(now + TICK, order)
+    pub fn grant(&mut self, now: Duration, command: &OwnershipCommand) -> CallOutcome {
+        // The grant arrives within the step.
+        self.apply(now + TICK, command)
     }
 
-    pub fn grant_late(&mut self, now: Duration, late: Duration, order: &OwnershipCommand) {
-        self.late.push(Late {
-            at: now + TICK + late,
+    pub fn grant_late(&mut self, now: Duration, delay: Duration, command: &OwnershipCommand) {
+        self.late_grants.push(LateGrant {
+            at: now + TICK + delay,
             arrived: now + TICK,
-            order: order.clone(),
+            command: command.clone(),
         });
     }
 
-    pub fn release(&mut self, order: &OwnershipCommand) {
-        let Some(target) = self.place(&order.owner) else {
+    pub fn release(&mut self, command: &OwnershipCommand) {
+        let Some(target) = self.index_of(&command.owner) else {
             return;
         };
-        let own = &mut self.all[target];
-        for key in order.from..=order.to {
-            let seen = own.holds.get(&key).map_or(0, |(seen, _)| *seen);
-            own.holds
-                .insert(key, (order.fence.max(seen), Duration::ZERO));
+        let state = &mut self.targets[target];
+        for key in command.from..=command.to {
+            let seen = state.grants.get(&key).map_or(0, |(seen, _)| *seen);
+            state
+                .grants
+                .insert(key, (command.fence.max(seen), Duration::ZERO));
         }
     }
 
-    /// The targets that hold a key.
+    /// The ids of the targets that hold a valid grant for a key.
     pub fn holders(&self, key: RequestKey, now: Duration) -> Vec<String> {
-        let holds = |own: &&Own| own.holds.get(&key).is_some_and(|(_, until)| now < *until);
-        let holders = self.all.iter().filter(|own| own.up).filter(holds);
-        holders.map(|own| own.target.id.clone()).collect()
+        let has_grant = |state: &&SimulatedTarget| {
+            state
+                .grants
+                .get(&key)
+                .is_some_and(|(_, until)| now < *until)
+        };
+        let holders = self
+            .targets
+            .iter()
+            .filter(|state| state.up)
+            .filter(has_grant);
+        holders.map(|state| state.target.id.clone()).collect()
     }
 }
--- a/engine/tests/record.rs
+++ b/engine/tests/record.rs
@@ -1,9 +1,9 @@
-//! Records survive being stored, and unsound bytes are refused.
+//! Tests that stored records decode to what was encoded, and that invalid bytes are refused.
 
 use bramleypier_engine::owner::record::{Incarnation, KeyRange, Record};
 use proptest::prelude::*;
 
-fn life(number: u16) -> Incarnation {
+fn incarnation(number: u16) -> Incarnation {
     Incarnation {
         id: format!("i-{number:010x}"),
         start_time: 1_700_000_000_000 + u64::from(number),
@@ -13,22 +13,22 @@
 
 fn record(widths: &[(u64, u64, Option<u16>)]) -> Record {
     let mut from = 0;
-    let parts = widths.iter().map(|(width, fence, owner)| {
-        let part = KeyRange {
+    let ranges = widths.iter().map(|(width, fence, owner)| {
+        let range = KeyRange {
             from,
             to: from + width - 1,
             fence: *fence,
-            owner: owner.map(life),
+            owner: owner.map(incarnation),
         };
         from += width;
-        part
+        range
     });
     Record {
         term: 3,
         manager: "vm-1/8d1f".into(),
         resigned: true,
         counter: 40,
-        ranges: parts.collect(),
+        ranges: ranges.collect(),
         settled: true,
     }
 }
@@ -37,7 +37,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_stored_comes_back(
+    fn a_stored_record_decodes_to_the_same_record(
         widths in prop::collection::vec((1..5000_u64, any::<u64>(), prop::option::of(0..9_u16)), 0..40)
     ) {
         let record = record(&widths);
@@ -45,14 +45,14 @@
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
+    fn any_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..60)) {
         if let Ok(record) = Record::decode(&bytes) {
-            prop_assert!(record.ranges.iter().all(|part| part.from <= part.to));
+            prop_assert!(record.ranges.iter().all(|range| range.from <= range.to));
         }
     }
 }
 
-/// 15 owners with 8 ranges each took 5,776 bytes with each range's owner written out.
+/// Guards against writing out the owner of each range: 15 owners with 8 ranges each then took 5,776 bytes.
 #[test]
 fn a_record_stays_small() {
     let widths: Vec<_> = (0..120_u16)
--- a/engine/tests/service_ownership.rs
+++ b/engine/tests/service_ownership.rs
@@ -1,4 +1,5 @@
-//! What a keeper does when a life of a target ends.
+//! Tests how the ownership of one service's keys handles ended incarnations, unresponsive targets, a lost lease and
+//! hot keys.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
     renew_interval: Duration::from_millis(1300),
     latest_expiry: Duration::from_secs(12),
 };
-const LAST: RequestKey = 99;
+const LAST_KEY: RequestKey = 99;
 
 fn target(number: u16) -> Target {
     Target {
@@ -32,13 +33,14 @@
     }
 }
 
-/// A keeper whose first target owns three ranges apart, all granted; returns it with the grants.
-fn ownership() -> (ServiceOwnership, Vec<OwnershipCommand>, Duration) {
+/// The ownership of five granted ranges, of which the first target owns three that are not adjacent; returned with its
+/// grants and the time.
+fn granted_ownership() -> (ServiceOwnership, Vec<OwnershipCommand>, Duration) {
     let targets: Vec<Target> = (1..=3).map(target).collect();
     let owners = [0, 1, 0, 2, 0];
-    let parts = owners.iter().zip(0..).map(|(owner, place)| KeyRange {
-        from: place * 20,
-        to: place * 20 + 19,
+    let ranges = owners.iter().zip(0..).map(|(owner, index)| KeyRange {
+        from: index * 20,
+        to: index * 20 + 19,
         fence: 1,
         owner: Some(Incarnation::of(&targets[*owner])),
     });
@@ -46,27 +48,30 @@
         term: 1,
         resigned: true,
         settled: true,
-        ranges: parts.collect(),
-        ..Record::unowned(LAST)
+        ranges: ranges.collect(),
+        ..Record::unowned(LAST_KEY)
     };
     let now = Duration::from_secs(10);
     let (mut ownership, _) = ServiceOwnership::take_over("vm-1", record, TIMING, now);
     ownership.on(now, Event::LeaseExtended(now + Duration::from_secs(2)));
     ownership.on(now, Event::Targets(targets));
-    let grants = grants(&ownership.on(now, Event::Committed));
+    let grants = grant_commands(&ownership.on(now, Event::Committed));
     assert_eq!(grants.len(), owners.len());
-    for order in &grants {
-        ownership.on(now, Event::GrantEnded(order.from, CallOutcome::Done(None)));
+    for command in &grants {
+        ownership.on(
+            now,
+            Event::GrantEnded(command.from, CallOutcome::Done(None)),
+        );
     }
     (ownership, grants, now)
 }
 
-fn grants(effects: &[Effect]) -> Vec<OwnershipCommand> {
-    let orders = effects.iter().filter_map(|effect| match effect {
-        Effect::Grant(order) => Some(order.clone()),
+fn grant_commands(effects: &[Effect]) -> Vec<OwnershipCommand> {
+    let commands = effects.iter().filter_map(|effect| match effect {
+        Effect::Grant(command) => Some(command.clone()),
         _ => None,
     });
-    orders.collect()
+    commands.collect()
 }
 
 fn committed(effects: &[Effect]) -> Option<&Record> {
@@ -77,137 +82,164 @@
 }
 
 #[test]
-fn the_end_of_a_life_frees_all_its_ranges_at_once() {
-    let (mut ownership, _, now) = ownership();
+fn the_end_of_an_incarnation_frees_all_its_ranges_at_once() {
+    let (mut ownership, _, now) = granted_ownership();
     let due = now + TIMING.renew_interval;
-    let lost = grants(&ownership.on(due, Event::Tick));
-    let first = lost.iter().find(|order| order.owner.id == "t1").unwrap();
-    for order in lost.iter().filter(|order| order.owner.id != "t1") {
-        ownership.on(due, Event::GrantEnded(order.from, CallOutcome::Done(None)));
+    let renewals = grant_commands(&ownership.on(due, Event::Tick));
+    let first = renewals
+        .iter()
+        .find(|command| command.owner.id == "t1")
+        .unwrap();
+    for command in renewals.iter().filter(|command| command.owner.id != "t1") {
+        ownership.on(
+            due,
+            Event::GrantEnded(command.from, CallOutcome::Done(None)),
+        );
     }
-    // Its other two calls are still under way when the first tells.
-    let others: Vec<_> = lost
+    // The grants of its other two ranges succeed before the first call finds that the incarnation has ended.
+    let others: Vec<_> = renewals
         .iter()
-        .filter(|order| order.owner.id == "t1" && order.from != first.from)
+        .filter(|command| command.owner.id == "t1" && command.from != first.from)
         .collect();
-    for order in &others {
-        ownership.on(due, Event::GrantEnded(order.from, CallOutcome::Done(None)));
+    for command in &others {
+        ownership.on(
+            due,
+            Event::GrantEnded(command.from, CallOutcome::Done(None)),
+        );
     }
     let effects = ownership.on(due, Event::GrantEnded(first.from, CallOutcome::Gone));
     let record = committed(&effects).expect("new owners are written at once");
-    let left = record.ranges.iter().filter(|part| {
-        let owner = part.owner.as_ref();
+    let left = record.ranges.iter().filter(|range| {
+        let owner = range.owner.as_ref();
         owner.is_some_and(|owner| owner.id == "t1")
     });
-    assert_eq!(left.count(), 0, "no range stays with a life that has ended");
+    assert_eq!(
+        left.count(),
+        0,
+        "no range stays with an incarnation that has ended"
+    );
 }
 
 #[test]
 fn a_closed_connection_makes_its_targets_grants_due() {
-    let (mut ownership, granted, now) = ownership();
+    let (mut ownership, granted, now) = granted_ownership();
     let soon = now + Duration::from_millis(100);
-    assert!(grants(&ownership.on(soon, Event::Tick)).is_empty());
+    assert!(grant_commands(&ownership.on(soon, Event::Tick)).is_empty());
     let effects = ownership.on(soon, Event::ConnectionClosed(target(1).address));
     let expected: Vec<RequestKey> = granted
         .iter()
-        .filter(|order| order.owner.id == "t1")
-        .map(|order| order.from)
+        .filter(|command| command.owner.id == "t1")
+        .map(|command| command.from)
+        .collect();
+    let sent: Vec<RequestKey> = grant_commands(&effects)
+        .iter()
+        .map(|command| command.from)
         .collect();
-    let sent: Vec<RequestKey> = grants(&effects).iter().map(|order| order.from).collect();
     assert_eq!(sent, expected);
 }
 
 #[test]
-fn grants_hold_longer_while_the_lease_is_not_renewed() {
-    let (mut ownership, granted, now) = ownership();
+fn grants_last_longer_while_the_lease_is_not_renewed() {
+    let (mut ownership, granted, now) = granted_ownership();
     assert!(
         granted
             .iter()
-            .all(|order| order.grant_duration == TIMING.grant_duration)
+            .all(|command| command.grant_duration == TIMING.grant_duration)
     );
     // The lease of two seconds was last renewed at `now`.
-    let alone = now + TIMING.renew_interval;
-    let sent = grants(&ownership.on(alone, Event::Tick));
+    let without_lease = now + TIMING.renew_interval;
+    let sent = grant_commands(&ownership.on(without_lease, Event::Tick));
     assert_eq!(sent.len(), granted.len());
     assert!(
         sent.iter()
-            .all(|order| order.grant_duration == TIMING.outage_duration)
+            .all(|command| command.grant_duration == TIMING.outage_duration)
     );
-    for order in &sent {
+    for command in &sent {
         ownership.on(
-            alone,
-            Event::GrantEnded(order.from, CallOutcome::Done(None)),
+            without_lease,
+            Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
     }
-    // The store answers again, and one target falls silent.
-    let back = alone + Duration::from_secs(1);
-    ownership.on(back, Event::LeaseExtended(back + Duration::from_secs(2)));
-    let freed = freed(&mut ownership, back, &CallOutcome::Silent);
+    // The store answers again, and one target becomes unresponsive.
+    let store_back = without_lease + Duration::from_secs(1);
+    ownership.on(
+        store_back,
+        Event::LeaseExtended(store_back + Duration::from_secs(2)),
+    );
+    let freed = run_until_freed(&mut ownership, store_back, &CallOutcome::Silent);
     assert!(
-        freed >= alone + TIMING.outage_duration,
+        freed >= without_lease + TIMING.outage_duration,
         "freed at {freed:?}"
     );
 }
 
 #[test]
-fn a_takeover_reckons_with_a_manager_that_was_alone() {
-    let (mut ownership, _, now) = ownership();
-    let freed = freed(&mut ownership, now, &CallOutcome::Unsent);
+fn a_takeover_waits_for_grants_of_a_manager_without_a_lease() {
+    let (mut ownership, _, now) = granted_ownership();
+    let freed = run_until_freed(&mut ownership, now, &CallOutcome::Unsent);
     assert!(freed >= now + TIMING.outage_duration, "freed at {freed:?}");
 }
 
-/// Plays on until the keys of the first target move, whose calls all end so.
-fn freed(ownership: &mut ServiceOwnership, from: Duration, ending: &CallOutcome) -> Duration {
+/// Runs until the keys of the first target move, whose grants all end with `outcome`, and returns the time of the move.
+fn run_until_freed(
+    ownership: &mut ServiceOwnership,
+    from: Duration,
+    outcome: &CallOutcome,
+) -> Duration {
     let step = Duration::from_millis(50);
     let mut at = from;
     loop {
         at += step;
         let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
-        for order in grants(&effects) {
-            let first = order.owner.id == "t1";
-            let ending = if first {
-                ending.clone()
+        for command in grant_commands(&effects) {
+            let first = command.owner.id == "t1";
+            let outcome = if first {
+                outcome.clone()
             } else {
                 CallOutcome::Done(None)
             };
-            effects.extend(ownership.on(at, Event::GrantEnded(order.from, ending)));
+            effects.extend(ownership.on(at, Event::GrantEnded(command.from, outcome)));
         }
-        for from in releases(&effects) {
+        for from in released_ranges(&effects) {
             effects.extend(ownership.on(at, Event::ReleaseEnded(from, CallOutcome::Unsent)));
         }
         if committed(&effects).is_some() {
             return at;
         }
-        assert!(at < from + Duration::from_secs(30), "its keys move at last");
+        assert!(
+            at < from + Duration::from_secs(30),
+            "the keys of the first target did not move"
+        );
     }
 }
 
-fn releases(effects: &[Effect]) -> Vec<RequestKey> {
-    let orders = effects.iter().filter_map(|effect| match effect {
-        Effect::Release(order) => Some(order.from),
+fn released_ranges(effects: &[Effect]) -> Vec<RequestKey> {
+    let commands = effects.iter().filter_map(|effect| match effect {
+        Effect::Release(command) => Some(command.from),
         _ => None,
     });
-    orders.collect()
+    commands.collect()
 }
 
 #[test]
-fn a_target_that_only_refuses_keeps_its_ranges_until_its_hold_ran_out() {
-    let (mut ownership, _, now) = ownership();
-    let freed = freed(&mut ownership, now, &CallOutcome::Unsent);
+fn a_target_that_refuses_connections_keeps_its_ranges_until_its_grant_expires() {
+    let (mut ownership, _, now) = granted_ownership();
+    let freed = run_until_freed(&mut ownership, now, &CallOutcome::Unsent);
     assert!(freed >= now + TIMING.grant_duration, "freed at {freed:?}");
 }
 
-/// A dark target's ranges wait for its hold; a key that grows busy elsewhere must not wait with them.
+/// The ranges of an unresponsive target can't move until its grants expire; a key that becomes hot on another target
+/// must not wait for that.
 #[test]
-fn a_busy_key_moves_while_a_silent_owners_ranges_wait() {
-    let (mut ownership, _, now) = ownership();
+fn a_hot_key_moves_while_the_ranges_of_an_unresponsive_owner_wait() {
+    let (mut ownership, _, now) = granted_ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
     let mut begun = None;
     while at < now + Duration::from_secs(4) && begun.is_none() {
         at += step;
         let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
-        // The first target is dark and asked to let go; then two keys of the second grow busy.
+        // The first target is unresponsive and has been sent releases; then two keys of the second target become hot.
         let busy = at > now + TIMING.renew_interval + Duration::from_millis(1200);
         let counts = if busy {
             vec![(25, 4), (26, 2)]
@@ -215,51 +247,51 @@
             Vec::new()
         };
         effects.extend(ownership.on(at, Event::Load(counts)));
-        for order in grants(&effects) {
-            let dark = order.owner.id == "t1";
-            let ending = if dark {
+        for command in grant_commands(&effects) {
+            let unresponsive = command.owner.id == "t1";
+            let outcome = if unresponsive {
                 CallOutcome::Silent
             } else {
                 CallOutcome::Done(None)
             };
-            effects.extend(ownership.on(at, Event::GrantEnded(order.from, ending)));
+            effects.extend(ownership.on(at, Event::GrantEnded(command.from, outcome)));
         }
-        let moved = effects.iter().find_map(|effect| match effect {
-            Effect::Log(note) if note.starts_with("event=move-begun") => Some(note.clone()),
+        let move_line = effects.iter().find_map(|effect| match effect {
+            Effect::Log(line) if line.starts_with("event=move-begun") => Some(line.clone()),
             _ => None,
         });
-        begun = moved;
-        for order in orders_released(&effects) {
-            let dark = order.owner.id == "t1";
-            let ending = if dark {
+        begun = move_line;
+        for command in release_commands(&effects) {
+            let unresponsive = command.owner.id == "t1";
+            let outcome = if unresponsive {
                 CallOutcome::Silent
             } else {
                 CallOutcome::Done(None)
             };
-            ownership.on(at, Event::ReleaseEnded(order.from, ending));
+            ownership.on(at, Event::ReleaseEnded(command.from, outcome));
         }
         ownership.on(at, Event::Committed);
     }
-    let begun = begun.expect("nothing moves beside a dark target");
+    let begun = begun.expect("nothing moved while a target was unresponsive");
     assert!(
         !begun.contains("owner=t1"),
-        "moved to the dark target: {begun}"
+        "moved to the unresponsive target: {begun}"
     );
 }
 
-fn orders_released(effects: &[Effect]) -> Vec<OwnershipCommand> {
-    let orders = effects.iter().filter_map(|effect| match effect {
-        Effect::Release(order) => Some(order.clone()),
+fn release_commands(effects: &[Effect]) -> Vec<OwnershipCommand> {
+    let commands = effects.iter().filter_map(|effect| match effect {
+        Effect::Release(command) => Some(command.clone()),
         _ => None,
     });
-    orders.collect()
+    commands.collect()
 }
 
-/// A run of keys moves while they are calm; then one of them takes most requests, and another target
-/// has turned out to be three times as fast.
+/// A run of keys moves while none of them is hot; then one of them takes most requests, and another target turns out
+/// to be three times as fast.
 #[test]
-fn a_key_that_turns_busy_in_a_run_that_has_just_moved_moves_again() {
-    let (mut ownership, _, now) = ownership();
+fn a_key_that_becomes_hot_in_a_run_that_has_just_moved_moves_again() {
+    let (mut ownership, _, now) = granted_ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
     let mut first: Option<(RequestKey, Duration)> = None;
@@ -270,8 +302,8 @@
         let mut counts = vec![(25, 1), (30, 1), (35, 1)];
         counts.extend(first.map(|(key, _)| (key, 8)));
         effects.extend(ownership.on(at, Event::Load(counts)));
-        effects = settled(&mut ownership, at, effects);
-        for (from, to, owner) in effects.iter().filter_map(begun) {
+        effects = answer_all(&mut ownership, at, effects);
+        for (from, to, owner) in effects.iter().filter_map(parse_move) {
             match first {
                 None => {
                     first = Some((if from <= 30 && 30 <= to { 30 } else { from }, at));
@@ -285,17 +317,19 @@
         }
     }
     let (_, first) = first.expect("nothing moved");
-    let waited = second.expect("the busy key stays").saturating_sub(first);
+    let waited = second
+        .expect("the hot key did not move")
+        .saturating_sub(first);
     assert!(waited < Duration::from_secs(2), "{waited:?}");
 }
 
-/// The bounds of a move that has begun and its new owner, from its line in the log.
-fn begun(effect: &Effect) -> Option<(RequestKey, RequestKey, String)> {
-    let Effect::Log(note) = effect else {
+/// The first key, the last key and the new owner of a move that has begun, parsed from its log line.
+fn parse_move(effect: &Effect) -> Option<(RequestKey, RequestKey, String)> {
+    let Effect::Log(line) = effect else {
         return None;
     };
-    let rest = note.strip_prefix("event=move-begun ")?;
-    let mut values = rest
+    let fields = line.strip_prefix("event=move-begun ")?;
+    let mut values = fields
         .split(' ')
         .filter_map(|pair| Some(pair.split_once('=')?.1));
     let from = values.next()?.parse().ok()?;
@@ -303,8 +337,8 @@
     Some((from, to, values.next()?.to_owned()))
 }
 
-/// Answers every call and commit until nothing is left to do, and returns all effects.
-fn settled(
+/// Answers every call and commit, also those that follow from the answers, and returns all effects.
+fn answer_all(
     ownership: &mut ServiceOwnership,
     at: Duration,
     mut effects: Vec<Effect>,
@@ -313,12 +347,13 @@
     while let Some(effect) = effects.get(next).cloned() {
         next += 1;
         effects.extend(match effect {
-            Effect::Grant(order) => {
-                ownership.on(at, Event::GrantEnded(order.from, CallOutcome::Done(None)))
-            }
-            Effect::Release(order) => {
-                ownership.on(at, Event::ReleaseEnded(order.from, CallOutcome::Done(None)))
+            Effect::Grant(command) => {
+                ownership.on(at, Event::GrantEnded(command.from, CallOutcome::Done(None)))
             }
+            Effect::Release(command) => ownership.on(
+                at,
+                Event::ReleaseEnded(command.from, CallOutcome::Done(None)),
+            ),
             Effect::Commit(_) => ownership.on(at, Event::Committed),
             Effect::Deposed | Effect::Log(_) => Vec::new(),
         });
@@ -326,84 +361,93 @@
     effects
 }
 
-/// Dark owners answer nothing and are still announced for some seconds.
+/// Unresponsive owners answer nothing but stay announced for some seconds.
 #[test]
-fn a_silent_owner_is_not_granted_beyond_the_hold_that_it_has() {
-    let (mut ownership, now) = rested();
-    let freed = freed(&mut ownership, now, &CallOutcome::Silent);
-    // Its last renewal has just been answered; the next may have arrived.
+fn an_unresponsive_owner_is_not_granted_beyond_its_current_grant() {
+    let (mut ownership, now) = renewed_ownership();
+    let freed = run_until_freed(&mut ownership, now, &CallOutcome::Silent);
+    // Its last renewal has just been answered; the next one may have arrived although it got no answer.
     let least = now + TIMING.grant_duration;
     assert!(
         freed >= least,
-        "freed at {freed:?}, before its hold ran out"
+        "freed at {freed:?}, before its grant expired"
     );
     let most = least + TIMING.renew_interval + Duration::from_millis(400);
     assert!(freed <= most, "freed at {freed:?} instead of {most:?}");
 }
 
-/// Three in ten answers are lost on the way: a target that lives keeps its keys.
+/// A live target keeps its keys even if three in ten of its answers are lost.
 #[test]
-fn an_owner_that_answers_again_is_renewed_before_less_is_left_than_usual() {
-    let (mut ownership, now) = rested();
+fn an_owner_that_answers_again_is_renewed_early_and_in_full() {
+    let (mut ownership, now) = renewed_ownership();
     let at = now + TIMING.renew_interval + Duration::from_millis(50);
-    let first = grants(&ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2))));
-    for order in &first {
-        let ending = if order.owner.id == "t1" {
+    let first =
+        grant_commands(&ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2))));
+    for command in &first {
+        let outcome = if command.owner.id == "t1" {
             CallOutcome::Silent
         } else {
             CallOutcome::Done(None)
         };
-        ownership.on(at, Event::GrantEnded(order.from, ending));
+        ownership.on(at, Event::GrantEnded(command.from, outcome));
     }
-    let again = at + Duration::from_millis(200);
-    let asked = grants(&ownership.on(again, Event::LeaseExtended(again + Duration::from_secs(2))));
-    assert_eq!(asked.len(), 3, "it is asked at once");
+    let retry_time = at + Duration::from_millis(200);
+    let retried = grant_commands(&ownership.on(
+        retry_time,
+        Event::LeaseExtended(retry_time + Duration::from_secs(2)),
+    ));
+    assert_eq!(retried.len(), 3, "the owner is asked again at once");
     assert!(
-        asked
+        retried
             .iter()
-            .all(|order| order.grant_duration < TIMING.grant_duration)
+            .all(|command| command.grant_duration < TIMING.grant_duration)
     );
-    for order in &asked {
+    for command in &retried {
         ownership.on(
-            again,
-            Event::GrantEnded(order.from, CallOutcome::Done(None)),
+            retry_time,
+            Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
     }
-    let shorter = TIMING
+    let shortfall = TIMING
         .grant_duration
-        .saturating_sub(asked[0].grant_duration);
-    let due = again + TIMING.renew_interval.saturating_sub(shorter);
-    let renewed = grants(&ownership.on(due, Event::LeaseExtended(due + Duration::from_secs(2))));
-    let its = renewed.iter().filter(|order| order.owner.id == "t1");
+        .saturating_sub(retried[0].grant_duration);
+    let due = retry_time + TIMING.renew_interval.saturating_sub(shortfall);
+    let renewed =
+        grant_commands(&ownership.on(due, Event::LeaseExtended(due + Duration::from_secs(2))));
+    let renewed_owner = renewed.iter().filter(|command| command.owner.id == "t1");
     assert!(
-        its.clone()
-            .all(|order| order.grant_duration == TIMING.grant_duration)
+        renewed_owner
+            .clone()
+            .all(|command| command.grant_duration == TIMING.grant_duration)
+    );
+    assert_eq!(
+        renewed_owner.count(),
+        3,
+        "renewed early and for the full duration"
     );
-    assert_eq!(its.count(), 3, "renewed early, and in full");
 }
 
-/// A keeper whose owners have answered for so long that no earlier manager's grant holds any more, at
-/// the moment at which they have just been renewed.
-fn rested() -> (ServiceOwnership, Duration) {
-    let (mut ownership, _, now) = ownership();
+/// The ownership after all grants of earlier managers have expired, at a time when all owners have just been renewed.
+fn renewed_ownership() -> (ServiceOwnership, Duration) {
+    let (mut ownership, _, now) = granted_ownership();
     let step = Duration::from_millis(50);
     let mut at = now;
     loop {
         at += step;
         let effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
-        let renewed = !grants(&effects).is_empty();
-        settled(&mut ownership, at, effects);
+        let renewed = !grant_commands(&effects).is_empty();
+        answer_all(&mut ownership, at, effects);
         if renewed && at > now + TIMING.outage_duration + TIMING.grant_duration {
             return (ownership, at);
         }
     }
 }
 
-/// Busy keys move to the target that looks best, and that may just have been cut off.
+/// Hot keys move to the target that looks best, which may just have become unreachable.
 #[test]
-fn a_new_owner_that_never_answers_holds_keys_up_for_a_second() {
-    let (mut ownership, now) = rested();
-    // The first target leaves; its ranges go to others, of which the second turns dark.
+fn a_new_owner_that_never_answers_delays_its_keys_by_a_second_at_most() {
+    let (mut ownership, now) = renewed_ownership();
+    // The first target drains; its ranges go to others, of which the second target becomes unresponsive.
     let mut targets: Vec<Target> = (1..=3).map(target).collect();
     targets[0].leaving = true;
     let step = Duration::from_millis(50);
@@ -417,28 +461,33 @@
         while let Some(effect) = effects.get(next).cloned() {
             next += 1;
             let event = match effect {
-                Effect::Grant(order) if order.owner.id == "t2" && order.from != 20 => {
+                Effect::Grant(command) if command.owner.id == "t2" && command.from != 20 => {
                     first.get_or_insert(at);
-                    Event::GrantEnded(order.from, CallOutcome::Silent)
+                    Event::GrantEnded(command.from, CallOutcome::Silent)
                 }
-                Effect::Grant(order) => Event::GrantEnded(order.from, CallOutcome::Done(None)),
-                Effect::Release(order) if order.owner.id == "t2" => {
-                    Event::ReleaseEnded(order.from, CallOutcome::Silent)
+                Effect::Grant(command) => Event::GrantEnded(command.from, CallOutcome::Done(None)),
+                Effect::Release(command) if command.owner.id == "t2" => {
+                    Event::ReleaseEnded(command.from, CallOutcome::Silent)
+                }
+                Effect::Release(command) => {
+                    Event::ReleaseEnded(command.from, CallOutcome::Done(None))
                 }
-                Effect::Release(order) => Event::ReleaseEnded(order.from, CallOutcome::Done(None)),
                 Effect::Commit(_) => Event::Committed,
                 Effect::Deposed | Effect::Log(_) => continue,
             };
             effects.extend(ownership.on(at, event));
         }
         let lost = effects.iter().any(
-            |effect| matches!(effect, Effect::Log(note) if note.starts_with("event=range-lost")),
+            |effect| matches!(effect, Effect::Log(line) if line.starts_with("event=range-lost")),
         );
         if lost {
             break;
         }
         effects.clear();
-        assert!(at < now + Duration::from_secs(20), "nothing is lost");
+        assert!(
+            at < now + Duration::from_secs(20),
+            "no range was taken back from the unresponsive target"
+        );
     }
     let waited = at.saturating_sub(first.unwrap());
     assert!(waited < Duration::from_secs(1), "{waited:?}");
--- a/engine/tests/sync_interval.rs
+++ b/engine/tests/sync_interval.rs
@@ -1,53 +1,53 @@
-//! The load of all VMs' words on a manager with little processor, replayed.
+//! Simulates the sync requests of all VMs to a manager with little CPU.
 //!
-//! With 88 VMs of a tenth of a core each, whoever held the manager's lease lost it within 3 s, for as long
-//! as the day lasted: its calls to the store failed with `connect: timed out` after 150 ms, it logged
-//! `event=lease-uncertain cause=not-renewed-in-time`, and of 97,807 requests 68,195 were refused since
-//! their key had no owner. The manager with half a core spends 0.34 ms of a whole core on each message
-//! (0.27 of a core at some 590 exchanges and 210 grants a second).
+//! Guards against managers that lose their lease because sync requests delay their own store calls. With 88 VMs of a
+//! tenth of a core each, every manager lost its lease within 3 s: its calls to the store failed with
+//! `connect: timed out` after 150 ms, it logged `event=lease-uncertain cause=not-renewed-in-time`, and 68,195 of
+//! 97,807 requests were refused because their key had no owner. A manager with half a core spends 0.34 ms of a whole
+//! core on each message (0.27 of a core at some 590 sync exchanges and 210 grants per second).
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use bramleypier_engine::peer::sync_interval::{self, Lag};
 
 const VMS: usize = 88;
-/// What one message costs the manager with a tenth of a core.
-const WORK: Duration = Duration::from_micros(3400);
-/// How often the manager renews a grant: 189 owners, each five times in a hold of 4.5 s.
+/// The time that a manager with a tenth of a core spends on one message.
+const MESSAGE_COST: Duration = Duration::from_micros(3400);
+/// The time between two grant renewals: 189 owners, each renewed five times in a grant duration of 4.5 s.
 const GRANT_PERIOD: Duration = Duration::from_micros(4760);
-/// After which a call of the manager's to the store fails.
+/// The time after which a call of the manager to the store fails.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long a VM waits for the manager's answer.
+/// How long a VM waits for the manager's sync response.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long the VMs take until their pauses have settled.
-const SETTLED: Duration = Duration::from_secs(5);
+/// The time until the sync intervals of the VMs have settled.
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 const END: Duration = Duration::from_secs(30);
 
-/// What wants the manager's processor next.
+/// Work for the manager's CPU.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Job {
     Grant,
-    Word(usize),
+    Sync(usize),
 }
 
 #[derive(Debug, Default)]
 struct Outcome {
-    /// How long the manager's own calls waited for its processor, at the most.
-    worst: Duration,
-    /// Words that were answered in time.
+    /// The longest time for which a call of the manager itself waited for the CPU.
+    longest_wait: Duration,
+    /// The number of sync requests that were answered in time.
     answered: usize,
 }
 
-/// Plays one manager that does its work in the order in which it comes.
-fn play<F>(pause_of: F) -> Outcome
+/// Simulates one manager that does its work in the order of arrival.
+fn simulate<F>(interval_of: F) -> Outcome
 where
     F: Fn(Duration) -> Duration,
 {
     let mut due: BinaryHeap<Reverse<(Duration, Job)>> = BinaryHeap::new();
     due.push(Reverse((Duration::ZERO, Job::Grant)));
     for vm in 0..VMS {
-        let spread = Duration::from_micros(1700 * vm as u64);
-        due.push(Reverse((spread, Job::Word(vm))));
+        let offset = Duration::from_micros(1700 * vm as u64);
+        due.push(Reverse((offset, Job::Sync(vm))));
     }
     let mut outcome = Outcome::default();
     let mut lag = Lag::default();
@@ -56,24 +56,24 @@
         if at > END {
             break;
         }
-        let begun = free.max(at);
-        free = begun + WORK;
+        let start = free.max(at);
+        free = start + MESSAGE_COST;
         let took = free.saturating_sub(at);
         match job {
             Job::Grant => {
-                lag.add(GRANT_PERIOD, GRANT_PERIOD + begun.saturating_sub(at));
-                if at > SETTLED {
-                    outcome.worst = outcome.worst.max(begun.saturating_sub(at));
+                lag.add(GRANT_PERIOD, GRANT_PERIOD + start.saturating_sub(at));
+                if at > SETTLING_TIME {
+                    outcome.longest_wait = outcome.longest_wait.max(start.saturating_sub(at));
                 }
                 due.push(Reverse((at + GRANT_PERIOD, Job::Grant)));
             }
-            Job::Word(vm) => {
-                let heard = took.min(ANSWER_TIMEOUT);
-                if at > SETTLED && took <= ANSWER_TIMEOUT {
+            Job::Sync(vm) => {
+                let response_time = took.min(ANSWER_TIMEOUT);
+                if at > SETTLING_TIME && took <= ANSWER_TIMEOUT {
                     outcome.answered += 1;
                 }
-                let pause = pause_of(lag.mean());
-                due.push(Reverse((at + heard + pause, Job::Word(vm))));
+                let interval = interval_of(lag.mean());
+                due.push(Reverse((at + response_time + interval, Job::Sync(vm))));
             }
         }
     }
@@ -81,27 +81,27 @@
 }
 
 #[test]
-fn a_manager_with_little_processor_keeps_up() {
-    let outcome = play(|lag| sync_interval::next_interval(true, VMS, lag));
-    assert!(outcome.worst < CONNECT_TIMEOUT, "{outcome:?}");
-    // Each VM is heard once in two seconds at least.
+fn a_manager_with_little_cpu_keeps_up() {
+    let outcome = simulate(|lag| sync_interval::next_interval(true, VMS, lag));
+    assert!(outcome.longest_wait < CONNECT_TIMEOUT, "{outcome:?}");
+    // Each VM gets a sync response at least once in two seconds.
     assert!(outcome.answered >= VMS * 25 / 2, "{outcome:?}");
 }
 
 #[test]
-fn a_manager_that_keeps_up_is_told_as_often_as_before() {
+fn the_sync_interval_stays_short_while_the_manager_keeps_up() {
     let mut lag = Lag::default();
-    let asked = Duration::from_millis(40);
+    let requested = Duration::from_millis(40);
     for late in [0, 1, 0, 2, 0, 3, 0] {
-        lag.add(asked, asked + Duration::from_millis(late));
-        let pause = sync_interval::next_interval(true, 8, lag.mean());
-        assert!(pause <= Duration::from_millis(60), "{pause:?}");
+        lag.add(requested, requested + Duration::from_millis(late));
+        let interval = sync_interval::next_interval(true, 8, lag.mean());
+        assert!(interval <= Duration::from_millis(60), "{interval:?}");
     }
 }
 
-/// A manager that was stopped for seconds has its whole processor again when it goes on.
+/// A manager that was suspended for seconds has its full CPU time again when it resumes.
 #[test]
-fn a_process_that_was_stopped_does_not_lag() {
+fn a_process_that_was_suspended_does_not_lag() {
     let mut lag = Lag::default();
     lag.add(Duration::from_millis(40), Duration::from_secs(5));
     assert_eq!(
