--- a/engine/tests/fleet.rs
+++ b/engine/tests/fleet.rs
@@ -205,9 +205,9 @@
     assert!(fleet.targets.is_empty(), "{:?}", fleet.targets);
 }
 
-/// Guards against a delay of relayed removals: a VM whose own store calls were late (`pulse-lost` at 27.25 s, while the
-/// store was healthy) received a target's removal from the manager, kept the target for 2.5 s as after an outage, and
-/// sent it a request 2.71 s after its removal.
+/// Guards against a delay of relayed removals: a VM whose own store calls were late (`event=pulse-lost` at 27.25 s,
+/// while the store was healthy) received a target's removal from the manager, kept the target for 2.5 s as after an
+/// outage, and sent it a request 2.71 s after its removal.
 #[test]
 fn a_removal_relayed_by_a_manager_that_follows_the_store_takes_effect_at_once() {
     let mut sender = Fleet::default();
--- a/engine/tests/ownership_simulation/targets.rs
+++ b/engine/tests/ownership_simulation/targets.rs
@@ -17,7 +17,7 @@
 /// The simulated time of one step.
 const TICK: Duration = Duration::from_millis(50);
 
-struct SimulatedTarget {
+struct TargetState {
     target: Target,
     up: bool,
     down_for: u32,
@@ -34,7 +34,7 @@
 }
 
 pub struct Targets {
-    targets: Vec<SimulatedTarget>,
+    states: Vec<TargetState>,
     /// Cut links, by VM and target.
     cut_links: Vec<(usize, usize)>,
     late_grants: Vec<LateGrant>,
@@ -42,7 +42,7 @@
 
 impl Targets {
     pub fn new() -> Self {
-        let simulated = |number: usize| SimulatedTarget {
+        let new_state = |number: usize| TargetState {
             target: Target {
                 id: format!("t{number}"),
                 start_time: 1,
@@ -59,7 +59,7 @@
             grants: HashMap::new(),
         };
         Self {
-            targets: (0..4).map(simulated).collect(),
+            states: (0..4).map(new_state).collect(),
             cut_links: Vec::new(),
             late_grants: Vec::new(),
         }
@@ -74,7 +74,7 @@
 
     /// Ends an incarnation; another one starts under the same id after some steps.
     pub fn crash(&mut self, target: usize, ticks: u32) {
-        let state = &mut self.targets[target];
+        let state = &mut self.states[target];
         state.up = false;
         state.down_for = ticks;
         state.grants.clear();
@@ -84,16 +84,16 @@
     }
 
     pub fn set_leaving(&mut self, target: usize, on: bool) {
-        self.targets[target].target.leaving = on;
+        self.states[target].target.leaving = on;
     }
 
     pub fn set_announced(&mut self, target: usize, on: bool) {
-        self.targets[target].announced = on;
+        self.states[target].announced = on;
     }
 
     pub fn heal(&mut self) {
         self.cut_links.clear();
-        for state in &mut self.targets {
+        for state in &mut self.states {
             state.announced = true;
             state.target.leaving = false;
             state.down_for = state.down_for.min(1);
@@ -101,12 +101,12 @@
     }
 
     pub fn announced(&self) -> Vec<Target> {
-        let visible = self.targets.iter().filter(|state| state.announced);
+        let visible = self.states.iter().filter(|state| state.announced);
         visible.map(|state| state.target.clone()).collect()
     }
 
     pub fn advance(&mut self, now: Duration) {
-        for state in &mut self.targets {
+        for state in &mut self.states {
             if !state.up && state.down_for <= 1 {
                 state.up = true;
                 state.target.start_time += 1;
@@ -123,7 +123,7 @@
     }
 
     fn index_of(&self, incarnation: &Incarnation) -> Option<usize> {
-        self.targets
+        self.states
             .iter()
             .position(|state| state.target.address == incarnation.address)
     }
@@ -135,14 +135,14 @@
 
     pub fn is_listening(&self, incarnation: &Incarnation) -> bool {
         self.index_of(incarnation)
-            .is_some_and(|target| self.targets[target].up)
+            .is_some_and(|target| self.states[target].up)
     }
 
     fn apply(&mut self, arrived: Duration, command: &OwnershipCommand) -> CallOutcome {
         let Some(target) = self.index_of(&command.owner) else {
             return CallOutcome::Gone;
         };
-        let state = &mut self.targets[target];
+        let state = &mut self.states[target];
         if !state.up {
             return CallOutcome::Gone;
         }
@@ -186,7 +186,7 @@
         let Some(target) = self.index_of(&command.owner) else {
             return;
         };
-        let state = &mut self.targets[target];
+        let state = &mut self.states[target];
         for key in command.from..=command.to {
             let seen = state.grants.get(&key).map_or(0, |(seen, _)| *seen);
             state
@@ -197,14 +197,14 @@
 
     /// The ids of the targets that hold a valid grant for a key.
     pub fn holders(&self, key: RequestKey, now: Duration) -> Vec<String> {
-        let has_grant = |state: &&SimulatedTarget| {
+        let has_grant = |state: &&TargetState| {
             state
                 .grants
                 .get(&key)
                 .is_some_and(|(_, until)| now < *until)
         };
         let holders = self
-            .targets
+            .states
             .iter()
             .filter(|state| state.up)
             .filter(has_grant);
--- a/engine/tests/service_ownership.rs
+++ b/engine/tests/service_ownership.rs
@@ -74,7 +74,7 @@
     commands.collect()
 }
 
-fn committed(effects: &[Effect]) -> Option<&Record> {
+fn committed_record(effects: &[Effect]) -> Option<&Record> {
     effects.iter().find_map(|effect| match effect {
         Effect::Commit(record) => Some(record),
         _ => None,
@@ -108,7 +108,7 @@
         );
     }
     let effects = ownership.on(due, Event::GrantEnded(first.from, CallOutcome::Gone));
-    let record = committed(&effects).expect("new owners are written at once");
+    let record = committed_record(&effects).expect("new owners are written at once");
     let left = record.ranges.iter().filter(|range| {
         let owner = range.owner.as_ref();
         owner.is_some_and(|owner| owner.id == "t1")
@@ -203,7 +203,7 @@
         for from in released_ranges(&effects) {
             effects.extend(ownership.on(at, Event::ReleaseEnded(from, CallOutcome::Unsent)));
         }
-        if committed(&effects).is_some() {
+        if committed_record(&effects).is_some() {
             return at;
         }
         assert!(
--- a/engine/tests/sync_interval.rs
+++ b/engine/tests/sync_interval.rs
@@ -21,7 +21,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// The time until the sync intervals of the VMs have settled.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
-const END: Duration = Duration::from_secs(30);
+const SIMULATED_TIME: Duration = Duration::from_secs(30);
 
 /// Work for the manager's CPU.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
     let mut lag = Lag::default();
     let mut free = Duration::ZERO;
     while let Some(Reverse((at, job))) = due.pop() {
-        if at > END {
+        if at > SIMULATED_TIME {
             break;
         }
         let start = free.max(at);
