--- a/engine/tests/goodput.rs
+++ b/engine/tests/goodput.rs
@@ -1,8 +1,8 @@
 //! Services without keys at and beyond what their targets can do.
 
-mod queue_world;
+mod queue_simulation;
 
-use crate::queue_world::{LENGTH, Scene, play};
+use crate::queue_simulation::{LENGTH, Scene, play};
 
 /// The part of what targets can do that is answered in time at least.
 const AIM: f64 = 0.95;
--- a/engine/tests/busy_key.rs
+++ b/engine/tests/hot_key.rs
@@ -82,7 +82,7 @@
 struct Load {
     scene: Scene,
     dispatchers: Vec<Dispatcher>,
-    vm_loads: FleetLoad,
+    fleet_load: FleetLoad,
     came: HashMap<Ticket, u64>,
     running: Vec<(Sent, u64)>,
     queued: Vec<Sent>,
@@ -104,7 +104,7 @@
         Self {
             scene,
             dispatchers: (0..scene.vms as u64).map(dispatcher).collect(),
-            vm_loads: FleetLoad::default(),
+            fleet_load: FleetLoad::default(),
             came: HashMap::new(),
             running: Vec::new(),
             queued: Vec::new(),
@@ -172,15 +172,15 @@
     fn exchange(&mut self, now: u64, vm: usize) {
         let state = self.dispatchers[vm].take_snapshot(ms(now));
         let start = format!("vm-{vm}");
-        self.vm_loads.update(
+        self.fleet_load.update(
             ms(now),
             &start,
             state.in_flight,
             state.queues,
             ms(self.scene.period),
         );
-        let others = self.vm_loads.in_flight_elsewhere(ms(now), &start);
-        let shares = self.vm_loads.assign_quotas(ms(now), &start);
+        let others = self.fleet_load.in_flight_elsewhere(ms(now), &start);
+        let shares = self.fleet_load.assign_quotas(ms(now), &start);
         let word = SyncUpdate {
             others: others.into_iter().collect(),
             quotas: shares.into_iter().map(|it| (it.target, it)).collect(),
--- a/engine/tests/named_rates.rs
+++ b/engine/tests/rate_limits.rs
@@ -1,6 +1,6 @@
 //! Targets in need that name how many requests a second they take from all VMs together.
 
-mod rate_world;
+mod rate_simulation;
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 };
 use proptest::prelude::*;
 
-use crate::rate_world::{
+use crate::rate_simulation::{
     ALLOWANCE, END, GOAL, GRACE, LIFTED, NAMED, STEP, Scene, allowed, ask, ms, play,
 };
 
--- a/engine/tests/warmup.rs
+++ b/engine/tests/warmup.rs
@@ -1,6 +1,6 @@
 //! Cold targets under all VMs' load: what reaches them in any second, whatever VMs know.
 
-mod queue_world;
+mod queue_simulation;
 
 use bramleypier_engine::{
     catalogue::Warmup,
@@ -8,7 +8,7 @@
 };
 use proptest::prelude::*;
 
-use crate::queue_world::{Scene, TOLERANCE, WARMUP, names, play};
+use crate::queue_simulation::{Scene, TOLERANCE, WARMUP, names, play};
 
 /// The most requests that may reach a cold target in a second, by the figures of the load.
 const MOST: usize = 20;
