--- a/engine/tests/desk_world/mod.rs
+++ b/engine/tests/desk_world/mod.rs
@@ -1,4 +1,6 @@
-//! One dispatcher in one failure domain: targets, owners, requests, and what was decided.
+//! Builds one dispatcher in failure domain `d1` with its events, and reads its decisions.
+//!
+//! The dispatcher is one of two VMs and knows one service, `s`, whose targets have two slots each.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -17,8 +19,8 @@
     },
 };
 
-/// The time between two words of the manager.
-pub const PAUSE: Duration = Duration::from_millis(40);
+/// The time between two sync responses of the manager.
+pub const SYNC_INTERVAL: Duration = Duration::from_millis(40);
 
 pub const ALLOWANCE: Allowance = Allowance {
     ratio: 0.2,
@@ -43,7 +45,8 @@
     }
 }
 
-pub fn view(targets: Vec<Target>, records: Option<Record>) -> Event {
+/// A fleet view of two VMs with these targets and, for a service with keys, their owners.
+pub fn view_event(targets: Vec<Target>, records: Option<Record>) -> Event {
     let records = records.into_iter().map(|it| ("s".to_owned(), Rc::new(it)));
     Event::View(Rc::new(FleetView {
         targets: [("s".to_owned(), targets)].into_iter().collect(),
@@ -53,43 +56,46 @@
     }))
 }
 
+/// A dispatcher that has received one fleet view.
 pub fn dispatcher(targets: Vec<Target>, record: Option<Record>) -> Dispatcher {
     let mut dispatcher = Dispatcher::new("d1", ALLOWANCE, 7);
-    dispatcher.handle(Duration::ZERO, view(targets, record));
+    dispatcher.handle(Duration::ZERO, view_event(targets, record));
     dispatcher
 }
 
-/// The manager's word on other VMs' requests, while nothing waits for any target.
-pub fn told(others: HashMap<catalogue::TargetHash, u32>) -> Event {
+/// A sync update with the in-flight requests of other VMs, while no requests are queued.
+pub fn in_flight_update(others: HashMap<catalogue::TargetHash, u32>) -> Event {
     Event::Sync(SyncUpdate {
-        sync_interval: PAUSE,
+        sync_interval: SYNC_INTERVAL,
         others,
         ..SyncUpdate::default()
     })
 }
 
-/// The manager's word on one target for which requests wait.
-pub fn shared(others: u32, share: Quota) -> Event {
+/// A sync update for one target with queued requests: other VMs' in-flight requests and this VM's quota.
+pub fn quota_update(others: u32, quota: Quota) -> Event {
     Event::Sync(SyncUpdate {
-        sync_interval: PAUSE,
-        others: [(share.target, others)].into(),
-        quotas: [(share.target, share)].into(),
+        sync_interval: SYNC_INTERVAL,
+        others: [(quota.target, others)].into(),
+        quotas: [(quota.target, quota)].into(),
         ..SyncUpdate::default()
     })
 }
 
-pub fn busy(fresh: u32, line: u32) -> Quota {
+/// A quota for `t0` with requests within their goals, and how many more of these are queued at other VMs.
+pub fn busy_quota(within_goal_quota: u32, queued_elsewhere: u32) -> Quota {
     Quota {
         target: catalogue::hash("t0"),
-        within_goal: fresh,
+        within_goal: within_goal_quota,
         past_goal: 0,
-        others_within: line,
+        others_within: queued_elsewhere,
         busy: true,
         ..Quota::default()
     }
 }
 
-pub fn owned_by(target: &Target) -> Record {
+/// A record in which one target owns all keys with fencing token 5.
+pub fn record_owned_by(target: &Target) -> Record {
     let mut record = Record::unowned(99);
     record.ranges = vec![KeyRange {
         from: 0,
@@ -100,6 +106,7 @@
     record
 }
 
+/// A request without a key: 200 ms to its goal and 500 ms to its deadline.
 pub fn ask(ticket: u64, now: Duration) -> DispatchRequest {
     DispatchRequest {
         ticket,
@@ -116,6 +123,7 @@
     }
 }
 
+/// The same request for key 7.
 pub fn keyed(ticket: u64, now: Duration) -> DispatchRequest {
     DispatchRequest {
         point: Some(7),
@@ -123,31 +131,34 @@
     }
 }
 
+/// Returns the requests that were sent, each with its target.
 pub fn sent(effects: &[Effect]) -> Vec<(u64, String)> {
-    let send = |effect: &Effect| match effect {
+    let sent = |effect: &Effect| match effect {
         Effect::Send { ticket, target, .. } => Some((*ticket, target.id.clone())),
         Effect::Refuse { .. } => None,
     };
-    effects.iter().filter_map(send).collect()
+    effects.iter().filter_map(sent).collect()
 }
 
+/// Returns the requests that were refused, each with the reason.
 pub fn refused(effects: &[Effect]) -> Vec<(u64, RefusalReason)> {
-    let refuse = |effect: &Effect| match effect {
+    let refused = |effect: &Effect| match effect {
         Effect::Refuse {
             ticket,
-            reason: why,
+            reason: refusal_reason,
             ..
-        } => Some((*ticket, *why)),
+        } => Some((*ticket, *refusal_reason)),
         Effect::Send { .. } => None,
     };
-    effects.iter().filter_map(refuse).collect()
+    effects.iter().filter_map(refused).collect()
 }
 
-pub fn done(target: &str, ended: CompletionKind, sent: Duration) -> Event {
+/// The completion of a request at a target that was sent at `sent`.
+pub fn completed(target: &str, completion_kind: CompletionKind, sent: Duration) -> Event {
     Event::Completed {
         target: target.to_owned(),
         completion: Completion {
-            kind: ended,
+            kind: completion_kind,
             sent,
             depth: 0.0,
             load: None,
--- a/engine/tests/dispatch.rs
+++ b/engine/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where requests go, which wait and which are refused, each under the load that it answers.
+//! Which requests the dispatcher sends, queues or refuses, each under the load that the rule is for.
 
 mod desk_world;
 
@@ -11,12 +11,12 @@
 use proptest::prelude::*;
 
 use crate::desk_world::{
-    ALLOWANCE, ask, busy, dispatcher, done, keyed, ms, owned_by, refused, sent, shared, target,
-    told,
+    ALLOWANCE, ask, busy_quota, completed, dispatcher, in_flight_update, keyed, ms, quota_update,
+    record_owned_by, refused, sent, target,
 };
 
 #[test]
-fn requests_spread_over_targets_that_have_room() {
+fn requests_spread_over_targets_with_free_slots() {
     let targets = (0..3).map(|it| target(it, "d1")).collect();
     let mut dispatcher = dispatcher(targets, None);
     let mut counts: HashMap<String, u32> = HashMap::new();
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn other_vms_requests_count_as_own() {
+fn requests_of_other_vms_count_as_load() {
     let mut dispatcher = dispatcher(vec![target(0, "d1"), target(1, "d1")], None);
     let others = HashMap::from([(catalogue::hash("t0"), 4)]);
-    dispatcher.handle(ms(1), told(others));
+    dispatcher.handle(ms(1), in_flight_update(others));
     for ticket in 0..3 {
         let effects = dispatcher.handle(ms(2), Event::Request(ask(ticket, ms(2))));
         assert_eq!(sent(&effects)[0].1, "t1");
@@ -40,148 +40,177 @@
 }
 
 #[test]
-fn a_full_target_makes_requests_wait_and_serves_them_by_rank() {
+fn requests_for_a_full_target_are_queued_and_sent_by_priority() {
     let mut dispatcher = dispatcher(vec![target(0, "d1")], None);
     let others = HashMap::from([(catalogue::hash("t0"), 7)]);
-    dispatcher.handle(ms(1), told(others));
-    let mut late = ask(1, ms(2));
-    late.deadline = ms(5000);
-    late.goal = ms(4000);
-    let mut urgent = late.clone();
+    dispatcher.handle(ms(1), in_flight_update(others));
+    let mut normal = ask(1, ms(2));
+    normal.deadline = ms(5000);
+    normal.goal = ms(4000);
+    let mut urgent = normal.clone();
     (urgent.ticket, urgent.priority) = (2, 0);
-    assert!(dispatcher.handle(ms(2), Event::Request(late)).is_empty());
+    assert!(dispatcher.handle(ms(2), Event::Request(normal)).is_empty());
     assert!(dispatcher.handle(ms(2), Event::Request(urgent)).is_empty());
     assert_eq!(dispatcher.queue_len(), 2);
-    let effects = dispatcher.handle(ms(10), shared(6, busy(1, 0)));
+    let effects = dispatcher.handle(ms(10), quota_update(6, busy_quota(1, 0)));
     assert_eq!(sent(&effects), [(2, "t0".to_owned())]);
 }
 
-/// All VMs hear at the same moment that a busy target's queue has become short.
+/// All VMs learn at the same moment that the queue of a busy target is short. If each sent without a quota, together
+/// they would overflow it.
 #[test]
-fn without_a_share_of_its_room_nothing_is_sent_to_a_busy_target() {
-    let mut dispatcher = dispatcher(vec![target(0, "d1")], Some(owned_by(&target(0, "d1"))));
-    dispatcher.handle(ms(1), told(HashMap::from([(catalogue::hash("t0"), 7)])));
+fn nothing_is_sent_to_a_busy_target_without_a_quota() {
+    let mut dispatcher = dispatcher(
+        vec![target(0, "d1")],
+        Some(record_owned_by(&target(0, "d1"))),
+    );
+    dispatcher.handle(
+        ms(1),
+        in_flight_update(HashMap::from([(catalogue::hash("t0"), 7)])),
+    );
     for ticket in 0..3 {
-        let mut it = keyed(ticket, ms(2));
-        it.goal = ms(1000);
-        it.deadline = ms(2000);
-        assert!(dispatcher.handle(ms(2), Event::Request(it)).is_empty());
+        let mut request = keyed(ticket, ms(2));
+        request.goal = ms(1000);
+        request.deadline = ms(2000);
+        assert!(dispatcher.handle(ms(2), Event::Request(request)).is_empty());
     }
     let queues = dispatcher.take_snapshot(ms(12)).queues;
     assert_eq!(queues.len(), 1);
     assert_eq!(queues[0].within_goal, 3);
     let first = queues[0].first[0];
-    assert_eq!((first.priority, first.age_ms), (1, 10), "rank and age");
-    let none = dispatcher.handle(ms(14), shared(1, busy(0, 5)));
-    assert!(none.is_empty(), "others wait longer: {none:?}");
-    let two = dispatcher.handle(ms(54), shared(1, busy(2, 4)));
-    assert_eq!(sent(&two).len(), 2);
+    assert_eq!((first.priority, first.age_ms), (1, 10), "priority and age");
+    let without_quota = dispatcher.handle(ms(14), quota_update(1, busy_quota(0, 5)));
+    assert!(
+        without_quota.is_empty(),
+        "other VMs' requests have waited longer: {without_quota:?}"
+    );
+    let with_quota = dispatcher.handle(ms(54), quota_update(1, busy_quota(2, 4)));
+    assert_eq!(sent(&with_quota).len(), 2);
     assert!(
         dispatcher.handle(ms(60), Event::Tick).is_empty(),
-        "the share is used up"
+        "the quota is used up"
     );
 }
 
-/// A line as long as the goal for as long as the goal: late ones take places from others only.
+/// Once the backlog has exceeded the goal for as long as the goal itself, a request that would miss its goal
+/// would only take slots from requests that can still meet theirs.
 #[test]
-fn late_requests_are_refused_at_once_while_a_line_lasts() {
-    let mut dispatcher = dispatcher(vec![target(0, "d1")], Some(owned_by(&target(0, "d1"))));
+fn requests_that_would_miss_their_goal_are_refused_while_a_backlog_lasts() {
+    let mut dispatcher = dispatcher(
+        vec![target(0, "d1")],
+        Some(record_owned_by(&target(0, "d1"))),
+    );
     for _ in 0..20 {
-        dispatcher.handle(ms(1), done("t0", CompletionKind::Answered(ms(60)), ms(0)));
+        dispatcher.handle(
+            ms(1),
+            completed("t0", CompletionKind::Answered(ms(60)), ms(0)),
+        );
     }
-    dispatcher.handle(ms(2), shared(4, busy(0, 10)));
-    let early = dispatcher.handle(ms(3), Event::Request(keyed(1, ms(3))));
-    assert!(early.is_empty(), "it may be a passing burst: {early:?}");
+    dispatcher.handle(ms(2), quota_update(4, busy_quota(0, 10)));
+    let at_onset = dispatcher.handle(ms(3), Event::Request(keyed(1, ms(3))));
+    assert!(
+        at_onset.is_empty(),
+        "not queued, though this may be a short burst: {at_onset:?}"
+    );
     for at in (40..=240).step_by(40) {
-        dispatcher.handle(ms(at), shared(4, busy(0, 10)));
+        dispatcher.handle(ms(at), quota_update(4, busy_quota(0, 10)));
     }
     let effects = dispatcher.handle(ms(241), Event::Request(keyed(2, ms(241))));
     let [
         Effect::Refuse {
-            reason: why,
-            retry_after: retry,
+            reason: refusal_reason,
+            retry_after: delay,
             ..
         },
     ] = &effects[..]
     else {
         panic!("not refused: {effects:?}");
     };
-    assert_eq!(*why, RefusalReason::Goal);
-    // Ten in line and three in the queue, at one each 30 ms.
-    assert!(*retry > ms(300) && *retry < ms(600), "{retry:?}");
+    assert_eq!(*refusal_reason, RefusalReason::Goal);
+    // Ten requests wait at other VMs, three more are queued, and one completes every 30 ms.
+    assert!(*delay > ms(300) && *delay < ms(600), "{delay:?}");
 }
 
 #[test]
-fn what_can_not_be_answered_in_time_is_refused_at_once_with_a_time_to_come_back() {
+fn requests_that_would_miss_their_deadline_are_refused_with_a_retry_after() {
     let mut dispatcher = dispatcher(vec![target(0, "d1")], None);
     for ticket in 0..20 {
-        dispatcher.handle(ms(1), done("t0", CompletionKind::Answered(ms(300)), ms(0)));
+        dispatcher.handle(
+            ms(1),
+            completed("t0", CompletionKind::Answered(ms(300)), ms(0)),
+        );
         let _ = ticket;
     }
     let others = HashMap::from([(catalogue::hash("t0"), 4)]);
-    dispatcher.handle(ms(2), told(others));
+    dispatcher.handle(ms(2), in_flight_update(others));
     let effects = dispatcher.handle(ms(3), Event::Request(ask(99, ms(3))));
     let [
         Effect::Refuse {
-            reason: why,
-            retry_after: retry,
+            reason: refusal_reason,
+            retry_after: delay,
             ..
         },
     ] = &effects[..]
     else {
         panic!("not refused: {effects:?}");
     };
-    assert_eq!(*why, RefusalReason::Late);
-    assert!(*retry >= ms(20) && *retry < ms(2000), "{retry:?}");
+    assert_eq!(*refusal_reason, RefusalReason::Late);
+    assert!(*delay >= ms(20) && *delay < ms(2000), "{delay:?}");
 }
 
 #[test]
-fn late_requests_stand_behind_those_that_can_still_make_the_goal() {
+fn requests_past_their_goal_wait_behind_those_within_it() {
     let mut dispatcher = dispatcher(vec![target(0, "d1")], None);
     let others = HashMap::from([(catalogue::hash("t0"), 3)]);
-    dispatcher.handle(ms(1), told(others));
-    let mut late = ask(1, ms(2));
-    late.goal = ms(3);
+    dispatcher.handle(ms(1), in_flight_update(others));
+    let mut older = ask(1, ms(2));
+    older.goal = ms(3);
     assert!(
-        dispatcher.handle(ms(2), Event::Request(late)).is_empty(),
-        "it waits"
+        dispatcher.handle(ms(2), Event::Request(older)).is_empty(),
+        "it is queued"
     );
     let effects = dispatcher.handle(ms(3), Event::Request(ask(2, ms(3))));
     assert_eq!(
         sent(&effects),
         [(2, "t0".to_owned())],
-        "the newer one goes first"
+        "the newer request is sent first"
     );
 }
 
 #[test]
-fn a_target_that_fails_fast_gets_little() {
+fn a_target_that_fails_fast_gets_few_requests() {
     let targets: Vec<_> = (0..3).map(|it| target(it, "d1")).collect();
     let mut dispatcher = dispatcher(targets, None);
     let mut now = ms(1);
-    let mut at_bad = 0;
+    let mut at_failing = 0;
     for ticket in 0..200 {
         now += ms(10);
         let effects = dispatcher.handle(now, Event::Request(ask(ticket, now)));
         let id = sent(&effects)[0].1.clone();
-        let ended = if id == "t0" {
-            at_bad += u32::from(ticket >= 50);
+        let completion_kind = if id == "t0" {
+            at_failing += u32::from(ticket >= 50);
             CompletionKind::Failed
         } else {
             CompletionKind::Answered(ms(60))
         };
-        dispatcher.handle(now + ms(2), done(&id, ended, now));
+        dispatcher.handle(now + ms(2), completed(&id, completion_kind, now));
     }
-    assert!(at_bad < 15, "{at_bad} of 150 went to the target that fails");
+    assert!(
+        at_failing < 15,
+        "{at_failing} of 150 were sent to the failing target"
+    );
 }
 
 #[test]
-fn a_target_that_has_turned_slow_shows_before_its_first_answer() {
+fn a_target_that_has_become_slow_is_avoided_before_it_answers() {
     let targets: Vec<_> = (0..2).map(|it| target(it, "d1")).collect();
     let mut dispatcher = dispatcher(targets, None);
     for _ in 0..10 {
         for id in ["t0", "t1"] {
-            dispatcher.handle(ms(1), done(id, CompletionKind::Answered(ms(60)), ms(0)));
+            dispatcher.handle(
+                ms(1),
+                completed(id, CompletionKind::Answered(ms(60)), ms(0)),
+            );
         }
     }
     let first = sent(&dispatcher.handle(ms(10), Event::Request(ask(1, ms(10)))))[0]
@@ -193,7 +222,7 @@
     assert_ne!(first, second);
     dispatcher.handle(
         ms(70),
-        done(&second, CompletionKind::Answered(ms(60)), ms(10)),
+        completed(&second, CompletionKind::Answered(ms(60)), ms(10)),
     );
     let now = ms(700);
     for ticket in 3..5 {
@@ -201,113 +230,126 @@
         assert_eq!(
             sent(&effects)[0].1,
             second,
-            "the other holds a request for 690 ms"
+            "the other target has not answered a request for 690 ms"
         );
     }
 }
 
-/// Files are large, and bytes between failure domains are paid for.
+/// Responses such as files are large, and traffic between failure domains costs money.
 #[test]
-fn large_answers_come_from_near_while_that_is_in_time() {
+fn large_responses_come_from_the_local_domain_while_that_meets_the_goal() {
     let mut dispatcher = dispatcher(vec![target(0, "d2"), target(1, "d1")], None);
     for _ in 0..20 {
         for id in ["t0", "t1"] {
-            dispatcher.handle(ms(1), done(id, CompletionKind::Answered(ms(80)), ms(0)));
+            dispatcher.handle(
+                ms(1),
+                completed(id, CompletionKind::Answered(ms(80)), ms(0)),
+            );
         }
     }
-    let places: Vec<String> = (0..5)
+    let chosen: Vec<String> = (0..5)
         .map(|ticket| {
-            let mut asked = ask(ticket, ms(1));
-            asked.large = true;
-            sent(&dispatcher.handle(ms(1), Event::Request(asked)))[0]
+            let mut request = ask(ticket, ms(1));
+            request.large = true;
+            sent(&dispatcher.handle(ms(1), Event::Request(request)))[0]
                 .1
                 .clone()
         })
         .collect();
-    // 80 ms a request, two slots and a goal of 200 ms: a fourth is in time, a fifth isn't.
-    assert_eq!(places, ["t1", "t1", "t1", "t1", "t0"]);
+    // At 80 ms a request, two slots and a goal of 200 ms, a fourth request meets its goal and a fifth doesn't.
+    assert_eq!(chosen, ["t1", "t1", "t1", "t1", "t0"]);
 }
 
 #[test]
-fn repeats_draw_on_the_budget() {
+fn retries_spend_the_budget() {
     let targets = (0..3).map(|it| target(it, "d1")).collect();
     let mut dispatcher = dispatcher(targets, None);
-    let mut repeated = 0;
+    let mut retried = 0;
     for ticket in 0..40 {
         let now = ALLOWANCE.window + ms(ticket);
-        let mut again = ask(ticket, now);
-        again.is_retry = true;
-        let effects = dispatcher.handle(now, Event::Request(again));
+        let mut request = ask(ticket, now);
+        request.is_retry = true;
+        let effects = dispatcher.handle(now, Event::Request(request));
         for (_, id) in sent(&effects) {
-            repeated += 1;
-            dispatcher.handle(now, done(&id, CompletionKind::Answered(ms(1)), now));
+            retried += 1;
+            dispatcher.handle(now, completed(&id, CompletionKind::Answered(ms(1)), now));
         }
-        let out = refused(&effects);
-        assert!(out.iter().all(|(_, why)| *why == RefusalReason::Budget));
+        let refusals = refused(&effects);
+        assert!(
+            refusals
+                .iter()
+                .all(|(_, reason)| *reason == RefusalReason::Budget)
+        );
     }
-    // A slack of 20 for two VMs, of which four fifths are used.
-    assert_eq!(repeated, 8);
+    // The slack of 20 is divided between two VMs, and each uses four fifths of its part.
+    assert_eq!(retried, 8);
 }
 
-/// Targets that turn away half of their work though they have room soon use up the budget; what
-/// comes again by its caller is new, and half of it is taken.
+/// Targets that refuse half of their requests although they have free slots soon exhaust the retry budget. A request
+/// that the caller sends again counts as new, and half of these are accepted, so the caller should retry soon.
 #[test]
-fn without_a_budget_callers_are_told_to_come_back_when_a_place_is_free() {
-    let mut dispatcher = dispatcher(vec![target(0, "d1")], Some(owned_by(&target(0, "d1"))));
+fn refusals_for_lack_of_budget_carry_the_time_until_a_slot_is_free() {
+    let mut dispatcher = dispatcher(
+        vec![target(0, "d1")],
+        Some(record_owned_by(&target(0, "d1"))),
+    );
     for _ in 0..20 {
-        dispatcher.handle(ms(1), done("t0", CompletionKind::Answered(ms(60)), ms(0)));
+        dispatcher.handle(
+            ms(1),
+            completed("t0", CompletionKind::Answered(ms(60)), ms(0)),
+        );
     }
     let now = ALLOWANCE.window + ms(2);
-    let mut told = Vec::new();
+    let mut delays = Vec::new();
     for ticket in 0..40 {
-        let mut again = keyed(ticket, now);
-        again.is_retry = true;
-        for effect in dispatcher.handle(now, Event::Request(again)) {
+        let mut request = keyed(ticket, now);
+        request.is_retry = true;
+        for effect in dispatcher.handle(now, Event::Request(request)) {
             match effect {
                 Effect::Send { .. } => {
-                    dispatcher.handle(now, done("t0", CompletionKind::Refused, now));
+                    dispatcher.handle(now, completed("t0", CompletionKind::Refused, now));
                 }
                 Effect::Refuse {
-                    reason: why,
-                    retry_after: retry,
+                    reason: refusal_reason,
+                    retry_after: delay,
                     ..
                 } => {
-                    assert_eq!(why, RefusalReason::Budget);
-                    told.push(retry);
+                    assert_eq!(refusal_reason, RefusalReason::Budget);
+                    delays.push(delay);
                 }
             }
         }
     }
-    assert!((1..40).contains(&told.len()), "{told:?}");
-    // Two slots and 60 ms a request: one ends every 30 ms.
-    assert!(told.iter().all(|it| *it <= ms(35)), "{told:?}");
+    assert!((1..40).contains(&delays.len()), "{delays:?}");
+    // With two slots and 60 ms a request, one completes every 30 ms.
+    assert!(delays.iter().all(|it| *it <= ms(35)), "{delays:?}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Each request is decided once, and none is forgotten.
+    /// Each request is sent or refused once, or is still queued at the end.
     #[test]
     fn every_request_is_decided_once(gaps in prop::collection::vec((0..30_u64, 0..3_u8), 1..120)) {
         let targets: Vec<_> = (0..3).map(|it| target(it, "d1")).collect();
         let mut dispatcher = dispatcher(targets, None);
         let mut now = ms(1);
         let mut decided: HashMap<u64, u32> = HashMap::new();
-        let mut under_way: Vec<(String, Duration)> = Vec::new();
-        let mut asked = 0;
+        let mut in_flight: Vec<(String, Duration)> = Vec::new();
+        let mut submitted = 0;
         for (gap, kind) in gaps {
             now += ms(gap);
-            let effects = match (kind, under_way.pop()) {
-                (0, Some((id, at))) => dispatcher.handle(now, done(&id, CompletionKind::Answered(now.saturating_sub(at)), at)),
+            let effects = match (kind, in_flight.pop()) {
+                (0, Some((id, at))) => dispatcher.handle(now, completed(&id, CompletionKind::Answered(now.saturating_sub(at)), at)),
                 (_, other) => {
-                    under_way.extend(other);
-                    asked += 1;
-                    dispatcher.handle(now, Event::Request(ask(asked, now)))
+                    in_flight.extend(other);
+                    submitted += 1;
+                    dispatcher.handle(now, Event::Request(ask(submitted, now)))
                 }
             };
             for (ticket, id) in sent(&effects) {
                 *decided.entry(ticket).or_default() += 1;
-                under_way.push((id, now));
+                in_flight.push((id, now));
             }
             for (ticket, _) in refused(&effects) {
                 *decided.entry(ticket).or_default() += 1;
@@ -320,7 +362,7 @@
         for (ticket, _) in refused(&last) {
             *decided.entry(ticket).or_default() += 1;
         }
-        prop_assert_eq!(decided.len() as u64 + dispatcher.queue_len() as u64, asked);
+        prop_assert_eq!(decided.len() as u64 + dispatcher.queue_len() as u64, submitted);
         prop_assert!(decided.values().all(|count| *count == 1));
     }
 }
