--- a/engine/tests/goodput.rs
+++ b/engine/tests/goodput.rs
@@ -49,7 +49,7 @@
     let possible = scenario.capacity().min(scenario.request_rate) * seconds;
     let fraction = outcome.in_time as f64 / possible;
     println!(
-        "vms={} load={load} part={fraction:.3} asked={} refused={} broken={}",
+        "vms={} load={load} goodput={fraction:.3} submitted={} refused={} reset={}",
         scenario.vms, outcome.submitted, outcome.refused, outcome.reset
     );
     fraction
