--- a/engine/tests/dispatch.rs
+++ b/engine/tests/dispatch.rs
@@ -1,6 +1,6 @@
 //! Which requests the dispatcher sends, queues or refuses, each under the load that the rule is for.
 
-mod desk_world;
+mod dispatch_fixture;
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,7 +10,7 @@
 };
 use proptest::prelude::*;
 
-use crate::desk_world::{
+use crate::dispatch_fixture::{
     ALLOWANCE, ask, busy_quota, completed, dispatcher, in_flight_update, keyed, ms, quota_update,
     record_owned_by, refused, sent, target,
 };
--- a/engine/tests/dispatch_owners.rs
+++ b/engine/tests/dispatch_owners.rs
@@ -1,13 +1,13 @@
 //! Where requests go and which are queued while keys and target addresses change owners.
 
-mod desk_world;
+mod dispatch_fixture;
 
 use bramleypier_engine::{
     owner::record::Record,
     placement::dispatch::{CompletionKind, DispatchRequest, Dispatcher, Event, RefusalReason},
 };
 
-use crate::desk_world::{
+use crate::dispatch_fixture::{
     ask, completed, dispatcher, keyed, ms, record_owned_by, refused, sent, target, view_event,
 };
 
--- a/engine/tests/evacuation.rs
+++ b/engine/tests/evacuation.rs
@@ -1,7 +1,7 @@
 //! Tests how VMs and the manager treat evacuated failure domains and cold targets, whether they learn of them from
 //! changes or from listings.
 
-mod desk_world;
+mod dispatch_fixture;
 mod fleet_fixture;
 
 use std::time::Duration;
@@ -19,7 +19,7 @@
 use indexmap::IndexMap;
 
 use crate::{
-    desk_world::{ask, dispatcher, ms, refused},
+    dispatch_fixture::{ask, dispatcher, ms, refused},
     fleet_fixture::{TextCatalogue, WARMUP_DURATION, put, removed, store_keys},
 };
 
@@ -146,7 +146,7 @@
     Target {
         id: format!("t{number}"),
         address: ([127, 0, 0, 1], 9000 + number).into(),
-        ..desk_world::target(number, "d1")
+        ..dispatch_fixture::target(number, "d1")
     }
 }
 
