--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -126,7 +126,7 @@
     let ask = DispatchRequest {
         ticket: 0,
         service: routed.service.clone(),
-        point: routed.info.key.filter(|_| routed.keyed),
+        key: routed.info.key.filter(|_| routed.keyed),
         priority: routed.route.priority,
         received_at: routed.arrived,
         goal: routed.goal_deadline,
--- a/engine/src/follow.rs
+++ b/engine/src/follow.rs
@@ -51,7 +51,7 @@
     /// Whether the manager answers and relays changes; always unhealthy on the manager itself.
     pub manager_health: Health,
     /// Whether this VM is the manager.
-    pub leading: Rc<Cell<bool>>,
+    pub is_manager: Rc<Cell<bool>>,
     /// The clock.
     pub clock: Clock,
     /// The log and the metrics.
@@ -177,7 +177,7 @@
     /// Waits for the response of a known manager: otherwise all VMs would call the store at the same time.
     async fn wait_for_manager(&self) {
         let context = &self.context;
-        if context.leading.get() || context.shared_fleet.get().manager.is_none() {
+        if context.is_manager.get() || context.shared_fleet.get().manager.is_none() {
             return;
         }
         // After a timeout this VM calls the store itself.
@@ -233,7 +233,7 @@
         });
         context.report.lines(&log_lines);
         if !batch.changes.is_empty() {
-            let delay = if context.leading.get() {
+            let delay = if context.is_manager.get() {
                 BATCH_DELAY
             } else {
                 DIRECT_BATCH_DELAY
--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -32,7 +32,7 @@
             return;
         }
         self.bidding = true;
-        self.timing = self.context.spans.timing(fleet.vms.len());
+        self.timing = self.context.lease_limits.timing(fleet.vms.len());
         let span = self.timing.lease;
         self.bid_at = Some(now + BID_PAUSE);
         let (context, sender) = (self.context.clone(), self.sender.clone());
@@ -76,7 +76,7 @@
     /// Forgets the lease: this VM isn't the manager any more.
     pub(super) fn drop_lease(&mut self) {
         self.lease = None;
-        self.context.leading.set(false);
+        self.context.is_manager.set(false);
     }
 
     /// Handles the end of a bid, which was sent at `sent`; on success this VM is the manager.
@@ -86,7 +86,7 @@
             Ok(Some(lease)) => {
                 self.log(&format!("event=manager-elected lease={}", lease.id));
                 self.lease = Some((lease.id, sent + lease.duration));
-                self.context.leading.set(true);
+                self.context.is_manager.set(true);
                 self.renew_at = self.now() + self.renew_interval();
                 // Services from an earlier lease are resumed if their records are unchanged.
                 for managed in self.services.values_mut() {
@@ -103,7 +103,7 @@
         let Some((id, until)) = self.lease else {
             return;
         };
-        if now >= until && self.context.leading.replace(false) {
+        if now >= until && self.context.is_manager.replace(false) {
             // The lease may still exist in the store, where expiry can be suspended; the next renewal shows whether
             // it does.
             self.log("event=lease-uncertain cause=not-renewed-in-time");
@@ -145,7 +145,7 @@
         let Some((_, until)) = self.lease else {
             return;
         };
-        if self.now() < until && !self.context.leading.replace(true) {
+        if self.now() < until && !self.context.is_manager.replace(true) {
             self.log("event=lease-regained");
         }
         let verified = self.services.iter().filter(|(_, managed)| managed.verified);
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -82,7 +82,7 @@
     /// Decodes entries of the store.
     pub catalogue: Rc<dyn Catalogue>,
     /// Whether this VM holds the lease; set by this task.
-    pub leading: Rc<Cell<bool>>,
+    pub is_manager: Rc<Cell<bool>>,
     /// When the store last answered; set by this task.
     pub store_health: Health,
     /// Keys in the store.
@@ -92,7 +92,7 @@
     /// The log and the metrics.
     pub report: Report,
     /// The platform's limits for leases and grants.
-    pub spans: LeaseLimits,
+    pub lease_limits: LeaseLimits,
 }
 
 impl std::fmt::Debug for Context {
@@ -151,7 +151,7 @@
 /// Starts the task and returns the sender of its messages.
 pub fn start(context: Context) -> mpsc::UnboundedSender<Message> {
     let (sender, receiver) = mpsc::unbounded();
-    let timing = context.spans.timing(1);
+    let timing = context.lease_limits.timing(1);
     let manager = Manager {
         context,
         sender: sender.clone(),
@@ -241,7 +241,7 @@
         let Some(managed) = self.services.get_mut(service) else {
             return;
         };
-        let effects = managed.ownership.on(now, event);
+        let effects = managed.ownership.handle(now, event);
         self.apply_effects(service, effects);
     }
 
@@ -294,7 +294,7 @@
         self.remove_stale_entry(now);
         self.bid_if_vacant(now);
         self.renew_lease(now);
-        if self.context.leading.get() {
+        if self.context.is_manager.get() {
             self.take_over_services();
         }
         self.forward_closed_connections(now);
--- a/engine/src/owner/manager/records.rs
+++ b/engine/src/owner/manager/records.rs
@@ -71,7 +71,7 @@
                 ));
                 return;
             }
-            None => Record::unowned(self.context.targets.last_point()),
+            None => Record::unowned(self.context.targets.last_key()),
         };
         let timing = self.timing;
         let now = self.now();
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -77,7 +77,7 @@
 /// let now = Duration::ZERO;
 /// let (mut ownership, effects) = ServiceOwnership::take_over("vm-1", Record::unowned(99), timing, now);
 /// assert!(matches!(&effects[..], [Effect::Commit(record)] if record.term == 1));
-/// assert!(ownership.on(now, Event::Committed).is_empty());
+/// assert!(ownership.handle(now, Event::Committed).is_empty());
 /// ```
 #[derive(Debug)]
 pub struct ServiceOwnership {
@@ -236,7 +236,7 @@
     /// # Example
     ///
     /// See [`ServiceOwnership`].
-    pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
+    pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut out = Vec::new();
         match event {
             Event::Targets(targets) => self.set_targets(targets),
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -22,7 +22,7 @@
 /// A summary of one service's owners record, as a VM knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Owned {
+pub struct RecordSummary {
     /// The term of the manager that wrote the record.
     pub term: Term,
     /// The number of key ranges.
@@ -48,7 +48,8 @@
     /// The VM that it considers the manager.
     pub manager: Option<String>,
     /// Whether it is the manager.
-    pub leading: bool,
+    #[serde(rename = "leading")]
+    pub is_manager: bool,
     /// The version of the configuration in force.
     pub version: Version,
     /// The number of announced targets, draining ones included.
@@ -60,7 +61,7 @@
     /// Targets that are cold or may be cold, with the remaining time, in milliseconds.
     pub cold: IndexMap<TargetId, u64>,
     /// The services with owners records.
-    pub services: IndexMap<ServiceId, Owned>,
+    pub services: IndexMap<ServiceId, RecordSummary>,
     /// The VMs that it knows.
     pub vms: Vec<Vm>,
 }
@@ -70,7 +71,7 @@
     fn new(context: &Context, fleet: &Fleet) -> Self {
         let services = fleet.records.iter().map(|(name, recorded)| {
             let parts = &recorded.record.ranges;
-            let owned = Owned {
+            let owned = RecordSummary {
                 term: recorded.record.term,
                 ranges: parts.len(),
                 owned: parts.iter().filter(|part| part.owner.is_some()).count(),
@@ -91,7 +92,7 @@
             ready: fleet.is_ready(),
             store: context.store_health.is_healthy(),
             manager: fleet.manager.as_ref().map(|vm| vm.name.clone()),
-            leading: context.leading.get(),
+            is_manager: context.is_manager.get(),
             version: fleet.config.as_ref().map_or(0, |it| it.version),
             targets: fleet.targets.len(),
             leaving: fleet.targets.values().filter(|it| it.leaving).count(),
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -5,7 +5,7 @@
 //! milliseconds, and one VM watches the store instead of all.
 
 pub mod admin;
-mod board;
+mod fleet_load;
 pub mod sync;
 pub mod sync_interval;
 
@@ -21,7 +21,7 @@
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 
-pub use self::board::FleetLoad;
+pub use self::fleet_load::FleetLoad;
 use crate::{
     catalogue::{ServiceId, TargetHash},
     fleet::{LogPosition, Relay},
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -54,7 +54,7 @@
     /// Whether this VM relies on the manager's responses; updated here.
     pub manager_health: Health,
     /// Whether this VM is the manager.
-    pub leading: Rc<Cell<bool>>,
+    pub is_manager: Rc<Cell<bool>>,
     /// The in-flight and queued requests of all VMs, if this VM is the manager.
     pub fleet_load: Rc<RefCell<FleetLoad>>,
     /// How much later than requested this process wakes up.
@@ -104,7 +104,7 @@
     fn handle_sync(&self, message: SyncRequest) -> SyncResponse {
         self.report.merge(message.stamp);
         let now = self.clock.now();
-        let healthy = self.leading.get()
+        let healthy = self.is_manager.get()
             && self.store_health.is_healthy()
             && self
                 .store_health
@@ -128,7 +128,7 @@
         };
         // The send can't fail: the manager task runs until the process ends.
         let _ = self.manager.unbounded_send(load);
-        if self.leading.get() && message.to_manager {
+        if self.is_manager.get() && message.to_manager {
             let _ = self
                 .manager
                 .unbounded_send(manager::Message::SyncReceived(message.start.clone()));
@@ -164,7 +164,7 @@
             self.report.line(&format!(
                 "event={event} lag_ms={} leading={}",
                 lag.mean().as_millis(),
-                self.leading.get()
+                self.is_manager.get()
             ));
         }
     }
@@ -295,7 +295,7 @@
         }
         if let Some(response) = &response {
             // The manager's own sync requests need no exchange.
-            lag = if context.leading.get() {
+            lag = if context.is_manager.get() {
                 Duration::ZERO
             } else {
                 response.lag
--- a/engine/src/placement/budget.rs
+++ b/engine/src/placement/budget.rs
@@ -18,7 +18,7 @@
 
 /// The retries that all VMs together may send within a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct RetryAllowance {
     /// Retries allowed per request in the window.
     pub ratio: f64,
     /// Retries allowed in the window in addition to those.
@@ -73,9 +73,9 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_engine::placement::budget::{Allowance, RetryBudget};
+/// use bramleypier_engine::placement::budget::{RetryAllowance, RetryBudget};
 ///
-/// let allowance = Allowance { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
+/// let allowance = RetryAllowance { ratio: 0.2, slack: 0.0, window: Duration::from_secs(10) };
 /// let retries = |now| {
 ///     let mut budget = RetryBudget::new(Duration::ZERO);
 ///     for _ in 0..100 {
@@ -121,7 +121,7 @@
     /// # Example
     ///
     /// See [`RetryBudget`].
-    pub fn count(&mut self, now: Duration, allowance: Allowance) {
+    pub fn count(&mut self, now: Duration, allowance: RetryAllowance) {
         self.slice(now, allowance).requests += 1;
     }
 
@@ -132,7 +132,7 @@
     /// # Example
     ///
     /// See [`RetryBudget`].
-    pub fn spend(&mut self, now: Duration, allowance: Allowance, vms: usize) -> Balance {
+    pub fn spend(&mut self, now: Duration, allowance: RetryAllowance, vms: usize) -> Balance {
         let balance = self.balance(now, allowance, vms);
         if balance.allows_retry() {
             self.slice(now, allowance).retries += 1;
@@ -141,7 +141,7 @@
     }
 
     /// Returns the state of the budget.
-    fn balance(&mut self, now: Duration, allowance: Allowance, vms: usize) -> Balance {
+    fn balance(&mut self, now: Duration, allowance: RetryAllowance, vms: usize) -> Balance {
         let newest = self.slice(now, allowance).number;
         // Retries of the oldest slice may still be in the window, so they count; its requests no longer earn any.
         let in_window = |it: &&Slice| it.number + u64::from(SLICES) > newest;
@@ -169,7 +169,7 @@
     }
 
     /// Returns the slice of a time, and drops slices that are entirely outside the window.
-    fn slice(&mut self, now: Duration, allowance: Allowance) -> &mut Slice {
+    fn slice(&mut self, now: Duration, allowance: RetryAllowance) -> &mut Slice {
         let slice_length = (allowance.window / SLICES).max(Duration::from_millis(1));
         let number = u64::try_from(now.as_nanos() / slice_length.as_nanos()).unwrap_or(u64::MAX);
         let expired = |it: &Slice| it.number + u64::from(SLICES) < number;
--- a/engine/src/placement/completion.rs
+++ b/engine/src/placement/completion.rs
@@ -34,7 +34,7 @@
     /// How the request ended.
     pub kind: CompletionKind,
     /// When the request was sent.
-    pub sent: Duration,
+    pub sent_at: Duration,
     /// The estimated number of requests at the target when this one was sent.
     pub depth: f64,
     /// The load that the target reported with its answer.
--- a/engine/src/placement/dispatch/admission.rs
+++ b/engine/src/placement/dispatch/admission.rs
@@ -91,7 +91,7 @@
             return Decision::Refuse(RefusalReason::Late, excess.max(MIN_RETRY_AFTER), basis);
         }
         let within_goal = basis.expected <= request.goal.saturating_sub(now);
-        let keyed = request.point.is_some();
+        let keyed = request.key.is_some();
         let uses_quota = self.state.uses_quota(now, self.typical_time, keyed);
         let rate_limited = self.state.rate().is_some();
         if rate_limited && !(uses_quota && keyed) {
@@ -111,7 +111,7 @@
     fn basis(&self, now: Duration, request: &DispatchRequest) -> Basis {
         Basis {
             target: self.state.target.id.clone(),
-            point: request.point,
+            key: request.key,
             depth: self.state.depth(now),
             expected: Duration::from_secs_f64(self.state.expected_time(now, self.typical_time)),
             completion_interval: self.state.completion_interval(now, self.typical_time),
--- a/engine/src/placement/dispatch/choose.rs
+++ b/engine/src/placement/dispatch/choose.rs
@@ -62,7 +62,7 @@
                 self.owner_basis(request),
             );
         }
-        match (request.point, self.view.records.get(&request.service)) {
+        match (request.key, self.view.records.get(&request.service)) {
             (Some(point), Some(record)) => {
                 let record = record.clone();
                 self.choose_owner(now, request, queue_state, point, &record)
@@ -141,7 +141,7 @@
     fn owner_basis(&self, request: &DispatchRequest) -> Basis {
         let record = self.view.records.get(&request.service);
         let range = record
-            .zip(request.point)
+            .zip(request.key)
             .and_then(|(record, point)| record.find(point));
         let owner = range.and_then(|range| range.owner.as_ref());
         Basis {
--- a/engine/src/placement/dispatch/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -27,7 +27,7 @@
     Snapshot, SyncUpdate, Ticket,
 };
 use super::{
-    budget::{Allowance, Balance, RetryBudget},
+    budget::{Balance, RetryAllowance, RetryBudget},
     rates::Rates,
     refused_keys::RefusedKeys,
     target_state::TargetState,
@@ -62,7 +62,7 @@
     vm: VmId,
     domain: DomainId,
     burst_allowance: BurstAllowance,
-    retry_allowance: Allowance,
+    retry_allowance: RetryAllowance,
     /// When the process started, which is the time of its first event.
     started_at: Option<Duration>,
     view: Rc<FleetView>,
@@ -95,15 +95,15 @@
     /// use std::time::Duration;
     ///
     /// use bramleypier_engine::placement::{
-    ///     budget::Allowance,
+    ///     budget::RetryAllowance,
     ///     dispatch::{Dispatcher, Event},
     /// };
     ///
-    /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
+    /// let allowance = RetryAllowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
     /// let mut dispatcher = Dispatcher::new("domain-1", allowance, 1);
     /// assert!(dispatcher.handle(Duration::ZERO, Event::Tick).is_empty());
     /// ```
-    pub fn new(domain: &str, retry_allowance: Allowance, seed: u64) -> Self {
+    pub fn new(domain: &str, retry_allowance: RetryAllowance, seed: u64) -> Self {
         Self {
             vm: VmId::new(),
             domain: domain.to_owned(),
@@ -134,9 +134,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_engine::placement::{budget::Allowance, dispatch::Dispatcher, warmup::BurstAllowance};
+    /// use bramleypier_engine::placement::{budget::RetryAllowance, dispatch::Dispatcher, warmup::BurstAllowance};
     ///
-    /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
+    /// let allowance = RetryAllowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
     /// let burst = BurstAllowance { factor: 1.5, slack: 8.0 };
     /// let dispatcher = Dispatcher::new("domain-1", allowance, 1).with_vm("vm-1", burst);
     /// assert_eq!(dispatcher.queue_len(), 0);
@@ -397,7 +397,7 @@
                 };
                 state.record_sent(now);
                 let record = self.view.records.get(&it.request.service);
-                if let Some((record, point)) = record.zip(basis.point)
+                if let Some((record, point)) = record.zip(basis.key)
                     && let Some(range) = record.find(point)
                 {
                     self.refused_keys
--- a/engine/src/placement/dispatch/rate_limits.rs
+++ b/engine/src/placement/dispatch/rate_limits.rs
@@ -21,11 +21,11 @@
     /// use std::time::Duration;
     ///
     /// use bramleypier_engine::placement::{
-    ///     budget::Allowance,
+    ///     budget::RetryAllowance,
     ///     dispatch::{Dispatcher, Event},
     /// };
     ///
-    /// let allowance = Allowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
+    /// let allowance = RetryAllowance { ratio: 0.2, slack: 60.0, window: Duration::from_secs(10) };
     /// let mut dispatcher = Dispatcher::new("domain-1", allowance, 1);
     /// dispatcher.handle(Duration::ZERO, Event::Rate("target-1".to_owned(), Some(1.5)));
     /// assert_eq!(dispatcher.take_log_lines(), ["event=rate-named target=target-1 rate=1.5 by=answer"]);
--- a/engine/src/placement/message.rs
+++ b/engine/src/placement/message.rs
@@ -33,7 +33,7 @@
     /// The service.
     pub service: ServiceId,
     /// The key, if the service's keys have owners.
-    pub point: Option<RequestKey>,
+    pub key: Option<RequestKey>,
     /// The priority; 0 is the highest.
     pub priority: u32,
     /// When the request was received.
@@ -136,7 +136,7 @@
     /// The target that was considered, if any.
     pub target: TargetId,
     /// The request's key, if the service has owners.
-    pub point: Option<RequestKey>,
+    pub key: Option<RequestKey>,
     /// The estimated number of requests at the target.
     pub depth: f64,
     /// The expected response time.
--- a/engine/src/placement/target_state.rs
+++ b/engine/src/placement/target_state.rs
@@ -376,13 +376,13 @@
     pub fn record_completion(&mut self, now: Duration, completion: Completion) {
         let Completion {
             kind,
-            sent,
+            sent_at,
             depth,
             load,
             ownership,
         } = completion;
         self.own_in_flight = self.own_in_flight.saturating_sub(1);
-        if let Some(at) = self.sent_times.iter().position(|at| *at == sent) {
+        if let Some(at) = self.sent_times.iter().position(|at| *at == sent_at) {
             self.sent_times.swap_remove(at);
         }
         if let Some(load) = load {
--- a/engine/src/placement/task.rs
+++ b/engine/src/placement/task.rs
@@ -77,10 +77,10 @@
                 target: self.target.id.clone(),
                 completion: Completion {
                     kind,
-                    sent: self.sent_at,
+                    sent_at: self.sent_at,
                     depth: self.basis.depth,
                     load,
-                    ownership: self.basis.point.map(|point| (point, self.basis.fence)),
+                    ownership: self.basis.key.map(|point| (point, self.basis.fence)),
                 },
             });
         }
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -139,7 +139,7 @@
             start: format!("{}/{:016x}", settings.name, rand::random::<u64>()),
             address: settings.peers,
             domain: settings.domain.clone(),
-            capacity_millicores: settings.power,
+            capacity_millicores: settings.capacity_millicores,
         };
         let keys = Rc::new(StoreKeys {
             prefix: settings.prefix.clone(),
@@ -221,7 +221,7 @@
             shared_fleet: self.shared_fleet.clone(),
             store_health: self.store_health.clone(),
             manager_health: self.manager_health.clone(),
-            leading: self.is_manager.clone(),
+            is_manager: self.is_manager.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
         }));
@@ -259,12 +259,12 @@
             client: Client::new(self.clock.clone(), MAX_TARGET_CONNECTIONS),
             shared_fleet: self.shared_fleet.clone(),
             catalogue: self.adapter.catalogue.clone(),
-            leading: self.is_manager.clone(),
+            is_manager: self.is_manager.clone(),
             store_health: self.store_health.clone(),
             keys: self.keys.clone(),
             clock: self.clock.clone(),
             report: self.report.clone(),
-            spans: self.settings.lease_limits,
+            lease_limits: self.settings.lease_limits,
         })
     }
 
@@ -327,7 +327,7 @@
             keys: self.keys.clone(),
             store_health: self.store_health.clone(),
             manager_health: self.manager_health.clone(),
-            leading: self.is_manager.clone(),
+            is_manager: self.is_manager.clone(),
             fleet_load: Rc::default(),
             lag: Rc::default(),
             tally: self.tally.clone(),
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -8,7 +8,7 @@
     catalogue::DomainId,
     fleet::VmId,
     owner::ownership,
-    placement::{budget::Allowance, warmup::BurstAllowance},
+    placement::{budget::RetryAllowance, warmup::BurstAllowance},
 };
 
 /// The settings of one process; an adapter reads them from its settings file.
@@ -35,11 +35,11 @@
     /// How long a shutdown may take.
     pub grace: Duration,
     /// The budget for the retries of all VMs together.
-    pub retry_budget: Allowance,
+    pub retry_budget: RetryAllowance,
     /// By how much the requests of all VMs together may exceed a cold target's rate.
     pub burst_allowance: BurstAllowance,
     /// The CPU capacity that the VM has for the manager's work, in thousandths of a core.
-    pub power: u32,
+    pub capacity_millicores: u32,
     /// The platform's limits for leases and grants.
     pub lease_limits: LeaseLimits,
     /// The lowest severity that is logged.
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -64,7 +64,7 @@
 /// The protocol that targets use; an adapter implements it for one platform.
 pub trait TargetProtocol {
     /// Returns the last key; the first is 0.
-    fn last_point(&self) -> RequestKey;
+    fn last_key(&self) -> RequestKey;
 
     /// Sets the headers of a request to a target; `remaining` is the time in which it must respond.
     fn set_headers(&self, headers: &mut HeaderMap, target: &TargetId, remaining: Duration);
--- a/engine/tests/dispatch_fixture/mod.rs
+++ b/engine/tests/dispatch_fixture/mod.rs
@@ -10,7 +10,7 @@
     catalogue::{self, Target},
     owner::record::{Incarnation, KeyRange, Record},
     placement::{
-        budget::Allowance,
+        budget::RetryAllowance,
         dispatch::{
             Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
             RefusalReason, SyncUpdate,
@@ -22,7 +22,7 @@
 /// The time between two sync responses of the manager.
 pub const SYNC_INTERVAL: Duration = Duration::from_millis(40);
 
-pub const ALLOWANCE: Allowance = Allowance {
+pub const ALLOWANCE: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     slack: 20.0,
     window: Duration::from_secs(10),
@@ -111,7 +111,7 @@
     DispatchRequest {
         ticket,
         service: "s".to_owned(),
-        point: None,
+        key: None,
         priority: 1,
         received_at: now,
         goal: now + ms(200),
@@ -126,7 +126,7 @@
 /// The same request for key 7.
 pub fn keyed(ticket: u64, now: Duration) -> DispatchRequest {
     DispatchRequest {
-        point: Some(7),
+        key: Some(7),
         ..ask(ticket, now)
     }
 }
@@ -159,7 +159,7 @@
         target: target.to_owned(),
         completion: Completion {
             kind: completion_kind,
-            sent,
+            sent_at: sent,
             depth: 0.0,
             load: None,
             ownership: None,
--- a/engine/tests/dispatch_owners.rs
+++ b/engine/tests/dispatch_owners.rs
@@ -74,7 +74,7 @@
         );
     }
     let mut other = keyed(9, ms(6));
-    other.point = Some(8);
+    other.key = Some(8);
     assert_eq!(
         sent(&dispatcher.handle(ms(6), Event::Request(other))).len(),
         1,
--- a/engine/tests/evacuation.rs
+++ b/engine/tests/evacuation.rs
@@ -168,11 +168,11 @@
     };
     let now = Duration::from_secs(10);
     let (mut ownership, _) = ServiceOwnership::take_over("vm-1", record, TIMING, now);
-    ownership.on(now, Event::LeaseExtended(now + Duration::from_secs(9)));
-    ownership.on(now, Event::Targets(targets));
-    for effect in ownership.on(now, Event::Committed) {
+    ownership.handle(now, Event::LeaseExtended(now + Duration::from_secs(9)));
+    ownership.handle(now, Event::Targets(targets));
+    for effect in ownership.handle(now, Event::Committed) {
         if let Effect::Grant(command) = effect {
-            ownership.on(
+            ownership.handle(
                 now,
                 Event::GrantEnded(command.from, CallOutcome::Done(None)),
             );
@@ -186,13 +186,13 @@
     let (mut ownership, now) = ownership();
     let warm = now + WARMUP_DURATION;
     ownership.set_warming([("t1".to_owned(), warm), ("t2".to_owned(), warm)].into());
-    let effects = ownership.on(now, Event::Tick);
+    let effects = ownership.handle(now, Event::Tick);
     let released = effects.iter().find_map(|effect| match effect {
         Effect::Release(command) => Some(command.from),
         _ => None,
     });
     assert_eq!(released, Some(50));
-    let effects = ownership.on(now, Event::ReleaseEnded(50, CallOutcome::Done(None)));
+    let effects = ownership.handle(now, Event::ReleaseEnded(50, CallOutcome::Done(None)));
     let next = effects.iter().find_map(|effect| match effect {
         Effect::Commit(record) => record.find(50).and_then(|range| range.owner.clone()),
         _ => None,
@@ -205,7 +205,7 @@
     let (mut ownership, now) = ownership();
     let all = (0..3).map(|number| (format!("t{number}"), now + WARMUP_DURATION));
     ownership.set_warming(all.collect());
-    let effects = ownership.on(now, Event::Tick);
+    let effects = ownership.handle(now, Event::Tick);
     let releases = effects.iter().filter(|it| matches!(it, Effect::Release(_)));
     assert_eq!(releases.count(), 0);
 }
--- a/engine/tests/hot_key.rs
+++ b/engine/tests/hot_key.rs
@@ -10,7 +10,7 @@
     owner::record::{Incarnation, KeyRange, Record},
     peer::FleetLoad,
     placement::{
-        budget::Allowance,
+        budget::RetryAllowance,
         dispatch::{
             Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
             SyncUpdate, Ticket,
@@ -98,7 +98,7 @@
 
 impl Simulation {
     fn new(scenario: Scenario) -> Self {
-        let allowance = Allowance {
+        let allowance = RetryAllowance {
             ratio: 0.2,
             slack: 60.0,
             window: Duration::from_secs(10),
@@ -142,7 +142,7 @@
     fn complete(&mut self, now: u64, (vm, _, at): SentRequest, completion_kind: CompletionKind) {
         let result = Completion {
             kind: completion_kind,
-            sent: ms(at),
+            sent_at: ms(at),
             depth: 0.0,
             load: None,
             ownership: Some((7, 5)),
@@ -206,7 +206,7 @@
         let request = DispatchRequest {
             ticket,
             service: "s".to_owned(),
-            point: Some(7),
+            key: Some(7),
             priority: 1,
             received_at: ms(now),
             goal: ms(now + self.scenario.goal),
--- a/engine/tests/misdirected.rs
+++ b/engine/tests/misdirected.rs
@@ -11,7 +11,7 @@
     catalogue::{Target, TargetId},
     owner::record::{Fence, Incarnation, KeyRange, Record, RequestKey},
     placement::{
-        budget::Allowance,
+        budget::RetryAllowance,
         dispatch::{
             Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
             Ticket,
@@ -37,7 +37,7 @@
 const SERVICE_TIME_MS: u64 = 100;
 /// The most attempts of one request.
 const MAX_ATTEMPTS: usize = 4;
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     slack: 200.0,
     window: Duration::from_secs(10),
@@ -133,7 +133,7 @@
         let dispatch_request = DispatchRequest {
             ticket,
             service: "keyed".to_owned(),
-            point: Some(point),
+            key: Some(point),
             priority: 1,
             received_at: ms(now),
             goal: ms(now + 1000),
@@ -195,10 +195,10 @@
         };
         let result = Completion {
             kind: completion_kind,
-            sent: ms(now),
+            sent_at: ms(now),
             depth: 0.0,
             load: None,
-            ownership: request.dispatch_request.point.map(|point| (point, fence)),
+            ownership: request.dispatch_request.key.map(|point| (point, fence)),
         };
         let target = to.id.clone();
         self.completions.push((
--- a/engine/tests/ownership_simulation/mod.rs
+++ b/engine/tests/ownership_simulation/mod.rs
@@ -335,7 +335,7 @@
             ServiceOwnership::take_over(&start.to_string(), record, timing, now);
         if self.flaw == Flaw::NoWaitForEarlierGrants {
             // The manager itself still renews its grants for as long; only the wait for earlier grants is left out.
-            let _ = ownership.on(
+            let _ = ownership.handle(
                 now,
                 Event::LeaseExtended(now + LEASE + TIMING.latest_expiry),
             );
@@ -360,7 +360,7 @@
         let Some(ownership) = &mut self.vms[vm].ownership else {
             return;
         };
-        let effects = ownership.on(now, event);
+        let effects = ownership.handle(now, event);
         self.apply(vm, effects);
     }
 
--- a/engine/tests/queue_simulation/mod.rs
+++ b/engine/tests/queue_simulation/mod.rs
@@ -11,7 +11,7 @@
     catalogue::{Target, Warmup},
     peer::FleetLoad,
     placement::{
-        budget::Allowance,
+        budget::RetryAllowance,
         dispatch::{
             Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
             SyncUpdate,
@@ -35,7 +35,7 @@
 pub const SLOTS: usize = 3;
 /// How many more requests it queues; it resets the connections of any others.
 const TARGET_QUEUE: usize = 12;
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
@@ -250,7 +250,7 @@
             self.outcome.in_time += usize::from(in_time);
             let result = Completion {
                 kind: it.completion_kind,
-                sent: ms(it.sent),
+                sent_at: ms(it.sent),
                 depth: it.depth,
                 load: None,
                 ownership: None,
@@ -273,7 +273,7 @@
         let request = DispatchRequest {
             ticket,
             service: "s".to_owned(),
-            point: None,
+            key: None,
             priority: 1,
             received_at: ms(at),
             goal: ms(at + self.scenario.goal),
--- a/engine/tests/rate_simulation/mod.rs
+++ b/engine/tests/rate_simulation/mod.rs
@@ -10,7 +10,7 @@
     owner::record::{Incarnation, KeyRange, Record, RequestKey},
     peer::FleetLoad,
     placement::{
-        budget::Allowance,
+        budget::RetryAllowance,
         dispatch::{
             Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
             SyncUpdate, Ticket,
@@ -35,7 +35,7 @@
 pub const END_MS: u64 = 26_000;
 /// The window in which arrivals at the first target are counted.
 pub const WINDOW_MS: u64 = 4_000;
-pub const ALLOWANCE: Allowance = Allowance {
+pub const ALLOWANCE: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
@@ -106,7 +106,7 @@
     DispatchRequest {
         ticket,
         service: "s".to_owned(),
-        point,
+        key: point,
         priority: 1,
         received_at: now,
         goal: now + ms(GOAL_MS),
@@ -238,7 +238,7 @@
             self.handle(now, it.vm, Event::Rate(it.target.clone(), rate_limit));
             let result = Completion {
                 kind: CompletionKind::Answered(ms(now - it.sent)),
-                sent: ms(it.sent),
+                sent_at: ms(it.sent),
                 depth: 0.0,
                 load: None,
                 ownership: self.scenario.keyed.then_some((7, 5)),
--- a/engine/tests/retry_budget.rs
+++ b/engine/tests/retry_budget.rs
@@ -5,7 +5,7 @@
 use bramleypier_engine::{
     catalogue::Target,
     placement::{
-        budget::{Allowance, RetryBudget},
+        budget::{RetryAllowance, RetryBudget},
         dispatch::{
             Completion, CompletionKind, DispatchRequest, Dispatcher, Effect, Event, FleetView,
         },
@@ -24,7 +24,7 @@
 /// From when on all targets refuse requests.
 const FAILURE_START_MS: u64 = 26_000;
 const END_MS: u64 = 50_000;
-const ALLOWANCE: Allowance = Allowance {
+const ALLOWANCE: RetryAllowance = RetryAllowance {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
@@ -103,7 +103,7 @@
         };
         let result = Completion {
             kind: completion_kind,
-            sent: ms(it.sent),
+            sent_at: ms(it.sent),
             depth: 0.0,
             load: None,
             ownership: None,
@@ -132,7 +132,7 @@
         let request = DispatchRequest {
             ticket,
             service: "s".to_owned(),
-            point: None,
+            key: None,
             priority: 1,
             received_at: ms(now),
             goal: ms(now + 600),
--- a/engine/tests/service_ownership.rs
+++ b/engine/tests/service_ownership.rs
@@ -53,12 +53,12 @@
     };
     let now = Duration::from_secs(10);
     let (mut ownership, _) = ServiceOwnership::take_over("vm-1", record, TIMING, now);
-    ownership.on(now, Event::LeaseExtended(now + Duration::from_secs(2)));
-    ownership.on(now, Event::Targets(targets));
-    let grants = grant_commands(&ownership.on(now, Event::Committed));
+    ownership.handle(now, Event::LeaseExtended(now + Duration::from_secs(2)));
+    ownership.handle(now, Event::Targets(targets));
+    let grants = grant_commands(&ownership.handle(now, Event::Committed));
     assert_eq!(grants.len(), owners.len());
     for command in &grants {
-        ownership.on(
+        ownership.handle(
             now,
             Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
@@ -85,13 +85,13 @@
 fn the_end_of_an_incarnation_frees_all_its_ranges_at_once() {
     let (mut ownership, _, now) = granted_ownership();
     let due = now + TIMING.renew_interval;
-    let renewals = grant_commands(&ownership.on(due, Event::Tick));
+    let renewals = grant_commands(&ownership.handle(due, Event::Tick));
     let first = renewals
         .iter()
         .find(|command| command.owner.id == "t1")
         .unwrap();
     for command in renewals.iter().filter(|command| command.owner.id != "t1") {
-        ownership.on(
+        ownership.handle(
             due,
             Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
@@ -102,12 +102,12 @@
         .filter(|command| command.owner.id == "t1" && command.from != first.from)
         .collect();
     for command in &others {
-        ownership.on(
+        ownership.handle(
             due,
             Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
     }
-    let effects = ownership.on(due, Event::GrantEnded(first.from, CallOutcome::Gone));
+    let effects = ownership.handle(due, Event::GrantEnded(first.from, CallOutcome::Gone));
     let record = committed_record(&effects).expect("new owners are written at once");
     let left = record.ranges.iter().filter(|range| {
         let owner = range.owner.as_ref();
@@ -124,8 +124,8 @@
 fn a_closed_connection_makes_its_targets_grants_due() {
     let (mut ownership, granted, now) = granted_ownership();
     let soon = now + Duration::from_millis(100);
-    assert!(grant_commands(&ownership.on(soon, Event::Tick)).is_empty());
-    let effects = ownership.on(soon, Event::ConnectionClosed(target(1).address));
+    assert!(grant_commands(&ownership.handle(soon, Event::Tick)).is_empty());
+    let effects = ownership.handle(soon, Event::ConnectionClosed(target(1).address));
     let expected: Vec<RequestKey> = granted
         .iter()
         .filter(|command| command.owner.id == "t1")
@@ -148,21 +148,21 @@
     );
     // The lease of two seconds was last renewed at `now`.
     let without_lease = now + TIMING.renew_interval;
-    let sent = grant_commands(&ownership.on(without_lease, Event::Tick));
+    let sent = grant_commands(&ownership.handle(without_lease, Event::Tick));
     assert_eq!(sent.len(), granted.len());
     assert!(
         sent.iter()
             .all(|command| command.grant_duration == TIMING.outage_duration)
     );
     for command in &sent {
-        ownership.on(
+        ownership.handle(
             without_lease,
             Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
     }
     // The store answers again, and one target becomes unresponsive.
     let store_back = without_lease + Duration::from_secs(1);
-    ownership.on(
+    ownership.handle(
         store_back,
         Event::LeaseExtended(store_back + Duration::from_secs(2)),
     );
@@ -190,7 +190,7 @@
     let mut at = from;
     loop {
         at += step;
-        let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
+        let mut effects = ownership.handle(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         for command in grant_commands(&effects) {
             let first = command.owner.id == "t1";
             let outcome = if first {
@@ -198,10 +198,10 @@
             } else {
                 CallOutcome::Done(None)
             };
-            effects.extend(ownership.on(at, Event::GrantEnded(command.from, outcome)));
+            effects.extend(ownership.handle(at, Event::GrantEnded(command.from, outcome)));
         }
         for from in released_ranges(&effects) {
-            effects.extend(ownership.on(at, Event::ReleaseEnded(from, CallOutcome::Unsent)));
+            effects.extend(ownership.handle(at, Event::ReleaseEnded(from, CallOutcome::Unsent)));
         }
         if committed_record(&effects).is_some() {
             return at;
@@ -238,7 +238,7 @@
     let mut begun = None;
     while at < now + Duration::from_secs(4) && begun.is_none() {
         at += step;
-        let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
+        let mut effects = ownership.handle(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         // The first target is unresponsive and has been sent releases; then two keys of the second target become hot.
         let busy = at > now + TIMING.renew_interval + Duration::from_millis(1200);
         let counts = if busy {
@@ -246,7 +246,7 @@
         } else {
             Vec::new()
         };
-        effects.extend(ownership.on(at, Event::Load(counts)));
+        effects.extend(ownership.handle(at, Event::Load(counts)));
         for command in grant_commands(&effects) {
             let unresponsive = command.owner.id == "t1";
             let outcome = if unresponsive {
@@ -254,7 +254,7 @@
             } else {
                 CallOutcome::Done(None)
             };
-            effects.extend(ownership.on(at, Event::GrantEnded(command.from, outcome)));
+            effects.extend(ownership.handle(at, Event::GrantEnded(command.from, outcome)));
         }
         let move_line = effects.iter().find_map(|effect| match effect {
             Effect::Log(line) if line.starts_with("event=move-begun") => Some(line.clone()),
@@ -268,9 +268,9 @@
             } else {
                 CallOutcome::Done(None)
             };
-            ownership.on(at, Event::ReleaseEnded(command.from, outcome));
+            ownership.handle(at, Event::ReleaseEnded(command.from, outcome));
         }
-        ownership.on(at, Event::Committed);
+        ownership.handle(at, Event::Committed);
     }
     let begun = begun.expect("nothing moved while a target was unresponsive");
     assert!(
@@ -298,10 +298,10 @@
     let mut second = None;
     while at < now + Duration::from_secs(6) && second.is_none() {
         at += step;
-        let mut effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
+        let mut effects = ownership.handle(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         let mut counts = vec![(25, 1), (30, 1), (35, 1)];
         counts.extend(first.map(|(key, _)| (key, 8)));
-        effects.extend(ownership.on(at, Event::Load(counts)));
+        effects.extend(ownership.handle(at, Event::Load(counts)));
         effects = answer_all(&mut ownership, at, effects);
         for (from, to, owner) in effects.iter().filter_map(parse_move) {
             match first {
@@ -348,13 +348,13 @@
         next += 1;
         effects.extend(match effect {
             Effect::Grant(command) => {
-                ownership.on(at, Event::GrantEnded(command.from, CallOutcome::Done(None)))
+                ownership.handle(at, Event::GrantEnded(command.from, CallOutcome::Done(None)))
             }
-            Effect::Release(command) => ownership.on(
+            Effect::Release(command) => ownership.handle(
                 at,
                 Event::ReleaseEnded(command.from, CallOutcome::Done(None)),
             ),
-            Effect::Commit(_) => ownership.on(at, Event::Committed),
+            Effect::Commit(_) => ownership.handle(at, Event::Committed),
             Effect::Deposed | Effect::Log(_) => Vec::new(),
         });
     }
@@ -382,17 +382,17 @@
     let (mut ownership, now) = renewed_ownership();
     let at = now + TIMING.renew_interval + Duration::from_millis(50);
     let first =
-        grant_commands(&ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2))));
+        grant_commands(&ownership.handle(at, Event::LeaseExtended(at + Duration::from_secs(2))));
     for command in &first {
         let outcome = if command.owner.id == "t1" {
             CallOutcome::Silent
         } else {
             CallOutcome::Done(None)
         };
-        ownership.on(at, Event::GrantEnded(command.from, outcome));
+        ownership.handle(at, Event::GrantEnded(command.from, outcome));
     }
     let retry_time = at + Duration::from_millis(200);
-    let retried = grant_commands(&ownership.on(
+    let retried = grant_commands(&ownership.handle(
         retry_time,
         Event::LeaseExtended(retry_time + Duration::from_secs(2)),
     ));
@@ -403,7 +403,7 @@
             .all(|command| command.grant_duration < TIMING.grant_duration)
     );
     for command in &retried {
-        ownership.on(
+        ownership.handle(
             retry_time,
             Event::GrantEnded(command.from, CallOutcome::Done(None)),
         );
@@ -413,7 +413,7 @@
         .saturating_sub(retried[0].grant_duration);
     let due = retry_time + TIMING.renew_interval.saturating_sub(shortfall);
     let renewed =
-        grant_commands(&ownership.on(due, Event::LeaseExtended(due + Duration::from_secs(2))));
+        grant_commands(&ownership.handle(due, Event::LeaseExtended(due + Duration::from_secs(2))));
     let renewed_owner = renewed.iter().filter(|command| command.owner.id == "t1");
     assert!(
         renewed_owner
@@ -434,7 +434,7 @@
     let mut at = now;
     loop {
         at += step;
-        let effects = ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2)));
+        let effects = ownership.handle(at, Event::LeaseExtended(at + Duration::from_secs(2)));
         let renewed = !grant_commands(&effects).is_empty();
         answer_all(&mut ownership, at, effects);
         if renewed && at > now + TIMING.outage_duration + TIMING.grant_duration {
@@ -453,10 +453,10 @@
     let step = Duration::from_millis(50);
     let mut first: Option<Duration> = None;
     let mut at = now;
-    let mut effects = ownership.on(at, Event::Targets(targets));
+    let mut effects = ownership.handle(at, Event::Targets(targets));
     loop {
         at += step;
-        effects.extend(ownership.on(at, Event::LeaseExtended(at + Duration::from_secs(2))));
+        effects.extend(ownership.handle(at, Event::LeaseExtended(at + Duration::from_secs(2))));
         let mut next = 0;
         while let Some(effect) = effects.get(next).cloned() {
             next += 1;
@@ -475,7 +475,7 @@
                 Effect::Commit(_) => Event::Committed,
                 Effect::Deposed | Effect::Log(_) => continue,
             };
-            effects.extend(ownership.on(at, event));
+            effects.extend(ownership.handle(at, event));
         }
         let lost = effects.iter().any(
             |effect| matches!(effect, Effect::Log(line) if line.starts_with("event=range-lost")),
--- a/program/src/operate.rs
+++ b/program/src/operate.rs
@@ -184,7 +184,7 @@
         domain,
         ready,
         store,
-        leading,
+        is_manager,
         version,
         targets,
         leaving,
@@ -193,7 +193,7 @@
     let store = if *store { "answers" } else { "silent" };
     let manager = status.manager.as_deref().unwrap_or("none");
     let mut line = format!(
-        "{vm} domain={domain} ready={ready} store={store} manager={manager} leading={leading} \
+        "{vm} domain={domain} ready={ready} store={store} manager={manager} leading={is_manager} \
          version={version} targets={targets} leaving={leaving}"
     );
     for (domain, known) in &status.evacuated {
