--- a/program/src/main.rs
+++ b/program/src/main.rs
@@ -1,6 +1,6 @@
 //! The one binary.
 
-mod operate;
+mod commands;
 
 use std::{
     env,
@@ -36,12 +36,12 @@
         Command::Check {
             settings: Some(settings),
             documents,
-        } if documents.is_empty() && is_for_platform(&settings) => operate::check(&settings),
+        } if documents.is_empty() && is_for_platform(&settings) => commands::check(&settings),
         Command::Status { settings, json } if is_for_platform(&settings) => {
-            operate::status(&settings, json)
+            commands::status(&settings, json)
         }
         Command::Timeline(timeline) if is_for_platform(&timeline.settings) => {
-            operate::timeline(&timeline.settings, &timeline)
+            commands::timeline(&timeline.settings, &timeline)
         }
         command => cli::execute(command),
     }
--- a/program/tests/limits.rs
+++ b/program/tests/caller_limits.rs
@@ -1,6 +1,6 @@
 //! The operator's limits on callers, against the real program.
 
-mod stage;
+mod harness;
 
 use std::{
     io::{Read as _, Write as _},
@@ -11,8 +11,8 @@
 
 use bramleypier_util::{body::Body, clock::Clock};
 use futures_channel::oneshot;
+use harness::{PATIENCE, play};
 use hyper::{Request, StatusCode, header::HeaderValue};
-use stage::{PATIENCE, play};
 
 /// Sends the head of an order and then a body in pieces, and returns what is answered.
 async fn send_pieces(callers: SocketAddr, id: &'static str, size: usize) -> String {
--- a/program/tests/evacuation.rs
+++ b/program/tests/evacuation.rs
@@ -1,13 +1,13 @@
 //! Failure domains that operators evacuate.
 
-mod stage;
+mod harness;
 
 use std::time::{Duration, Instant};
 
 use bramleypier_platform_standin::server::Server;
 use bramleypier_util::clock::Clock;
+use harness::{PATIENCE, Stage, play};
 use hyper::StatusCode;
-use stage::{PATIENCE, Stage, play};
 
 /// The key under which the platform's operators evacuate a zone.
 const EVACUATED: &str = "op/evacuate/z2";
@@ -111,7 +111,7 @@
         two_zones(&stage).await;
         stage.store.put(EVACUATED, b"{}");
         Clock::real().sleep(IN_FORCE).await;
-        let next = stage::start_vm("vm-2", stage.store_address, None);
+        let next = harness::start_vm("vm-2", stage.store_address, None);
         stage.until_ready_at(&next).await;
         drop(std::mem::replace(&mut stage.program, next));
         assert_eq!(look_ups(&stage, "next", 20, &stage.servers[1]).await, 0);
--- a/program/tests/manager.rs
+++ b/program/tests/manager.rs
@@ -1,14 +1,14 @@
 //! The manager's losses: of the store, of a target, and of itself.
 
-mod stage;
+mod harness;
 
 use std::time::{Duration, Instant};
 
 use bramleypier_platform_standin::{server::Fault, store};
 use bramleypier_util::clock::Clock;
+use harness::{PATIENCE, Stage, play};
 use hyper::StatusCode;
 use rustix::process::Signal;
-use stage::{PATIENCE, Stage, play};
 
 /// How long keys may be without an owner when the process of a target ends.
 const ENDED: Duration = Duration::from_secs(1);
@@ -108,7 +108,7 @@
 #[test]
 fn keys_are_served_again_after_the_manager_is_killed() {
     play(async |mut stage| {
-        let second = stage::start_vm("vm-2", stage.store_address, Some(&stage.program));
+        let second = harness::start_vm("vm-2", stage.store_address, Some(&stage.program));
         stage.until_ready_at(&second).await;
         until_served(&stage, "before").await;
         let first = std::mem::replace(&mut stage.program, second);
@@ -135,7 +135,7 @@
 fn a_vm_that_starts_again_ends_the_lease_of_its_process_before() {
     play(async |mut stage| {
         let start =
-            |stage: &Stage| stage::start_vm_with("vm-1", stage.store_address, "lease_least = 5s");
+            |stage: &Stage| harness::start_vm_with("vm-1", stage.store_address, "lease_least = 5s");
         let mut took = Duration::ZERO;
         // The first has a lease that is shorter.
         for _ in 0..2 {
--- a/program/tests/operate.rs
+++ b/program/tests/operator_commands.rs
@@ -1,6 +1,6 @@
 //! What operators ask of running VMs.
 
-mod stage;
+mod harness;
 
 use std::{
     fs,
@@ -11,7 +11,7 @@
 
 use bramleypier_platform_standin::store;
 use bramleypier_util::clock::Clock;
-use stage::play;
+use harness::play;
 use tempfile::TempDir;
 
 /// Runs a command of the program beside the runtime, which serves the stand-ins meanwhile.
@@ -34,7 +34,7 @@
 fn status_and_time_line_cover_all_vms() {
     play(async |stage| {
         let first = stage.program.settings.to_str().unwrap();
-        let second = stage::start_vm("vm-2", stage.store_address, Some(&stage.program));
+        let second = harness::start_vm("vm-2", stage.store_address, Some(&stage.program));
         stage.until_ready_at(&second).await;
         stage.ask("GET", "/look/x", "id-1").await;
         Clock::real().sleep(Duration::from_millis(600)).await;
--- a/program/tests/named_rates.rs
+++ b/program/tests/rate_limits.rs
@@ -1,14 +1,14 @@
 //! Targets that name how many requests a second they take from all VMs together, before two real VMs.
 
-mod stage;
+mod harness;
 
 use std::time::{Duration, Instant};
 
 use bramleypier_platform_standin::vm::Program;
 use bramleypier_util::clock::Clock;
 use futures_util::future;
+use harness::{PATIENCE, Stage, play, start_vm};
 use hyper::StatusCode;
-use stage::{PATIENCE, Stage, play, start_vm};
 
 /// The key for which both VMs are asked.
 const KEY: u64 = 777;
--- a/program/tests/serve.rs
+++ b/program/tests/serve.rs
@@ -1,6 +1,6 @@
 //! The real program against the stand-in of the platform: from the settings file to the answer.
 
-mod stage;
+mod harness;
 
 use std::{
     fs,
@@ -13,9 +13,9 @@
 use bramleypier_util::clock::Clock;
 use compio::runtime::Runtime;
 use futures_util::future;
+use harness::{PATIENCE, Stage, config, play};
 use hyper::StatusCode;
 use rustix::process::Signal;
-use stage::{PATIENCE, Stage, config, play};
 use tempfile::TempDir;
 
 /// The window of the budget for repeats; a process has its whole part of it once it has lived so long.
@@ -269,7 +269,7 @@
         // Longer than the manager's lease, and than the first VM takes to notice.
         Clock::real().sleep(Duration::from_millis(3500)).await;
         assert!(stage.program.find_log("event=pulse-lost").is_some());
-        let second = stage::start_vm("vm-2", stage.store_address, Some(&stage.program));
+        let second = harness::start_vm("vm-2", stage.store_address, Some(&stage.program));
         stage.until_ready_at(&second).await;
         Clock::real().sleep(Duration::from_millis(300)).await;
         assert!(second.find_log("event=told-everything").is_some());
--- a/program/tests/calls.rs
+++ b/program/tests/store_calls.rs
@@ -1,13 +1,13 @@
 //! What a fleet asks of the store: calls by kind, as a function of VMs and of what happens.
 
-mod stage;
+mod harness;
 
 use std::time::{Duration, Instant};
 
 use bramleypier_platform_standin::store::Store;
 use bramleypier_util::clock::Clock;
+use harness::{PATIENCE, Program, Stage, config, play};
 use hyper::StatusCode;
-use stage::{PATIENCE, Program, Stage, config, play};
 
 /// How soon a configuration is to be in force on all VMs after the store has accepted it.
 const IN_FORCE: Duration = Duration::from_secs(2);
@@ -49,7 +49,7 @@
     let mut others = Vec::new();
     for number in 0..OTHERS {
         let name = format!("vm-{}", number + 2);
-        let other = stage::start_vm(&name, stage.store_address, Some(&stage.program));
+        let other = harness::start_vm(&name, stage.store_address, Some(&stage.program));
         stage.until_ready_at(&other).await;
         until_logged(&other, "event=manager-heard").await;
         others.push(other);
@@ -103,7 +103,7 @@
     play(async |stage| {
         until_logged(&stage.program, "event=manager-elected").await;
         let before = listings(&stage.store);
-        let other = stage::start_vm("vm-2", stage.store_address, Some(&stage.program));
+        let other = harness::start_vm("vm-2", stage.store_address, Some(&stage.program));
         stage.until_ready_at(&other).await;
         until_logged(&other, "event=manager-heard").await;
         pause(500).await;
--- a/program/tests/warmup.rs
+++ b/program/tests/warmup.rs
@@ -1,14 +1,14 @@
 //! Targets that are cold: after a start, or when they come back.
 
-mod stage;
+mod harness;
 
 use std::time::{Duration, Instant};
 
 use bramleypier_platform_standin::store::WARMUP_PER_S;
 use bramleypier_util::clock::Clock;
 use futures_util::future;
+use harness::{Stage, play};
 use hyper::StatusCode;
-use stage::{Stage, play};
 
 /// How long it may take here until VMs know that a target is cold.
 const KNOWN: Duration = Duration::from_secs(1);
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -1,7 +1,7 @@
 //! Plays a plan and gathers what was seen.
 
 mod faults;
-mod spared;
+mod restrictions;
 mod watch;
 
 use std::{
@@ -18,7 +18,7 @@
 use futures_util::future;
 use indexmap::IndexMap;
 
-use self::spared::Spared;
+use self::restrictions::Spared;
 use crate::{
     callers::{Callers, Kind},
     check::Account,
