--- a/program/tests/evacuation.rs
+++ b/program/tests/evacuation.rs
@@ -100,9 +100,9 @@
         harness.store.put(EVACUATION_KEY, b"{}");
         Clock::real().sleep(EFFECT_TIMEOUT).await;
         let started = Instant::now();
-        let (status, answer) = harness.send("POST", "/order/x", "id-1").await;
+        let (status, response) = harness.send("POST", "/order/x", "id-1").await;
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers().contains_key("retry-after"));
+        assert!(response.headers().contains_key("retry-after"));
         assert!(
             started.elapsed() < Duration::from_millis(200),
             "the request was held instead of refused"
--- a/program/tests/harness/mod.rs
+++ b/program/tests/harness/mod.rs
@@ -93,6 +93,7 @@
         harness
     }
 
+    /// Waits until the first VM is ready.
     pub async fn until_ready(&self) {
         self.until_ready_at(&self.program).await;
     }
@@ -110,6 +111,7 @@
         panic!("not ready: {:?}", program.lines.lock().unwrap());
     }
 
+    /// Returns the status of the first VM's readiness check, or `None` without a response.
     pub async fn ready(&self) -> Option<StatusCode> {
         self.ready_at(&self.program).await
     }
@@ -124,6 +126,7 @@
         sent.ok().map(|response| response.status())
     }
 
+    /// Sends a request to the first VM.
     pub async fn send(&self, method: &str, path: &str, id: &str) -> (StatusCode, Response<Body>) {
         self.send_to(&self.program, method, path, id).await
     }
@@ -151,8 +154,8 @@
                 sent => break sent,
             }
         };
-        let (head, rest) = sent.unwrap().into_parts();
-        let bytes = body::read(rest, 1 << 20).await.unwrap_or_default();
+        let (head, body) = sent.unwrap().into_parts();
+        let bytes = body::read(body, 1 << 20).await.unwrap_or_default();
         (head.status, Response::from_parts(head, Body::from(bytes)))
     }
 
@@ -163,8 +166,8 @@
         let sent = self
             .client
             .send(self.program.metrics, request, TEST_TIMEOUT);
-        let answer = sent.await.unwrap().into_body();
-        let bytes = body::read(answer, 1 << 20).await.unwrap();
+        let body = sent.await.unwrap().into_body();
+        let bytes = body::read(body, 1 << 20).await.unwrap();
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
--- a/program/tests/serve.rs
+++ b/program/tests/serve.rs
@@ -24,9 +24,9 @@
 #[test]
 fn requests_reach_their_targets_and_are_logged() {
     run_test(async |harness| {
-        let (status, answer) = harness.send("GET", "/look/x?y=1", "id-1").await;
+        let (status, response) = harness.send("GET", "/look/x?y=1", "id-1").await;
         assert_eq!(status, StatusCode::OK);
-        assert_eq!(answer.headers()["x-response-signature"], "sig");
+        assert_eq!(response.headers()["x-response-signature"], "sig");
         assert_eq!(harness.executions("id-1"), 1);
         let clock = Clock::real();
         let end = Instant::now() + TEST_TIMEOUT;
@@ -90,9 +90,9 @@
             clock.sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(harness.ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
-        let (status, answer) = harness.send("GET", "/look/x", "id-1").await;
+        let (status, response) = harness.send("GET", "/look/x", "id-1").await;
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers().contains_key("retry-after"));
+        assert!(response.headers().contains_key("retry-after"));
         harness.store.put("op/config", &config(1, "/key/"));
         harness.until_ready().await;
         assert_eq!(
@@ -109,9 +109,12 @@
 fn requests_just_before_the_first_configuration_are_held_and_served() {
     Runtime::new().unwrap().block_on(async {
         let harness = Harness::start().await;
-        let begun = Instant::now();
+        let started = Instant::now();
         while harness.program.find_log("event=started").is_none() {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "the program doesn't start");
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "the program doesn't start"
+            );
             Clock::real().sleep(Duration::from_millis(2)).await;
         }
         let lookup = harness.send("GET", "/look/x", "id-1");
@@ -143,9 +146,9 @@
             );
             clock.sleep(Duration::from_millis(20)).await;
         }
-        let (status, answer) = harness.send("GET", "/nowhere/", "id-2").await;
+        let (status, response) = harness.send("GET", "/nowhere/", "id-2").await;
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-        assert!(answer.headers().contains_key("retry-after"));
+        assert!(response.headers().contains_key("retry-after"));
         let (served, _) = harness.send("GET", "/look/x", "id-3").await;
         assert_eq!(served, StatusCode::OK, "known routes are served");
         harness.store.set_fault(None);
@@ -302,13 +305,13 @@
         harness.program.signal(Signal::TERM).unwrap();
         Clock::real().sleep(Duration::from_millis(200)).await;
         assert_eq!(harness.ready().await, Some(StatusCode::SERVICE_UNAVAILABLE));
-        let (status, answer) = harness.send("GET", "/look/x", "late").await;
+        let (status, response) = harness.send("GET", "/look/x", "late").await;
         assert_eq!(
             status,
             StatusCode::OK,
             "new requests are served as long as callers send them"
         );
-        assert_eq!(answer.headers()["connection"], "close");
+        assert_eq!(response.headers()["connection"], "close");
         let mut harness = harness;
         let started = Instant::now();
         let exit_status = loop {
--- a/program/tests/store_calls.rs
+++ b/program/tests/store_calls.rs
@@ -86,7 +86,8 @@
     });
 }
 
-/// Guards against frequent renewals of entries: in a run of 20 VMs without faults they were 1,087 of 1,624 calls to the store.
+/// Guards against frequent renewals of entries: in a run of 20 VMs without faults they were 1,087 of 1,624 calls to
+/// the store.
 #[test]
 fn vms_in_contact_with_the_manager_renew_their_entries_rarely() {
     run_test(async |harness| {
--- a/tools/soak/src/callers.rs
+++ b/tools/soak/src/callers.rs
@@ -1,4 +1,6 @@
-//! Callers that go on asking each VM, on connections that they keep until the process is gone.
+//! Callers that send requests to each VM all the time, on connections that they keep until the process ends.
+//!
+//! They record the outcome of every request; [`crate::check`] compares it with what the targets ran.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,36 +18,36 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 
 use crate::{
-    check::{Ended, Seen},
+    check::{Outcome, RequestRecord},
     fleet::KEYS,
 };
 
 /// The pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(40);
-/// How long a caller waits for an answer.
-const WAIT: Duration = Duration::from_secs(3);
-/// How many connections callers keep to one VM.
-const CONNECTIONS: usize = 8;
-/// The longest body, in bytes.
-const BODY_MOST: usize = 300;
+const REQUEST_PAUSE: Duration = Duration::from_millis(40);
+/// How long a caller waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The most connections of all callers to one VM.
+const CONNECTIONS_PER_VM: usize = 8;
+/// The longest request body.
+const BODY_MAX_BYTES: usize = 300;
 
-/// What is asked for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// A look-up by key, which may be repeated.
+pub enum RequestKind {
+    /// A lookup by key, which may be retried.
     Key(u64),
-    /// A look-up without a key.
-    Look,
-    /// An order, which runs once at most.
+    /// A lookup without a key, which may be retried.
+    Lookup,
+    /// An order, which may run at most once.
     Order,
 }
 
-/// One run's callers.
+/// The callers of one run; clones share them.
 #[derive(Clone, Debug)]
 pub struct Callers {
     client: Client,
     clock: Clock,
-    seen: Rc<RefCell<Vec<Seen>>>,
+    records: Rc<RefCell<Vec<RequestRecord>>>,
     stopped: Rc<Cell<bool>>,
     sent: Rc<Cell<u64>>,
 }
@@ -54,9 +56,9 @@
     fn default() -> Self {
         let clock = Clock::real();
         Self {
-            client: Client::new(clock.clone(), CONNECTIONS),
+            client: Client::new(clock.clone(), CONNECTIONS_PER_VM),
             clock,
-            seen: Rc::default(),
+            records: Rc::default(),
             stopped: Rc::default(),
             sent: Rc::default(),
         }
@@ -64,7 +66,7 @@
 }
 
 impl Callers {
-    /// Starts the callers of one VM.
+    /// Starts the three callers of one VM, one for each kind of request.
     pub fn start(&self, vm: usize, address: SocketAddr, seed: u64) {
         for number in 0..3 {
             let (callers, seed) = (self.clone(), seed ^ ((vm as u64) << 8) ^ number);
@@ -72,68 +74,68 @@
             compio::runtime::spawn(async move {
                 while !callers.stopped.get() {
                     let kind = match number {
-                        0 => Kind::Order,
-                        1 => Kind::Look,
-                        _ => Kind::Key(KEYS[random.random_range(0..KEYS.len())]),
+                        0 => RequestKind::Order,
+                        1 => RequestKind::Lookup,
+                        _ => RequestKind::Key(KEYS[random.random_range(0..KEYS.len())]),
                     };
-                    callers.ask(vm, address, kind).await;
-                    callers.clock.sleep(PAUSE).await;
+                    callers.send(vm, address, kind).await;
+                    callers.clock.sleep(REQUEST_PAUSE).await;
                 }
             })
             .detach();
         }
     }
 
-    /// Has the callers stop after their requests under way.
+    /// Stops the callers once their requests in flight have ended.
     pub fn stop(&self) {
         self.stopped.set(true);
     }
 
-    /// Takes what they have seen.
-    pub fn take(&self) -> Vec<Seen> {
-        self.seen.take()
+    /// Takes the records of all requests so far.
+    pub fn take(&self) -> Vec<RequestRecord> {
+        self.records.take()
     }
 
     /// Sends one request and waits for its end; returns whether it was served.
-    pub async fn ask(&self, vm: usize, address: SocketAddr, kind: Kind) -> bool {
+    pub async fn send(&self, vm: usize, address: SocketAddr, kind: RequestKind) -> bool {
         let number = self.sent.get() + 1;
         self.sent.set(number);
         let id = format!("{vm}-{number}");
-        // Bodies differ in length, and a target's answer names it.
-        let length = usize::try_from(number).unwrap_or(0) % BODY_MOST + 1;
-        let request = request(&id, kind, length);
+        // Bodies differ in length, and a target's response states the length that it received.
+        let length = usize::try_from(number).unwrap_or(0) % BODY_MAX_BYTES + 1;
+        let request = build_request(&id, kind, length);
         let sent = self.clock.now();
-        let result = self.client.send(address, request, WAIT).await;
-        let ended = match result {
-            Ok(response) => answered(&id, length, response).await,
-            Err(error) if error.unsent() => Ended::Unsent,
-            Err(client::Error::Timeout(..)) => Ended::GivenUp,
-            Err(_) => Ended::Closed,
+        let result = self.client.send(address, request, RESPONSE_TIMEOUT).await;
+        let outcome = match result {
+            Ok(response) => read_response(&id, length, response).await,
+            Err(error) if error.unsent() => Outcome::Unsent,
+            Err(client::Error::Timeout(..)) => Outcome::GivenUp,
+            Err(_) => Outcome::Closed,
         };
-        let served = ended
-            == (Ended::Answered {
+        let served = outcome
+            == (Outcome::Answered {
                 status: 200,
-                own: true,
+                valid: true,
             });
-        self.seen.borrow_mut().push(Seen {
+        self.records.borrow_mut().push(RequestRecord {
             id,
-            once: kind == Kind::Order,
+            once: kind == RequestKind::Order,
             vm,
             sent,
-            ended,
+            outcome,
         });
         served
     }
 }
 
-fn request(id: &str, kind: Kind, length: usize) -> Request<Body> {
+fn build_request(id: &str, kind: RequestKind, length: usize) -> Request<Body> {
     let (method, path, key) = match kind {
-        Kind::Key(key) => ("GET", "/key/x", key),
-        Kind::Look => ("GET", "/look/x", 0),
-        Kind::Order => ("POST", "/order/x", 0),
+        RequestKind::Key(key) => ("GET", "/key/x", key),
+        RequestKind::Lookup => ("GET", "/look/x", 0),
+        RequestKind::Order => ("POST", "/order/x", 0),
     };
     let mut request = Request::new(Body::from(vec![b'x'; length]));
-    // All of these are well-formed.
+    // All of these values parse.
     *request.method_mut() = method.parse().unwrap_or_default();
     *request.uri_mut() = path.parse().unwrap_or_default();
     let headers = request.headers_mut();
@@ -146,18 +148,18 @@
     request
 }
 
-/// Reads an answer, and tells whether it is a target's whole one for this request.
-async fn answered(id: &str, length: usize, response: Response<Incoming>) -> Ended {
-    let (head, rest) = response.into_parts();
-    let Ok(bytes) = body::read(rest, 1 << 20).await else {
-        return Ended::Closed;
+/// Reads a response and checks whether it is a target's complete response to this request.
+async fn read_response(id: &str, length: usize, response: Response<Incoming>) -> Outcome {
+    let (head, body) = response.into_parts();
+    let Ok(bytes) = body::read(body, 1 << 20).await else {
+        return Outcome::Closed;
     };
     let echoed = head.headers.get("x-request-id");
-    let own = echoed.is_some_and(|it| it.as_bytes() == id.as_bytes())
+    let valid = echoed.is_some_and(|it| it.as_bytes() == id.as_bytes())
         && head.headers.contains_key("x-response-signature")
         && bytes == format!("done {length}").as_bytes();
-    Ended::Answered {
+    Outcome::Answered {
         status: head.status.as_u16(),
-        own,
+        valid,
     }
 }
--- a/tools/soak/src/check.rs
+++ b/tools/soak/src/check.rs
@@ -1,228 +1,252 @@
-//! Which promises a run has broken, by what callers and targets saw; free of I/O.
+//! Checks the observations of a run for violated guarantees, without any I/O.
+//!
+//! The guarantees concern requests, owners of keys, configurations, evacuated and cold targets, the memory of the VMs'
+//! processes, and recovery after faults. The times of configurations, and requests to evacuated or cold targets, count
+//! only for VMs that no fault disturbed.
 
 use std::{fmt, time::Duration};
 
 use bramleypier_platform_standin::store;
 use indexmap::IndexMap;
 
-/// The most memory of a VM's process, in bytes: what a node may take for control.
-pub const MEMORY_MOST: u64 = 256 << 20;
-/// How long two targets may hold one key, since a hold is counted by each target's own clock.
-pub const TWO_HOLDERS_MOST: Duration = Duration::from_millis(50);
-/// How long after the last fault everything must be served again.
-pub const RECOVERY: Duration = Duration::from_secs(15);
-/// How soon after its acceptance a configuration must be in force on a VM that nothing disturbs.
-pub const IN_FORCE: Duration = Duration::from_secs(2);
+/// The most memory that a VM's process may use, in bytes: the allowance of a node for control software.
+pub const MEMORY_MAX_BYTES: u64 = 256 << 20;
+/// The longest time for which two targets may own a key: each target measures the grant duration with its own clock.
+pub const DOUBLE_OWNERSHIP_MAX: Duration = Duration::from_millis(50);
+/// The longest time from the last fault until everything is served again.
+pub const RECOVERY_MAX: Duration = Duration::from_secs(15);
+/// The longest time from the acceptance of a configuration until it is in force on an undisturbed VM.
+pub const IN_FORCE_MAX: Duration = Duration::from_secs(2);
 
-/// The most requests that a cold target may get in a second, by the configuration that the stand-in writes.
-pub const COLD_MOST: usize = store::WARMUP_PER_S;
+/// The most requests that a cold target may get in a second, as in the stand-in's configuration.
+pub const COLD_MAX_PER_S: usize = store::WARMUP_PER_S;
 
-/// How a request ended for its caller.
+/// The outcome of a request, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// It was answered.
+pub enum Outcome {
+    /// The caller got a response.
     Answered {
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// Whether the answer is a target's whole one for this very request.
-        own: bool,
+        /// Whether it is the complete response of a target to this request.
+        valid: bool,
     },
-    /// Nothing of it was sent.
+    /// No byte of the request was sent.
     Unsent,
-    /// The connection ended without an answer.
+    /// The connection was closed without a complete response.
     Closed,
-    /// The caller gave up.
+    /// The caller timed out.
     GivenUp,
 }
 
-/// One request as its caller saw it.
+/// A request, as its caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
-    /// Its id.
+pub struct RequestRecord {
+    /// The id of the request.
     pub id: String,
-    /// Whether it may run once only.
+    /// Whether it may run at most once.
     pub once: bool,
-    /// The VM that it was sent to.
+    /// The number of the VM that it was sent to.
     pub vm: usize,
-    /// When it was sent.
+    /// When it was sent, by the clock of the run.
     pub sent: Duration,
     /// How it ended.
-    pub ended: Ended,
+    pub outcome: Outcome,
 }
 
-/// A configuration as one start of a VM's process logged it, with the time since its acceptance where nothing had
-/// disturbed the VM or the store.
+/// A report in a VM's log that a configuration is in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InForce {
-    /// The VM.
+    /// The number of the VM.
     pub vm: usize,
-    /// The start of its process, by number.
+    /// The number of the VM's processes that had ended before this one.
     pub start: usize,
-    /// The version.
+    /// The version of the configuration.
     pub version: u32,
-    /// The time since its acceptance; none where something had disturbed the VM or the store.
+    /// The time since the configuration was accepted; `None` if the VM or the store was disturbed meanwhile.
     pub took: Option<Duration>,
 }
 
-/// What was seen in a run.
+/// Everything that was observed in a run.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    /// All requests.
-    pub requests: Vec<Seen>,
-    /// How often each request ran, over all targets.
-    pub ran: IndexMap<String, usize>,
-    /// How long each key was held by two targets, at the longest.
-    pub two_holders: IndexMap<u64, Duration>,
-    /// Configurations in force, in the order of the logs.
+pub struct Observations {
+    /// The requests of all callers.
+    pub requests: Vec<RequestRecord>,
+    /// How often each request ran, summed over all targets.
+    pub executions: IndexMap<String, usize>,
+    /// The longest time for which two targets owned a key, by key.
+    pub double_ownership: IndexMap<u64, Duration>,
+    /// The configurations that came into force, in the order of the logs.
     pub in_force: Vec<InForce>,
-    /// The newest version that was accepted.
-    pub newest: u32,
-    /// The most memory of each VM's process, in bytes.
-    pub memory: Vec<u64>,
-    /// VMs whose processes ended though nobody had told them to.
-    pub own_ends: Vec<usize>,
-    /// How long after the last fault everything was served again; none if it never was.
-    pub recovered: Option<Duration>,
-    /// Whether all that went wrong was planned work.
-    pub planned: bool,
-    /// Targets that began a request while their failure domain was evacuated, later than they may.
-    pub evacuated: Vec<String>,
-    /// Cold targets, with the most requests that they began in a second.
-    pub cold: Vec<(String, usize)>,
+    /// The newest version that the store accepted.
+    pub newest_version: u32,
+    /// The peak memory of each VM's process, in bytes.
+    pub peak_memory: Vec<u64>,
+    /// The VMs whose processes ended although the run had not stopped them.
+    pub crashed_vms: Vec<usize>,
+    /// The time from the last fault until everything was served again; `None` if it never was.
+    pub recovery_time: Option<Duration>,
+    /// Whether all steps of the plan were planned work.
+    pub planned_only: bool,
+    /// The targets that started a request during an evacuation of their failure domain, after the time allowed for it
+    /// to take effect.
+    pub used_while_evacuated: Vec<String>,
+    /// The cold targets, with the most requests that they started within a second.
+    pub cold_peaks: Vec<(String, usize)>,
 }
 
-/// A promise that was broken.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Breach {
-    /// A request that may run once ran more often.
+pub enum Violation {
+    /// A request that may run at most once ran more often.
     RanTwice(String),
-    /// A request was said not to have run, and it had.
-    UntrueRefusal(String),
-    /// A caller got an answer that was no target's, or another request's.
-    ForeignAnswer(String),
-    /// Planned work cost a caller its answer.
-    Cut(String),
-    /// Two targets held a key.
+    /// A request was refused as not run, although it had run.
+    FalseRefusal(String),
+    /// A caller got a successful response that no target had sent for this request, or an incomplete one.
+    WrongResponse(String),
+    /// Planned work interrupted a request: it ran, but its caller got no response.
+    Interrupted(String),
+    /// Two targets owned a key for too long.
     TwoOwners(u64),
-    /// A configuration went back.
-    WentBack(InForce),
-    /// A configuration was in force late.
-    Late(InForce),
-    /// The newest configuration never was in force on a VM.
-    Stuck(usize),
-    /// A process took too much memory.
-    Memory(usize),
-    /// A process ended by itself.
-    Ended(usize),
-    /// Not everything was served again in time.
+    /// A VM went back to an older configuration.
+    ConfigWentBack(InForce),
+    /// A configuration came into force too late.
+    ConfigLate(InForce),
+    /// The newest configuration never came into force on a VM.
+    ConfigMissing(usize),
+    /// A VM's process used too much memory.
+    MemoryExceeded(usize),
+    /// A VM's process ended although the run had not stopped it.
+    ProcessEnded(usize),
+    /// Not everything was served again in time after the last fault.
     NotRecovered,
-    /// A target of an evacuated failure domain got a request.
+    /// A target in an evacuated failure domain got a request.
     Evacuated(String),
-    /// A cold target got more than it bears.
-    Overheated(String, usize),
+    /// A cold target got more requests per second than its warm-up rate, given here.
+    WarmupExceeded(String, usize),
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
 }
 
-/// Returns the promises that a run has broken.
+/// Returns the guarantees that a run has violated.
 ///
 /// # Example
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_soak::check::{self, Account, Breach};
+/// use bramleypier_soak::check::{self, Observations, Violation};
 ///
-/// let mut account = Account { recovered: Some(Duration::ZERO), ..Account::default() };
-/// assert!(check::breaches(&account).is_empty());
-/// account.two_holders.insert(7, Duration::from_secs(1));
-/// assert_eq!(check::breaches(&account), [Breach::TwoOwners(7)]);
+/// let mut observations =
+///     Observations { recovery_time: Some(Duration::ZERO), ..Observations::default() };
+/// assert!(check::violations(&observations).is_empty());
+/// observations.double_ownership.insert(7, Duration::from_secs(1));
+/// assert_eq!(check::violations(&observations), [Violation::TwoOwners(7)]);
 /// ```
-pub fn breaches(account: &Account) -> Vec<Breach> {
-    let mut found: Vec<Breach> = account
+pub fn violations(observations: &Observations) -> Vec<Violation> {
+    let mut found: Vec<Violation> = observations
         .requests
         .iter()
-        .filter_map(|seen| of_request(account, seen))
+        .filter_map(|request| check_request(observations, request))
         .collect();
-    let held = account.two_holders.iter();
+    let overlaps = observations.double_ownership.iter();
     found.extend(
-        held.filter(|(_, span)| **span > TWO_HOLDERS_MOST)
-            .map(|(key, _)| Breach::TwoOwners(*key)),
+        overlaps
+            .filter(|(_, duration)| **duration > DOUBLE_OWNERSHIP_MAX)
+            .map(|(key, _)| Violation::TwoOwners(*key)),
     );
-    found.extend(of_configurations(&account.in_force));
-    found.extend(stuck(account));
-    let memory = account.memory.iter().enumerate();
+    found.extend(check_configurations(&observations.in_force));
+    found.extend(missing_configurations(observations));
+    let peak_memory = observations.peak_memory.iter().enumerate();
     found.extend(
-        memory
-            .filter(|(_, bytes)| **bytes > MEMORY_MOST)
-            .map(|(vm, _)| Breach::Memory(vm)),
+        peak_memory
+            .filter(|(_, bytes)| **bytes > MEMORY_MAX_BYTES)
+            .map(|(vm, _)| Violation::MemoryExceeded(vm)),
     );
-    let evacuated = account.evacuated.iter().cloned();
-    found.extend(evacuated.map(Breach::Evacuated));
-    let cold = account.cold.iter().cloned();
+    let used_while_evacuated = observations.used_while_evacuated.iter().cloned();
+    found.extend(used_while_evacuated.map(Violation::Evacuated));
+    let cold_peaks = observations.cold_peaks.iter().cloned();
     found.extend(
-        cold.filter(|(_, most)| *most > COLD_MOST)
-            .map(|(id, most)| Breach::Overheated(id, most)),
+        cold_peaks
+            .filter(|(_, peak)| *peak > COLD_MAX_PER_S)
+            .map(|(id, peak)| Violation::WarmupExceeded(id, peak)),
     );
-    found.extend(account.own_ends.iter().map(|vm| Breach::Ended(*vm)));
-    if account.recovered.is_none_or(|span| span > RECOVERY) {
-        found.push(Breach::NotRecovered);
+    found.extend(
+        observations
+            .crashed_vms
+            .iter()
+            .map(|vm| Violation::ProcessEnded(*vm)),
+    );
+    if observations
+        .recovery_time
+        .is_none_or(|duration| duration > RECOVERY_MAX)
+    {
+        found.push(Violation::NotRecovered);
     }
     found
 }
 
-fn of_request(account: &Account, seen: &Seen) -> Option<Breach> {
-    let ran = account.ran.get(&seen.id).copied().unwrap_or(0);
-    if seen.once && ran > 1 {
-        return Some(Breach::RanTwice(seen.id.clone()));
+/// Returns the violation by one request, if there is one.
+fn check_request(observations: &Observations, request: &RequestRecord) -> Option<Violation> {
+    let executions = observations
+        .executions
+        .get(&request.id)
+        .copied()
+        .unwrap_or(0);
+    if request.once && executions > 1 {
+        return Some(Violation::RanTwice(request.id.clone()));
     }
-    match seen.ended {
-        Ended::Answered {
+    match request.outcome {
+        Outcome::Answered {
             status: 200..300,
-            own,
-        } => (!own).then(|| Breach::ForeignAnswer(seen.id.clone())),
-        Ended::Answered {
+            valid,
+        } => (!valid).then(|| Violation::WrongResponse(request.id.clone())),
+        Outcome::Answered {
             status: 408 | 421 | 429 | 503,
             ..
-        } if seen.once && ran > 0 => Some(Breach::UntrueRefusal(seen.id.clone())),
-        Ended::Answered {
+        } if request.once && executions > 0 => Some(Violation::FalseRefusal(request.id.clone())),
+        Outcome::Answered {
             status: 502 | 504, ..
         }
-        | Ended::Closed
-            if account.planned && ran > 0 =>
+        | Outcome::Closed
+            if observations.planned_only && executions > 0 =>
         {
-            Some(Breach::Cut(seen.id.clone()))
+            Some(Violation::Interrupted(request.id.clone()))
         }
         _ => None,
     }
 }
 
-/// Returns the VMs whose last start never had the newest configuration in force.
-fn stuck(account: &Account) -> Vec<Breach> {
+/// Returns the VMs whose last process never had the newest configuration in force.
+fn missing_configurations(observations: &Observations) -> Vec<Violation> {
     let last = |vm: usize| {
-        let lines = account.in_force.iter().filter(|line| line.vm == vm);
+        let lines = observations.in_force.iter().filter(|line| line.vm == vm);
         lines.map(|line| (line.start, line.version)).max()
     };
-    let vms = 0..account.memory.len();
-    let behind = |vm: &usize| last(*vm).is_none_or(|(_, version)| version < account.newest);
-    vms.filter(behind).map(Breach::Stuck).collect()
+    let vms = 0..observations.peak_memory.len();
+    let is_behind =
+        |vm: &usize| last(*vm).is_none_or(|(_, version)| version < observations.newest_version);
+    vms.filter(is_behind)
+        .map(Violation::ConfigMissing)
+        .collect()
 }
 
-fn of_configurations(lines: &[InForce]) -> Vec<Breach> {
-    let mut newest: IndexMap<(usize, usize), u32> = IndexMap::new();
+/// Returns the configurations that came into force late, or replaced a newer one.
+fn check_configurations(lines: &[InForce]) -> Vec<Violation> {
+    let mut highest_versions: IndexMap<(usize, usize), u32> = IndexMap::new();
     let mut found = Vec::new();
     for line in lines {
-        let known = newest.entry((line.vm, line.start)).or_default();
-        if line.version < *known {
-            found.push(Breach::WentBack(*line));
+        let highest = highest_versions.entry((line.vm, line.start)).or_default();
+        if line.version < *highest {
+            found.push(Violation::ConfigWentBack(*line));
         }
-        *known = line.version.max(*known);
-        if line.took.is_some_and(|took| took > IN_FORCE) {
-            found.push(Breach::Late(*line));
+        *highest = line.version.max(*highest);
+        if line.took.is_some_and(|took| took > IN_FORCE_MAX) {
+            found.push(Violation::ConfigLate(*line));
         }
     }
     found
--- a/tools/soak/src/fleet.rs
+++ b/tools/soak/src/fleet.rs
@@ -1,4 +1,6 @@
-//! The store, the targets and the VMs of one run, and the paths between them.
+//! The store, the targets and the VMs of one run, with the proxies between them.
+//!
+//! VMs reach the store and the targets only through proxies, so that a run can disturb each connection by itself.
 
 use std::{
     fs, io,
@@ -16,29 +18,29 @@
 use serde_json::{Value, json};
 
 use crate::{
-    plan::{Plan, TARGETS},
+    plan::{Plan, TARGETS_PER_SERVICE},
     proxy::Proxy,
 };
 
-/// The keys that callers ask for.
+/// The keys of the callers' requests.
 pub const KEYS: [u64; 4] = [777, 20_000, 45_000, 60_000];
 /// The failure domain of the VMs and of most targets.
-const USUAL: &str = "z1";
-/// The failure domain that is evacuated.
-pub const EVACUATED: &str = "z2";
-/// How long a request runs.
-const WORK: Duration = Duration::from_millis(15);
+const DEFAULT_ZONE: &str = "z1";
+/// The failure domain that plans evacuate.
+pub const EVACUATED_ZONE: &str = "z2";
+/// How long a target takes for a request.
+const REQUEST_TIME: Duration = Duration::from_millis(15);
 
 quick_error! {
-    /// Why a run could not be set up.
+    /// The reason why a run could not be set up.
     #[derive(Debug)]
     pub enum Error {
-        /// A path between two ends.
-        Path(cause: io::Error) {
+        /// A proxy could not be started.
+        Proxy(cause: io::Error) {
             display("step=proxy peer=loopback cause={cause}")
             source(cause)
         }
-        /// A VM's process.
+        /// A VM's process could not be started.
         Start(vm: usize, cause: io::Error) {
             display("step=start peer=vm-{vm} cause={cause}")
             source(cause)
@@ -46,176 +48,181 @@
     }
 }
 
-/// One VM, whichever start of its process runs.
+/// One VM, across restarts of its process.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its number.
+    /// The number of the VM.
     pub number: usize,
-    /// The path to the store.
+    /// The proxy in front of the store.
     pub store: Proxy,
-    /// Where it listens.
-    pub listens: ListenAddresses,
-    /// The process, unless it is being stopped or started.
+    /// The addresses where it listens.
+    pub listen: ListenAddresses,
+    /// The process; `None` while it is being restarted, or after it has ended unexpectedly.
     pub program: Option<Program>,
-    /// Logs of earlier starts.
+    /// The logs of earlier processes.
     pub logs: Vec<Vec<String>>,
 }
 
 impl Vm {
-    /// Returns how many of its processes have ended.
+    /// Returns how many of its processes have ended so far.
     pub fn starts(&self) -> usize {
         self.logs.len()
     }
 
-    /// Takes note of a process that has ended.
-    pub fn ended(&mut self, program: &Program) {
+    /// Keeps the log of a process that has ended.
+    pub fn keep_log(&mut self, program: &Program) {
         let lines = program.lines.lock();
         self.logs
             .push(lines.map(|it| it.clone()).unwrap_or_default());
     }
 
-    /// Returns the most memory that its process took, in bytes.
-    pub fn memory(&self) -> u64 {
+    /// Returns the peak memory of its process, in bytes; 0 if no process runs.
+    pub fn peak_memory(&self) -> u64 {
         let Some(program) = &self.program else {
             return 0;
         };
-        let path = format!("/proc/{}/status", program.child.id());
-        let status = fs::read_to_string(path).unwrap_or_default();
+        let file = format!("/proc/{}/status", program.child.id());
+        let status = fs::read_to_string(file).unwrap_or_default();
         let line = status.lines().find_map(|it| it.strip_prefix("VmHWM:"));
         let kib = line.and_then(|it| it.trim().strip_suffix("kB")?.trim().parse::<u64>().ok());
         kib.unwrap_or(0) * 1024
     }
 }
 
-/// One place of a target: who is there now, and the path to it.
+/// A target with the proxy in front of it. A plan refers to targets by the index of their slot, so a replacement
+/// takes over the slot of its predecessor.
 #[derive(Debug)]
-pub struct Place {
-    /// Its service.
+pub struct TargetSlot {
+    /// The service of the target.
     pub service: &'static str,
     /// The target.
     pub server: Server,
-    /// The path to it.
-    pub path: Proxy,
-    /// Its failure domain.
+    /// The proxy in front of the target.
+    pub proxy: Proxy,
+    /// The failure domain of the target.
     pub zone: &'static str,
 }
 
-impl Place {
-    /// Starts a target of this number.
+impl TargetSlot {
+    /// Starts a target with this number, and a proxy in front of it.
     ///
     /// # Errors
     ///
-    /// [`Error`] when the path to it can't be had.
+    /// [`Error::Proxy`] when the proxy can't be started.
     pub async fn start(
         service: &'static str,
         zone: &'static str,
         number: usize,
     ) -> Result<Self, Error> {
         let id = format!("i-{service}-{number}");
-        let server = Server::start(&id, service == "keyed", WORK).await;
-        let path = Proxy::start(server.address).map_err(Error::Path)?;
+        let server = Server::start(&id, service == "keyed", REQUEST_TIME).await;
+        let proxy = Proxy::start(server.address).map_err(Error::Proxy)?;
         Ok(Self {
             service,
             server,
-            path,
+            proxy,
             zone,
         })
     }
 
-    /// Returns the target's entry, at the address of the path to it.
+    /// Returns the target's entry in the store, with the address of the proxy.
     pub fn entry(&self, state: &str) -> Vec<u8> {
         self.entry_cold(state, Duration::ZERO)
     }
 
-    /// Returns the same entry, of a target that is cold for a while.
+    /// Returns the same entry for a target that stays cold for `cold`.
     pub fn entry_cold(&self, state: &str, cold: Duration) -> Vec<u8> {
         let entry = self.server.entry_in(self.zone, self.service, state, cold);
-        // The stand-in writes objects.
+        // The stand-in's entries are JSON objects.
         let mut entry: Value = serde_json::from_slice(&entry).unwrap_or_default();
-        entry["address"] = json!(self.path.address.to_string());
+        entry["address"] = json!(self.proxy.address.to_string());
         entry.to_string().into_bytes()
     }
 
-    /// Returns the key of its entry.
+    /// Returns the key of the entry in the store.
     pub fn key(&self) -> String {
         format!("servers/{}", self.server.id)
     }
 }
 
-/// Everything that runs.
+/// All parts of a run.
 #[derive(Debug)]
-pub struct World {
+pub struct Cluster {
     /// The store.
     pub store: Store,
-    /// Where it answers.
+    /// The address of the store.
     pub address: SocketAddr,
     /// The VMs.
     pub vms: Vec<Vm>,
-    /// The targets; the first half has owners for its keys.
-    pub places: Vec<Place>,
-    /// Targets that have ended.
-    pub gone: Vec<Server>,
+    /// The targets; those in the first half own keys.
+    pub slots: Vec<TargetSlot>,
+    /// The targets that have been replaced.
+    pub replaced: Vec<Server>,
     binary: PathBuf,
-    born: usize,
+    last_target: usize,
 }
 
-impl World {
-    /// Sets up a store, targets and paths; no VM runs yet.
+impl Cluster {
+    /// Starts the store, the targets and all proxies; no VM runs yet.
     ///
     /// # Errors
     ///
-    /// [`Error`] when a path can't be had.
+    /// [`Error::Proxy`] when a proxy can't be started.
     pub async fn new(binary: &Path, plan: &Plan) -> Result<Self, Error> {
         let (store, address) = Store::start().await;
-        let mut world = Self {
+        let mut cluster = Self {
             store,
             address,
             vms: Vec::new(),
-            places: Vec::new(),
-            gone: Vec::new(),
+            slots: Vec::new(),
+            replaced: Vec::new(),
             binary: binary.to_owned(),
-            born: 0,
+            last_target: 0,
         };
-        for number in 0..2 * TARGETS {
-            let service = if number < TARGETS { "keyed" } else { "plain" };
-            let last = number % TARGETS == TARGETS - 1;
+        for number in 0..2 * TARGETS_PER_SERVICE {
+            let service = if number < TARGETS_PER_SERVICE {
+                "keyed"
+            } else {
+                "plain"
+            };
+            let last = number % TARGETS_PER_SERVICE == TARGETS_PER_SERVICE - 1;
             let zone = if plan.evacuates && last {
-                EVACUATED
+                EVACUATED_ZONE
             } else {
-                USUAL
+                DEFAULT_ZONE
             };
-            let place = Place::start(service, zone, world.next_target()).await?;
-            world.store.put(&place.key(), &place.entry("ready"));
-            world.places.push(place);
+            let slot = TargetSlot::start(service, zone, cluster.next_target()).await?;
+            cluster.store.put(&slot.key(), &slot.entry("ready"));
+            cluster.slots.push(slot);
         }
         for number in 0..plan.size.vms {
-            world.vms.push(Vm {
+            cluster.vms.push(Vm {
                 number,
-                store: Proxy::start(address).map_err(Error::Path)?,
-                listens: ListenAddresses::on_free_ports(),
+                store: Proxy::start(address).map_err(Error::Proxy)?,
+                listen: ListenAddresses::on_free_ports(),
                 program: None,
                 logs: Vec::new(),
             });
         }
-        Ok(world)
+        Ok(cluster)
     }
 
-    /// Returns a number that no target has had.
+    /// Returns a number that no target has used yet.
     pub fn next_target(&mut self) -> usize {
-        self.born += 1;
-        self.born
+        self.last_target += 1;
+        self.last_target
     }
 
     /// Starts a VM's process.
     ///
     /// # Errors
     ///
-    /// [`Error`] when it can't be started.
+    /// [`Error::Start`] when it can't be started.
     pub fn start(&mut self, number: usize) -> Result<(), Error> {
         let others = self.vms.iter().filter(|vm| vm.number != number);
         let seeds: Vec<String> = others
             .take(3)
-            .map(|vm| vm.listens.peers.to_string())
+            .map(|vm| vm.listen.peers.to_string())
             .collect();
         let vm = &mut self.vms[number];
         let program = Program::start(
@@ -223,21 +230,24 @@
             &format!("vm-{number}"),
             vm.store.address,
             &seeds.join(","),
-            vm.listens,
+            vm.listen,
         );
         vm.program = Some(program.map_err(|cause| Error::Start(number, cause))?);
         Ok(())
     }
 
-    /// Returns how many targets hold a key now.
-    pub fn holders(&self, key: u64) -> usize {
-        let servers = self.places.iter().map(|place| &place.server);
+    /// Returns how many of the current targets own a key now.
+    pub fn owners(&self, key: u64) -> usize {
+        let servers = self.slots.iter().map(|slot| &slot.server);
         servers.filter(|server| server.holds(key)).count()
     }
 
-    /// Returns the ids of all requests that ran, as often as they did.
-    pub fn ran(&self) -> Vec<String> {
-        let servers = self.places.iter().map(|place| &place.server);
-        servers.chain(&self.gone).flat_map(Server::ran).collect()
+    /// Returns the ids of all requests that ran; an id appears once for each time.
+    pub fn executions(&self) -> Vec<String> {
+        let servers = self.slots.iter().map(|slot| &slot.server);
+        servers
+            .chain(&self.replaced)
+            .flat_map(Server::ran)
+            .collect()
     }
 }
--- a/tools/soak/src/lib.rs
+++ b/tools/soak/src/lib.rs
@@ -1,15 +1,15 @@
-//! Real processes of the program under random faults, and checks of what callers and targets see.
+//! Soak test: runs real processes of the program under random faults and checks what callers and targets observe.
 //!
-//! A seed makes a [`plan`]: faults with their times, which overlap and come in series. [`run`] starts the
-//! platform's stand-in, targets and VMs on loopback, with a [`proxy`] before the store of each VM and before each
-//! target, plays the plan while callers ask, and gathers what they and the targets saw. [`check`] tells which
-//! promises that breaks; it is free of I/O.
+//! A seed determines a [`plan`]: faults and their times; faults overlap and follow each other. [`run`] starts the
+//! platform's stand-in, targets and VMs on loopback, with a [`proxy`] between each VM and the store and in front of
+//! each target. It executes the plan while [`callers`] send requests, and collects what they and the targets observe.
+//! [`check`] then reports the violated guarantees, without any I/O.
 //!
 //! ```
 //! use bramleypier_soak::plan::Plan;
 //!
 //! let size = bramleypier_soak::plan::Size { vms: 3, seconds: 10 };
-//! assert_eq!(Plan::draw(7, size), Plan::draw(7, size), "a seed repeats its plan");
+//! assert_eq!(Plan::generate(7, size), Plan::generate(7, size), "the same seed gives the same plan");
 //! ```
 
 pub mod callers;
--- a/tools/soak/src/main.rs
+++ b/tools/soak/src/main.rs
@@ -1,10 +1,10 @@
-//! The command line of the soak.
+//! The command line of the soak test: runs a range of seeds and prints the violated guarantees.
 
 use std::{env, io, path::PathBuf, process::ExitCode};
 
 use bpaf::Bpaf;
 use bramleypier_soak::{
-    check::{self, Breach},
+    check::{self, Violation},
     fleet,
     plan::{Plan, Size},
     run,
@@ -12,20 +12,20 @@
 use compio::runtime::Runtime;
 use quick_error::quick_error;
 
-/// How many shorter plans are tried for one that breaks a promise.
-const TRIES: usize = 24;
+/// How many shorter plans are executed to find one that still violates a guarantee.
+const SHRINK_ATTEMPTS: usize = 24;
 
 quick_error! {
-    /// Why a run came to nothing.
+    /// The reason why a run failed.
     #[derive(Debug)]
     enum Error {
-        /// The runtime or the program's path.
+        /// The runtime could not be started, or the program's path is unknown.
         System(cause: io::Error) {
             display("step=setup peer=system cause={cause}")
             source(cause)
             from()
         }
-        /// The run.
+        /// The run could not be set up.
         Fleet(cause: fleet::Error) {
             display("{cause}")
             source(cause)
@@ -34,7 +34,7 @@
     }
 }
 
-/// Plays random faults against real processes and checks what callers and targets see.
+/// Runs real processes under random faults and checks what callers and targets observe.
 ///
 /// Example: bramleypier-soak --from 1 --seeds 50 --keep soak-logs
 #[derive(Clone, Debug, Bpaf)]
@@ -43,20 +43,20 @@
     /// The first seed
     #[bpaf(fallback(1))]
     from: u64,
-    /// How many seeds are played, one after the other
+    /// How many seeds are run, one after the other
     #[bpaf(fallback(1))]
     seeds: u64,
-    /// How many VMs there are
+    /// The number of VMs
     #[bpaf(fallback(4))]
     vms: usize,
-    /// For how many seconds faults come
+    /// For how many seconds faults are started
     #[bpaf(fallback(15))]
     seconds: u64,
-    /// Evacuate a failure domain at times, and have targets turn cold
+    /// Also evacuate a failure domain and make targets cold from time to time
     evacuate: bool,
-    /// Look for a shorter plan that breaks the same promise
+    /// After a violation, look for a shorter plan that still has one
     shrink: bool,
-    /// The folder for the logs of runs that break a promise
+    /// The folder for the logs of the VMs, with a folder for each seed
     #[bpaf(argument("DIR"), optional)]
     keep: Option<PathBuf>,
 }
@@ -65,7 +65,7 @@
     let options = options().run();
     let mut broken = 0;
     for seed in options.from..options.from + options.seeds {
-        match play(&options, seed) {
+        match run_seed(&options, seed) {
             Ok(0) => {}
             Ok(_) => broken += 1,
             Err(error) => {
@@ -82,28 +82,28 @@
     }
 }
 
-/// Plays one seed, prints what it broke, and returns how many promises that were.
-fn play(options: &Options, seed: u64) -> Result<usize, Error> {
+/// Runs one seed, prints the violated guarantees, and returns how many there are.
+fn run_seed(options: &Options, seed: u64) -> Result<usize, Error> {
     let size = Size {
         vms: options.vms,
         seconds: options.seconds,
     };
     let plan = if options.evacuate {
-        Plan::draw_with_evacuations(seed, size)
+        Plan::generate_with_evacuations(seed, size)
     } else {
-        Plan::draw(seed, size)
+        Plan::generate(seed, size)
     };
-    let breaches = breaches(options, &plan, seed)?;
+    let violations = run_plan(options, &plan, seed)?;
     println!(
         "seed={seed} steps={} planned={} broken={}",
         plan.steps.len(),
         plan.is_planned(),
-        breaches.len()
+        violations.len()
     );
-    for breach in &breaches {
-        println!("seed={seed} broken: {breach}");
+    for violation in &violations {
+        println!("seed={seed} broken: {violation}");
     }
-    if breaches.is_empty() {
+    if violations.is_empty() {
         return Ok(0);
     }
     let plan = if options.shrink {
@@ -114,34 +114,35 @@
     for step in &plan.steps {
         println!("seed={seed} {step}");
     }
-    Ok(breaches.len())
+    Ok(violations.len())
 }
 
-fn breaches(options: &Options, plan: &Plan, seed: u64) -> Result<Vec<Breach>, Error> {
+/// Executes a plan and returns the violated guarantees.
+fn run_plan(options: &Options, plan: &Plan, seed: u64) -> Result<Vec<Violation>, Error> {
     let binary = env::current_exe()?.with_file_name("bramleypier");
     let folder = options.keep.as_ref().map(|it| it.join(seed.to_string()));
-    let playing = run::play(&binary, plan, seed, folder.as_deref());
-    let account = Runtime::new()?.block_on(playing)?;
-    let served = account.requests.len();
+    let execution = run::execute(&binary, plan, seed, folder.as_deref());
+    let observations = Runtime::new()?.block_on(execution)?;
+    let requests = observations.requests.len();
     println!(
-        "seed={seed} requests={served} recovered={:?}",
-        account.recovered
+        "seed={seed} requests={requests} recovered={:?}",
+        observations.recovery_time
     );
-    Ok(check::breaches(&account))
+    Ok(check::violations(&observations))
 }
 
-/// Leaves steps out for as long as a promise is still broken.
+/// Removes steps from a plan as long as a guarantee is still violated without them.
 fn shrink(options: &Options, mut plan: Plan, seed: u64) -> Result<Plan, Error> {
     let mut length = plan.steps.len() / 2;
     let mut from = 0;
-    for _ in 0..TRIES {
+    for _ in 0..SHRINK_ATTEMPTS {
         if length == 0 {
             break;
         }
         let mut shorter = plan.clone();
         let to = (from + length).min(shorter.steps.len());
         shorter.steps.drain(from..to);
-        if breaches(options, &shorter, seed)?.is_empty() {
+        if run_plan(options, &shorter, seed)?.is_empty() {
             from = to;
         } else {
             plan = shorter;
--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -1,4 +1,6 @@
-//! What goes wrong, and when: drawn from a seed.
+//! Plans of faults and planned work, generated from a seed.
+//!
+//! A seed always gives the same plan. One in four plans has planned work only.
 
 use std::{fmt, time::Duration};
 
@@ -7,63 +9,63 @@
 
 use crate::proxy::Mode;
 
-/// The shortest and the longest time between two faults, in milliseconds: several overlap.
-const GAP: std::ops::Range<u64> = 150..1500;
-/// How long a fault lasts, in milliseconds.
-const SPAN: std::ops::Range<u64> = 200..4000;
-/// How long a failure domain is evacuated.
-const EVACUATED: Duration = Duration::from_secs(6);
-/// How long a target is cold that says so.
-pub const COLD: Duration = Duration::from_secs(4);
-/// How many targets there are of each service.
-pub const TARGETS: usize = 3;
-
-/// How large a run is.
+/// The time between the starts of two faults, in milliseconds; most faults last longer, so that several overlap.
+const FAULT_GAP_MS: std::ops::Range<u64> = 150..1500;
+/// The duration of a fault, in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..4000;
+/// The duration of an evacuation.
+const EVACUATION_TIME: Duration = Duration::from_secs(6);
+/// How long a target stays cold after it has announced that.
+pub const COLD_TIME: Duration = Duration::from_secs(4);
+/// The number of targets of each service.
+pub const TARGETS_PER_SERVICE: usize = 3;
+
+/// The size of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
-    /// How many VMs there are.
+    /// The number of VMs.
     pub vms: usize,
-    /// For how long faults come.
+    /// The time during which faults start, in seconds.
     pub seconds: u64,
 }
 
-/// What goes wrong.
+/// A fault or a piece of planned work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A VM's process is killed, and started again.
+    /// Kills a VM's process and starts it again.
     Kill(usize),
-    /// A VM's process is told to stop, and started again.
+    /// Stops a VM's process gracefully and starts it again.
     Stop(usize),
-    /// All VMs are told to stop, one after the other.
+    /// Stops all VMs gracefully and starts them again, one after the other.
     StopAll,
-    /// A VM's process stands still.
+    /// Suspends a VM's process.
     Pause(usize),
-    /// The path from a VM to the store does this.
+    /// Sets the mode of the proxy between a VM and the store.
     StorePath(usize, Mode),
-    /// The path from all VMs to a target does this.
+    /// Sets the mode of the proxy in front of a target, for all VMs.
     TargetPath(usize, Mode),
-    /// The store does this for all.
+    /// Sets a fault of the store, for all VMs.
     Store(store::Fault),
-    /// The store ends all leases.
+    /// Makes all leases in the store expire.
     Lapse,
-    /// The store forgets its history.
+    /// Makes the store drop its history.
     Forget,
-    /// So many configurations come in quick succession.
+    /// Writes this many configurations in quick succession.
     Configs(u32),
-    /// A target does this with requests.
+    /// Sets a fault of a target.
     Target(usize, server::Fault),
-    /// A target ends without a word, and another one starts.
+    /// Ends a target without an announcement and starts a replacement.
     TargetEnds(usize),
-    /// A target says that it leaves, and another one starts.
+    /// Drains a target and starts a replacement.
     TargetLeaves(usize),
-    /// The operator evacuates a failure domain, and takes it back.
+    /// Evacuates a failure domain and ends the evacuation again.
     Evacuate,
-    /// A target says that it is cold.
+    /// Makes a target announce that it is cold.
     Cold(usize),
 }
 
 impl Fault {
-    /// Returns whether it is planned work, which no caller may notice.
+    /// Returns whether it is planned work, which must not interrupt any request.
     pub fn is_planned(&self) -> bool {
         matches!(
             self,
@@ -80,11 +82,11 @@
 /// One step of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// When it begins, from the start of the callers.
+    /// The time from the start of the callers to the start of the step.
     pub at: Duration,
-    /// How long it lasts, where it lasts.
-    pub span: Duration,
-    /// What goes wrong.
+    /// How long it lasts; unused by faults of a moment and those with their own duration.
+    pub duration: Duration,
+    /// A fault or a piece of planned work.
     pub fault: Fault,
 }
 
@@ -94,52 +96,52 @@
             f,
             "at_ms={} span_ms={} fault={:?}",
             self.at.as_millis(),
-            self.span.as_millis(),
+            self.duration.as_millis(),
             self.fault
         )
     }
 }
 
-/// All steps of a run, by time.
+/// The steps of a run, ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// How large the run is.
+    /// The size of the run.
     pub size: Size,
     /// The steps.
     pub steps: Vec<Step>,
-    /// Whether targets stand in two failure domains, of which one is evacuated at times.
+    /// Whether the targets are in two failure domains, one of which is evacuated from time to time.
     pub evacuates: bool,
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Generates a plan.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier_soak::plan::{Plan, Size};
     ///
-    /// let plan = Plan::draw(1, Size { vms: 3, seconds: 20 });
+    /// let plan = Plan::generate(1, Size { vms: 3, seconds: 20 });
     /// assert!(plan.steps.len() > 10);
     /// ```
-    pub fn draw(seed: u64, size: Size) -> Self {
+    pub fn generate(seed: u64, size: Size) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        // One in four runs has planned work only: what it may cost callers is nothing.
-        let planned = random.random_range(0..4) == 0;
+        // One in four runs has planned work only, which must not interrupt any request.
+        let planned_only = random.random_range(0..4) == 0;
         let mut at = 0;
         let mut steps = Vec::new();
         while at < size.seconds * 1000 {
-            let fault = if planned {
-                planned_fault(&mut random, size)
+            let fault = if planned_only {
+                random_planned_work(&mut random, size)
             } else {
-                any_fault(&mut random, size)
+                random_fault(&mut random, size)
             };
             steps.push(Step {
                 at: Duration::from_millis(at),
-                span: Duration::from_millis(random.random_range(SPAN)),
+                duration: Duration::from_millis(random.random_range(FAULT_DURATION_MS)),
                 fault,
             });
-            at += random.random_range(GAP) * if planned { 4 } else { 1 };
+            at += random.random_range(FAULT_GAP_MS) * if planned_only { 4 } else { 1 };
         }
         Self {
             size,
@@ -148,63 +150,65 @@
         }
     }
 
-    /// Draws the same plan, and beside it evacuations of a failure domain and targets that turn cold.
+    /// Generates the same plan, with additional evacuations of a failure domain and targets that become cold.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier_soak::plan::{Fault, Plan, Size};
     ///
-    /// let plan = Plan::draw_with_evacuations(1, Size { vms: 3, seconds: 20 });
+    /// let plan = Plan::generate_with_evacuations(1, Size { vms: 3, seconds: 20 });
     /// assert!(plan.steps.iter().any(|step| step.fault == Fault::Evacuate));
     /// ```
-    pub fn draw_with_evacuations(seed: u64, size: Size) -> Self {
-        let mut plan = Self::draw(seed, size);
+    pub fn generate_with_evacuations(seed: u64, size: Size) -> Self {
+        let mut plan = Self::generate(seed, size);
         plan.evacuates = true;
-        // Drawn apart, so that the other steps of a seed stay as they are.
+        // A generator of its own keeps the other steps of the seed as they are in `Plan::generate`.
         let mut random = SmallRng::seed_from_u64(seed.wrapping_add(1 << 32));
         let mut at = Duration::ZERO;
         while at < Duration::from_secs(size.seconds) {
             plan.steps.push(Step {
                 at,
-                span: EVACUATED,
+                duration: EVACUATION_TIME,
                 fault: Fault::Evacuate,
             });
             plan.steps.push(Step {
-                at: at + EVACUATED / 4,
-                span: COLD,
-                fault: Fault::Cold(TARGETS + random.random_range(0..TARGETS - 1)),
+                at: at + EVACUATION_TIME / 4,
+                duration: COLD_TIME,
+                fault: Fault::Cold(
+                    TARGETS_PER_SERVICE + random.random_range(0..TARGETS_PER_SERVICE - 1),
+                ),
             });
-            at += EVACUATED + Duration::from_millis(random.random_range(SPAN));
+            at += EVACUATION_TIME + Duration::from_millis(random.random_range(FAULT_DURATION_MS));
         }
         plan.steps.sort_by_key(|step| step.at);
         plan
     }
 
-    /// Returns whether all of it is planned work.
+    /// Returns whether all steps are planned work.
     pub fn is_planned(&self) -> bool {
         self.steps.iter().all(|step| step.fault.is_planned())
     }
 }
 
-fn planned_fault(random: &mut SmallRng, size: Size) -> Fault {
+fn random_planned_work(random: &mut SmallRng, size: Size) -> Fault {
     match random.random_range(0..4) {
         0 | 1 => Fault::Stop(random.random_range(0..size.vms)),
         2 => Fault::Configs(random.random_range(1..6)),
-        _ => Fault::TargetLeaves(random.random_range(0..2 * TARGETS)),
+        _ => Fault::TargetLeaves(random.random_range(0..2 * TARGETS_PER_SERVICE)),
     }
 }
 
-fn any_fault(random: &mut SmallRng, size: Size) -> Fault {
+fn random_fault(random: &mut SmallRng, size: Size) -> Fault {
     let vm = random.random_range(0..size.vms);
-    let target = random.random_range(0..2 * TARGETS);
+    let target = random.random_range(0..2 * TARGETS_PER_SERVICE);
     match random.random_range(0..16) {
         0 => Fault::Kill(vm),
         1 => Fault::Stop(vm),
         2 => Fault::StopAll,
         3 => Fault::Pause(vm),
-        4 | 5 => Fault::StorePath(vm, mode(random)),
-        6 | 7 => Fault::TargetPath(target, mode(random)),
+        4 | 5 => Fault::StorePath(vm, random_mode(random)),
+        6 | 7 => Fault::TargetPath(target, random_mode(random)),
         8 => Fault::Store(match random.random_range(0..4) {
             0 => store::Fault::Status(503),
             1 => store::Fault::Status(429),
@@ -214,13 +218,13 @@
         9 => Fault::Lapse,
         10 => Fault::Forget,
         11 => Fault::Configs(random.random_range(1..8)),
-        12 | 13 => Fault::Target(target, target_fault(random)),
+        12 | 13 => Fault::Target(target, random_target_fault(random)),
         14 => Fault::TargetEnds(target),
         _ => Fault::TargetLeaves(target),
     }
 }
 
-fn mode(random: &mut SmallRng) -> Mode {
+fn random_mode(random: &mut SmallRng) -> Mode {
     match random.random_range(0..5) {
         0 => Mode::Delay,
         1 => Mode::Reset,
@@ -230,7 +234,7 @@
     }
 }
 
-fn target_fault(random: &mut SmallRng) -> server::Fault {
+fn random_target_fault(random: &mut SmallRng) -> server::Fault {
     match random.random_range(0..5) {
         0 => server::Fault::ForeignId,
         1 => server::Fault::Unsigned,
--- a/tools/soak/src/proxy.rs
+++ b/tools/soak/src/proxy.rs
@@ -1,4 +1,6 @@
-//! A path that can be delayed, reset, cut one way or silenced, between two ends on loopback.
+//! A TCP proxy on loopback that can delay bytes, reset connections, or drop the bytes of one or both directions.
+//!
+//! Each connection has a thread for each direction.
 
 use std::{
     io::{self, Read as _, Write as _},
@@ -13,28 +15,28 @@
 
 use rustix::net::sockopt;
 
-/// How long a delayed piece is held up.
+/// The delay of each chunk in [`Mode::Delay`].
 const DELAY: Duration = Duration::from_millis(120);
-/// How often a waiting reader looks whether the path does something else by now.
-const LOOK: Duration = Duration::from_millis(50);
-/// The largest piece.
-const PIECE: usize = 64 * 1024;
+/// The read timeout, after which an idle reader starts its next read.
+const READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// The largest chunk that is forwarded at a time.
+const CHUNK_BYTES: usize = 64 * 1024;
 
-/// What a path does with bytes.
+/// What the proxy does with the bytes that it reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// It passes them on.
+    /// Forwards them.
     #[default]
     Pass,
-    /// It passes them on late.
+    /// Forwards them late.
     Delay,
-    /// It resets each connection on which bytes come.
+    /// Resets each connection on which bytes arrive.
     Reset,
-    /// It loses what goes to the far end.
+    /// Drops the bytes to the server.
     CutThere,
-    /// It loses what comes back.
+    /// Drops the bytes to the client.
     CutBack,
-    /// It loses everything.
+    /// Drops all bytes.
     Silent,
 }
 
@@ -48,37 +50,37 @@
         Self::Silent,
     ];
 
-    fn loses(self, way: Way) -> bool {
+    fn drops(self, direction: Direction) -> bool {
         match self {
             Self::Pass | Self::Delay | Self::Reset => false,
-            Self::CutThere => way == Way::There,
-            Self::CutBack => way == Way::Back,
+            Self::CutThere => direction == Direction::ToServer,
+            Self::CutBack => direction == Direction::ToClient,
             Self::Silent => true,
         }
     }
 }
 
-/// The way that bytes go.
+/// The direction in which bytes are forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToServer,
+    ToClient,
 }
 
-/// A path to one address.
+/// A proxy in front of one address; clones share it.
 #[derive(Clone, Debug)]
 pub struct Proxy {
-    /// Where it takes connections.
+    /// The address where it accepts connections.
     pub address: SocketAddr,
     mode: Arc<AtomicU8>,
 }
 
 impl Proxy {
-    /// Starts a path to an address; its threads end with the process.
+    /// Starts a proxy in front of an address; its threads end with the process.
     ///
     /// # Errors
     ///
-    /// No port can be had.
+    /// Returns an error when no port can be bound.
     ///
     /// # Example
     ///
@@ -97,45 +99,53 @@
         };
         let mode = proxy.mode.clone();
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                // A far end that refuses is passed on as the end of the connection.
-                let Ok(far) = TcpStream::connect(to) else {
+            for client in listener.incoming().flatten() {
+                // When the server refuses the connection, the client's connection is closed.
+                let Ok(server) = TcpStream::connect(to) else {
                     continue;
                 };
-                join(&near, &far, &mode);
+                forward_both(&client, &server, &mode);
             }
         });
         Ok(proxy)
     }
 
-    /// Sets what the path does from now on, with open connections too.
+    /// Sets the mode of the proxy, also for open connections.
     pub fn set(&self, mode: Mode) {
-        // Six modes.
+        // `ALL` has all six modes, so the index exists and fits.
         let index = Mode::ALL.iter().position(|it| *it == mode).unwrap_or(0);
         self.mode
             .store(u8::try_from(index).unwrap_or(0), Ordering::Relaxed);
     }
 }
 
-/// Passes bytes on both ways, each in a thread of its own.
-fn join(near: &TcpStream, far: &TcpStream, mode: &Arc<AtomicU8>) {
-    for (from, to, way) in [(near, far, Way::There), (far, near, Way::Back)] {
+/// Forwards bytes in both directions, with a thread for each.
+fn forward_both(client: &TcpStream, server: &TcpStream, mode: &Arc<AtomicU8>) {
+    for (from, to, direction) in [
+        (client, server, Direction::ToServer),
+        (server, client, Direction::ToClient),
+    ] {
         let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
             return;
         };
         let mode = mode.clone();
         thread::spawn(move || {
-            // Either end may go at any time, which is what the run is about.
-            let _ = pass(from, to, way, &mode);
+            // Either end may close the connection at any time; the run tests exactly that.
+            let _ = forward(from, to, direction, &mode);
         });
     }
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, way: Way, mode: &AtomicU8) -> io::Result<()> {
-    from.set_read_timeout(Some(LOOK))?;
-    let mut piece = vec![0; PIECE];
+fn forward(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    direction: Direction,
+    mode: &AtomicU8,
+) -> io::Result<()> {
+    from.set_read_timeout(Some(READ_TIMEOUT))?;
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
-        let count = match from.read(&mut piece) {
+        let count = match from.read(&mut chunk) {
             Ok(0) => break,
             Ok(count) => count,
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => continue,
@@ -144,8 +154,8 @@
                 return Err(error);
             }
         };
-        let now = Mode::ALL[usize::from(mode.load(Ordering::Relaxed))];
-        match now {
+        let current = Mode::ALL[usize::from(mode.load(Ordering::Relaxed))];
+        match current {
             Mode::Reset => {
                 reset(&from);
                 reset(&to);
@@ -154,15 +164,15 @@
             Mode::Delay => thread::sleep(DELAY),
             _ => {}
         }
-        if !now.loses(way) {
-            to.write_all(&piece[..count])?;
+        if !current.drops(direction) {
+            to.write_all(&chunk[..count])?;
         }
     }
     to.shutdown(Shutdown::Write)
 }
 
 fn reset(stream: &TcpStream) {
-    // A stream that is closed already needs none.
+    // Errors are ignored: a stream that is already closed needs no reset.
     let _ = sockopt::set_socket_linger(stream, Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/tools/soak/src/run.rs
+++ b/tools/soak/src/run.rs
@@ -1,4 +1,7 @@
-//! Plays a plan and gathers what was seen.
+//! Executes a plan and collects the observations.
+//!
+//! A run starts the cluster and waits until everything is served. It then executes the steps of the plan while callers
+//! send requests, and measures how long recovery takes after the last step.
 
 mod faults;
 mod restrictions;
@@ -18,158 +21,166 @@
 use futures_util::future;
 use indexmap::IndexMap;
 
-use self::restrictions::Spared;
+use self::restrictions::Restriction;
 use crate::{
-    callers::{Callers, Kind},
-    check::Account,
-    fleet::{Error, KEYS, World},
+    callers::{Callers, RequestKind},
+    check::Observations,
+    fleet::{Cluster, Error, KEYS},
     plan::Plan,
 };
 
-/// How often holders, processes and logs are looked at.
-const LOOK: Duration = Duration::from_millis(10);
-/// How long after the last fault recovery is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// How long a grant may be carried out late, and a request go on.
-const SETTLED: Duration = Duration::from_secs(4);
+/// The interval at which owners of keys, processes and logs are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The time after which waiting for recovery ends.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The time after the last request for late grants to be applied and for requests to end at the targets.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// A time in which something was disturbed; `vm` is none for the store.
+/// A time during which a VM, or the store if `vm` is `None`, was disturbed.
 #[derive(Clone, Copy, Debug)]
-struct Disturbed {
+struct Disturbance {
     vm: Option<usize>,
     from: Duration,
     to: Duration,
 }
 
-/// What the tasks of a run share.
+/// The state that the tasks of a run share.
 #[derive(Clone)]
 struct Run {
-    world: Rc<RefCell<World>>,
-    account: Rc<RefCell<Account>>,
-    disturbed: Rc<RefCell<Vec<Disturbed>>>,
-    spared: Rc<RefCell<Vec<Spared>>>,
+    cluster: Rc<RefCell<Cluster>>,
+    observations: Rc<RefCell<Observations>>,
+    disturbances: Rc<RefCell<Vec<Disturbance>>>,
+    restrictions: Rc<RefCell<Vec<Restriction>>>,
     /// When each version of the configuration was accepted.
-    accepted: Rc<RefCell<IndexMap<u32, Duration>>>,
-    over: Rc<Cell<bool>>,
+    accepted_at: Rc<RefCell<IndexMap<u32, Duration>>>,
+    finished: Rc<Cell<bool>>,
     callers: Callers,
     clock: Clock,
 }
 
-/// Plays a plan with the program at a path; logs go to `folder` if there is one.
+/// Executes a plan with the program at `binary`, and writes the logs to `folder` if there is one.
 ///
 /// # Errors
 ///
 /// [`Error`] when the run could not be set up.
-pub async fn play(
+pub async fn execute(
     binary: &Path,
     plan: &Plan,
     seed: u64,
     folder: Option<&Path>,
-) -> Result<Account, Error> {
-    let world = World::new(binary, plan).await?;
+) -> Result<Observations, Error> {
+    let cluster = Cluster::new(binary, plan).await?;
     let run = Run {
-        world: Rc::new(RefCell::new(world)),
-        account: Rc::default(),
-        disturbed: Rc::default(),
-        spared: Rc::default(),
-        accepted: Rc::default(),
-        over: Rc::default(),
+        cluster: Rc::new(RefCell::new(cluster)),
+        observations: Rc::default(),
+        disturbances: Rc::default(),
+        restrictions: Rc::default(),
+        accepted_at: Rc::default(),
+        finished: Rc::default(),
         callers: Callers::default(),
         clock: Clock::real(),
     };
-    run.configure();
+    run.write_configuration();
     for vm in 0..plan.size.vms {
-        run.world.borrow_mut().start(vm)?;
+        run.cluster.borrow_mut().start(vm)?;
     }
-    let begun = run.clock.now();
+    let started = run.clock.now();
     run.until_served().await;
     for vm in 0..plan.size.vms {
-        run.disturb(Some(vm), begun, run.clock.now());
+        run.note_disturbance(Some(vm), started, run.clock.now());
     }
-    let watching = run.clone();
-    compio::runtime::spawn(async move { watching.watch().await }).detach();
+    let watcher = run.clone();
+    compio::runtime::spawn(async move { watcher.watch().await }).detach();
     for vm in 0..plan.size.vms {
-        let address = run.world.borrow().vms[vm].listens.callers;
+        let address = run.cluster.borrow().vms[vm].listen.callers;
         run.callers.start(vm, address, seed);
     }
-    let steps = plan.steps.iter().map(|step| run.clone().take(*step));
+    let steps = plan.steps.iter().map(|step| run.clone().run_step(*step));
     let steps: Vec<_> = steps.map(compio::runtime::spawn).collect();
     for step in steps {
-        // A step that failed to start something has said so; the checks tell what came of it.
+        // A step that failed to start a process has printed so; the checks report the consequences.
         let _ = step.await;
     }
-    let recovered = run.until_served().await;
+    let recovery_time = run.until_served().await;
     run.callers.stop();
-    run.clock.sleep(SETTLED).await;
-    run.over.set(true);
+    run.clock.sleep(SETTLE_TIME).await;
+    run.finished.set(true);
     if let Some(folder) = folder {
-        // Logs are a help; the account stands without them.
-        let _ = run.keep_logs(folder);
+        // The observations are complete without the logs, so a failure to write them is ignored.
+        let _ = run.write_logs(folder);
     }
-    Ok(run.settle(plan, recovered))
+    Ok(run.complete_observations(plan, recovery_time))
 }
 
 impl Run {
     /// Writes the next version of the configuration.
-    fn configure(&self) {
-        let version = u32::try_from(self.accepted.borrow().len() + 1).unwrap_or(u32::MAX);
+    fn write_configuration(&self) {
+        let version = u32::try_from(self.accepted_at.borrow().len() + 1).unwrap_or(u32::MAX);
         let config = store::config(version, "/key/");
-        self.world.borrow().store.put("op/config", &config);
-        self.accepted.borrow_mut().insert(version, self.clock.now());
+        self.cluster.borrow().store.put("op/config", &config);
+        self.accepted_at
+            .borrow_mut()
+            .insert(version, self.clock.now());
     }
 
-    /// Waits until every VM serves each kind of request; returns how long that took, if it came about.
+    /// Waits until every VM serves each kind of request; returns how long that took, or `None` after a timeout.
     async fn until_served(&self) -> Option<Duration> {
-        let begun = self.clock.now();
-        while self.clock.now() < begun + PATIENCE {
+        let started = self.clock.now();
+        while self.clock.now() < started + RECOVERY_TIMEOUT {
             if self.is_served().await {
-                return Some(self.clock.now().saturating_sub(begun));
+                return Some(self.clock.now().saturating_sub(started));
             }
-            self.clock.sleep(5 * LOOK).await;
+            self.clock.sleep(5 * POLL_INTERVAL).await;
         }
         None
     }
 
-    /// Asks every VM for each kind of request once, all VMs at once; returns whether all was answered.
+    /// Sends each kind of request once to every VM, to all VMs concurrently; returns whether all were served.
     async fn is_served(&self) -> bool {
-        let listens: Vec<_> = {
-            let world = self.world.borrow();
-            world.vms.iter().map(|vm| vm.listens.callers).collect()
+        let addresses: Vec<_> = {
+            let cluster = self.cluster.borrow();
+            cluster.vms.iter().map(|vm| vm.listen.callers).collect()
         };
-        let asked = listens.into_iter().enumerate();
-        let asked = asked.map(|(vm, address)| self.is_served_by(vm, address));
-        future::join_all(asked)
+        let requests = addresses.into_iter().enumerate();
+        let requests = requests.map(|(vm, address)| self.is_served_by(vm, address));
+        future::join_all(requests)
             .await
             .into_iter()
             .all(|served| served)
     }
 
     async fn is_served_by(&self, vm: usize, address: SocketAddr) -> bool {
-        let keys = KEYS.map(Kind::Key);
-        for kind in keys.into_iter().chain([Kind::Look, Kind::Order]) {
-            if !self.callers.ask(vm, address, kind).await {
+        let keys = KEYS.map(RequestKind::Key);
+        for kind in keys
+            .into_iter()
+            .chain([RequestKind::Lookup, RequestKind::Order])
+        {
+            if !self.callers.send(vm, address, kind).await {
                 return false;
             }
         }
         true
     }
 
-    fn settle(&self, plan: &Plan, recovered: Option<Duration>) -> Account {
-        let mut account = self.account.take();
-        account.planned = plan.is_planned();
-        account.recovered = recovered;
-        account.newest = u32::try_from(self.accepted.borrow().len()).unwrap_or(u32::MAX);
-        account.requests = self.callers.take();
-        self.note_spared(&mut account);
-        for id in self.world.borrow().ran() {
-            *account.ran.entry(id).or_default() += 1;
+    /// Completes the observations after the end of the run.
+    fn complete_observations(&self, plan: &Plan, recovery_time: Option<Duration>) -> Observations {
+        let mut observations = self.observations.take();
+        observations.planned_only = plan.is_planned();
+        observations.recovery_time = recovery_time;
+        observations.newest_version =
+            u32::try_from(self.accepted_at.borrow().len()).unwrap_or(u32::MAX);
+        observations.requests = self.callers.take();
+        self.note_restriction_violations(&mut observations);
+        for id in self.cluster.borrow().executions() {
+            *observations.executions.entry(id).or_default() += 1;
         }
-        account
+        observations
     }
 
-    fn keep_logs(&self, folder: &Path) -> io::Result<()> {
+    /// Writes the log of each VM to a file of its own.
+    fn write_logs(&self, folder: &Path) -> io::Result<()> {
         fs::create_dir_all(folder)?;
-        for vm in &self.world.borrow().vms {
+        for vm in &self.cluster.borrow().vms {
             let mut logs = vm.logs.clone();
             if let Some(program) = &vm.program {
                 logs.extend(program.lines.lock().map(|it| it.clone()));
--- a/tools/soak/src/run/faults.rs
+++ b/tools/soak/src/run/faults.rs
@@ -1,152 +1,160 @@
-//! The steps of a plan, each carried out and undone.
+//! Runs the steps of a plan, and ends each fault after its duration.
+//!
+//! Steps run concurrently. Each one that affects a VM or the store records the time of the disturbance, in which some
+//! guarantees don't hold.
 
 use std::time::Duration;
 
 use rustix::process::Signal;
 
-use super::{Disturbed, LOOK, Run};
+use super::{Disturbance, POLL_INTERVAL, Run};
 use crate::{
-    fleet::Place,
+    fleet::TargetSlot,
     plan::{Fault, Step},
     proxy::Mode,
 };
 
-/// How long a process may take to stop.
-const GRACE: Duration = Duration::from_secs(7);
-/// The pause until a process that has ended is started again.
-const RESTART: Duration = Duration::from_millis(300);
-/// How long a target that leaves goes on, once it has said so.
-const DRAIN: Duration = Duration::from_secs(3);
+/// The time after which a process that has not stopped is killed.
+const STOP_TIMEOUT: Duration = Duration::from_secs(7);
+/// The pause before a process that has ended is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
+/// The time from the announcement that a target is draining to its end.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
 
 impl Run {
-    /// Takes one step of the plan, and undoes what lasts.
-    pub(super) async fn take(self, step: Step) {
+    /// Runs one step of the plan at its time, and ends its fault after its duration.
+    pub(super) async fn run_step(self, step: Step) {
         self.clock.sleep(step.at).await;
         let now = self.clock.now();
-        let to = now + step.span;
+        let to = now + step.duration;
         match step.fault {
-            Fault::Kill(vm) => self.end(vm, Signal::KILL).await,
-            Fault::Stop(vm) => self.end(vm, Signal::TERM).await,
+            Fault::Kill(vm) => self.restart(vm, Signal::KILL).await,
+            Fault::Stop(vm) => self.restart(vm, Signal::TERM).await,
             Fault::StopAll => {
-                let vms = self.world.borrow().vms.len();
+                let vms = self.cluster.borrow().vms.len();
                 for vm in 0..vms {
-                    self.end(vm, Signal::TERM).await;
+                    self.restart(vm, Signal::TERM).await;
                 }
             }
             Fault::Pause(vm) => {
-                self.disturb(Some(vm), now, to);
+                self.note_disturbance(Some(vm), now, to);
                 self.signal(vm, Signal::STOP);
-                self.clock.sleep(step.span).await;
+                self.clock.sleep(step.duration).await;
                 self.signal(vm, Signal::CONT);
             }
             Fault::StorePath(vm, mode) => {
-                self.disturb(Some(vm), now, to);
-                let path = self.world.borrow().vms[vm].store.clone();
-                path.set(mode);
-                self.clock.sleep(step.span).await;
-                path.set(Mode::Pass);
+                self.note_disturbance(Some(vm), now, to);
+                let proxy = self.cluster.borrow().vms[vm].store.clone();
+                proxy.set(mode);
+                self.clock.sleep(step.duration).await;
+                proxy.set(Mode::Pass);
             }
             Fault::TargetPath(target, mode) => {
-                let path = self.world.borrow().places[target].path.clone();
-                path.set(mode);
-                self.clock.sleep(step.span).await;
-                path.set(Mode::Pass);
+                let proxy = self.cluster.borrow().slots[target].proxy.clone();
+                proxy.set(mode);
+                self.clock.sleep(step.duration).await;
+                proxy.set(Mode::Pass);
             }
             Fault::Store(fault) => {
-                self.disturb(None, now, to);
-                self.world.borrow().store.set_fault(Some(fault));
-                self.clock.sleep(step.span).await;
-                self.world.borrow().store.set_fault(None);
+                self.note_disturbance(None, now, to);
+                self.cluster.borrow().store.set_fault(Some(fault));
+                self.clock.sleep(step.duration).await;
+                self.cluster.borrow().store.set_fault(None);
             }
             Fault::Lapse => {
-                self.disturb(None, now, now);
-                self.world.borrow().store.expire_leases();
+                self.note_disturbance(None, now, now);
+                self.cluster.borrow().store.expire_leases();
             }
             Fault::Forget => {
-                self.disturb(None, now, now);
-                self.world.borrow().store.compact();
+                self.note_disturbance(None, now, now);
+                self.cluster.borrow().store.compact();
             }
             Fault::Configs(count) => {
                 for _ in 0..count {
-                    self.configure();
-                    self.clock.sleep(5 * LOOK).await;
+                    self.write_configuration();
+                    self.clock.sleep(5 * POLL_INTERVAL).await;
                 }
             }
             Fault::Target(target, fault) => {
-                let server = self.world.borrow().places[target].server.clone();
+                let server = self.cluster.borrow().slots[target].server.clone();
                 server.set_fault(Some(fault));
-                self.clock.sleep(step.span).await;
+                self.clock.sleep(step.duration).await;
                 server.set_fault(None);
             }
             Fault::TargetEnds(target) => self.replace(target, Duration::ZERO).await,
-            Fault::TargetLeaves(target) => self.replace(target, DRAIN).await,
-            Fault::Evacuate => self.evacuate(step.span).await,
-            Fault::Cold(target) => self.chill(target).await,
+            Fault::TargetLeaves(target) => self.replace(target, DRAIN_TIME).await,
+            Fault::Evacuate => self.evacuate(step.duration).await,
+            Fault::Cold(target) => self.announce_cold(target).await,
         }
     }
 
-    pub(super) fn disturb(&self, vm: Option<usize>, from: Duration, to: Duration) {
-        self.disturbed.borrow_mut().push(Disturbed { vm, from, to });
+    pub(super) fn note_disturbance(&self, vm: Option<usize>, from: Duration, to: Duration) {
+        self.disturbances
+            .borrow_mut()
+            .push(Disturbance { vm, from, to });
     }
 
     fn signal(&self, vm: usize, signal: Signal) {
-        if let Some(program) = &self.world.borrow().vms[vm].program {
-            // A process that has ended meanwhile can't be told.
+        if let Some(program) = &self.cluster.borrow().vms[vm].program {
+            // The process may have ended meanwhile.
             let _ = program.signal(signal);
         }
     }
 
-    /// Ends a VM's process and starts it again, unless another step does just that.
-    async fn end(&self, vm: usize, signal: Signal) {
-        let begun = self.clock.now();
-        let Some(mut program) = self.world.borrow_mut().vms[vm].program.take() else {
+    /// Stops a VM's process and starts it again, unless another step is doing that already.
+    async fn restart(&self, vm: usize, signal: Signal) {
+        let started = self.clock.now();
+        let Some(mut program) = self.cluster.borrow_mut().vms[vm].program.take() else {
             return;
         };
         let _ = program.signal(signal);
-        while matches!(program.child.try_wait(), Ok(None)) && self.clock.now() < begun + GRACE {
-            self.clock.sleep(LOOK).await;
+        while matches!(program.child.try_wait(), Ok(None))
+            && self.clock.now() < started + STOP_TIMEOUT
+        {
+            self.clock.sleep(POLL_INTERVAL).await;
         }
-        let memory = self.world.borrow().vms[vm].memory();
-        self.note_memory(vm, memory);
-        self.world.borrow_mut().vms[vm].ended(&program);
+        let peak_memory = self.cluster.borrow().vms[vm].peak_memory();
+        self.note_memory(vm, peak_memory);
+        self.cluster.borrow_mut().vms[vm].keep_log(&program);
         drop(program);
-        self.clock.sleep(RESTART).await;
-        if let Err(error) = self.world.borrow_mut().start(vm) {
+        self.clock.sleep(RESTART_DELAY).await;
+        if let Err(error) = self.cluster.borrow_mut().start(vm) {
             println!("event=start-failed {error}");
         }
-        self.disturb(Some(vm), begun, self.clock.now());
+        self.note_disturbance(Some(vm), started, self.clock.now());
     }
 
-    /// Has another target take a target's place; the old one goes on for a while if it said that it leaves.
+    /// Replaces a target. The old one keeps running for `drain` after it has announced that it is draining, or ends at
+    /// once if `drain` is zero.
     async fn replace(&self, target: usize, drain: Duration) {
         let (service, zone, number) = {
-            let mut world = self.world.borrow_mut();
-            let number = world.next_target();
-            let place = &world.places[target];
-            (place.service, place.zone, number)
+            let mut cluster = self.cluster.borrow_mut();
+            let number = cluster.next_target();
+            let slot = &cluster.slots[target];
+            (slot.service, slot.zone, number)
         };
-        let Ok(mut place) = Place::start(service, zone, number).await else {
+        let Ok(mut slot) = TargetSlot::start(service, zone, number).await else {
             return;
         };
-        let gone = self.swap(target, &mut place, drain);
-        self.clock.sleep(drain.max(RESTART)).await;
-        let world = self.world.borrow();
-        world.gone[gone].stop();
-        world.store.remove(&place.key());
+        let index = self.swap_slot(target, &mut slot, drain);
+        self.clock.sleep(drain.max(RESTART_DELAY)).await;
+        let cluster = self.cluster.borrow();
+        cluster.replaced[index].stop();
+        cluster.store.remove(&slot.key());
     }
 
-    /// Announces a new target in a place, and has the old one, which is handed back, end or say that it leaves;
-    /// returns its number among those that are gone.
-    fn swap(&self, target: usize, place: &mut Place, drain: Duration) -> usize {
-        let mut world = self.world.borrow_mut();
-        world.store.put(&place.key(), &place.entry("ready"));
-        std::mem::swap(&mut world.places[target], place);
+    /// Puts a new target into a slot and announces it; `slot` holds the old target afterwards, which is stopped or
+    /// announced as draining. Returns the index of the old target among the replaced ones.
+    fn swap_slot(&self, target: usize, slot: &mut TargetSlot, drain: Duration) -> usize {
+        let mut cluster = self.cluster.borrow_mut();
+        cluster.store.put(&slot.key(), &slot.entry("ready"));
+        std::mem::swap(&mut cluster.slots[target], slot);
         if drain.is_zero() {
-            place.server.stop();
+            slot.server.stop();
         } else {
-            world.store.put(&place.key(), &place.entry("draining"));
+            cluster.store.put(&slot.key(), &slot.entry("draining"));
         }
-        world.gone.push(place.server.clone());
-        world.gone.len() - 1
+        cluster.replaced.push(slot.server.clone());
+        cluster.replaced.len() - 1
     }
 }
--- a/tools/soak/src/run/restrictions.rs
+++ b/tools/soak/src/run/restrictions.rs
@@ -1,4 +1,6 @@
-//! Failure domains that are evacuated and targets that are cold, and what reached them all the same.
+//! Evacuations of a failure domain and cold targets, and the requests that reached such targets nevertheless.
+//!
+//! VMs have [`check::IN_FORCE_MAX`] to learn of an evacuation or a cold target; requests before that are not counted.
 
 use std::time::Duration;
 
@@ -7,89 +9,94 @@
 
 use super::Run;
 use crate::{
-    check::{self, Account},
-    fleet::EVACUATED,
-    plan::COLD,
+    check::{self, Observations},
+    fleet::EVACUATED_ZONE,
+    plan::COLD_TIME,
 };
 
-/// A time in which a target was to get few requests, or a whole failure domain nothing.
+/// A time during which a cold target must get few requests or, if `target` is `None`, an evacuated failure domain must
+/// get none.
 #[derive(Clone, Debug)]
-pub(super) struct Spared {
+pub(super) struct Restriction {
     target: Option<Server>,
     from: Duration,
     to: Duration,
 }
 
 impl Run {
-    /// Evacuates a failure domain for a while.
-    pub(super) async fn evacuate(&self, span: Duration) {
-        let key = format!("op/evacuate/{EVACUATED}");
+    /// Evacuates a failure domain for this long.
+    pub(super) async fn evacuate(&self, duration: Duration) {
+        let key = format!("op/evacuate/{EVACUATED_ZONE}");
         let from = self.clock.now();
-        self.world.borrow().store.put(&key, b"{}");
-        self.clock.sleep(span).await;
-        self.world.borrow().store.remove(&key);
+        self.cluster.borrow().store.put(&key, b"{}");
+        self.clock.sleep(duration).await;
+        self.cluster.borrow().store.remove(&key);
         let to = self.clock.now();
-        self.spared.borrow_mut().push(Spared {
+        self.restrictions.borrow_mut().push(Restriction {
             target: None,
             from,
             to,
         });
     }
 
-    /// Has a target say that it is cold.
-    pub(super) async fn chill(&self, target: usize) {
+    /// Makes a target announce that it is cold.
+    pub(super) async fn announce_cold(&self, target: usize) {
         let from = self.clock.now();
         let server = {
-            let world = self.world.borrow();
-            let place = &world.places[target];
-            world
+            let cluster = self.cluster.borrow();
+            let slot = &cluster.slots[target];
+            cluster
                 .store
-                .put(&place.key(), &place.entry_cold("ready", COLD));
-            place.server.clone()
+                .put(&slot.key(), &slot.entry_cold("ready", COLD_TIME));
+            slot.server.clone()
         };
-        self.clock.sleep(COLD).await;
+        self.clock.sleep(COLD_TIME).await;
         let to = self.clock.now();
-        self.spared.borrow_mut().push(Spared {
+        self.restrictions.borrow_mut().push(Restriction {
             target: Some(server),
             from,
             to,
         });
     }
 
-    /// Notes what began at targets that were to get nothing, or few requests.
-    pub(super) fn note_spared(&self, account: &mut Account) {
-        let senders: IndexMap<&str, usize> = account
+    /// Records the requests that started at targets in evacuated domains, and the peak rates of cold targets.
+    pub(super) fn note_restriction_violations(&self, observations: &mut Observations) {
+        let sender_vms: IndexMap<&str, usize> = observations
             .requests
             .iter()
-            .map(|seen| (seen.id.as_str(), seen.vm))
+            .map(|request| (request.id.as_str(), request.vm))
             .collect();
-        for spared in self.spared.borrow().iter() {
-            // Of VMs that something disturbed, nothing is asked.
-            let counts = |(id, at): &(String, Duration)| {
-                let vm = senders.get(id.as_str());
-                let within = (spared.from + check::IN_FORCE..spared.to).contains(at);
-                within && vm.is_some_and(|vm| self.is_calm(*vm, spared.from, *at))
+        for restriction in self.restrictions.borrow().iter() {
+            // Requests from disturbed VMs are not counted: such a VM need not know of the restriction.
+            let is_counted = |(id, at): &(String, Duration)| {
+                let vm = sender_vms.get(id.as_str());
+                let within = (restriction.from + check::IN_FORCE_MAX..restriction.to).contains(at);
+                within && vm.is_some_and(|vm| self.is_undisturbed(*vm, restriction.from, *at))
             };
-            let begun = |server: &Server| -> Vec<Duration> {
-                let all = server.request_starts().into_iter().filter(counts);
+            let request_starts_at = |server: &Server| -> Vec<Duration> {
+                let all = server.request_starts().into_iter().filter(is_counted);
                 all.map(|(_, at)| at).collect()
             };
-            if let Some(server) = &spared.target {
-                let times = begun(server);
-                account.cold.push((server.id.clone(), busiest(&times)));
+            if let Some(server) = &restriction.target {
+                let times = request_starts_at(server);
+                observations
+                    .cold_peaks
+                    .push((server.id.clone(), max_per_second(&times)));
                 continue;
             }
-            let world = self.world.borrow();
-            let places = world.places.iter().filter(|it| it.zone == EVACUATED);
-            let hit = places.filter(|it| !begun(&it.server).is_empty());
-            account.evacuated.extend(hit.map(|it| it.server.id.clone()));
+            let cluster = self.cluster.borrow();
+            let slots = cluster.slots.iter().filter(|it| it.zone == EVACUATED_ZONE);
+            let used_slots = slots.filter(|it| !request_starts_at(&it.server).is_empty());
+            observations
+                .used_while_evacuated
+                .extend(used_slots.map(|it| it.server.id.clone()));
         }
     }
 }
 
-/// Returns the most that began within a second.
-fn busiest(times: &[Duration]) -> usize {
-    let second = |from: &Duration| *from..*from + Duration::from_secs(1);
-    let within = |from| times.iter().filter(|at| second(from).contains(at)).count();
+/// Returns the most times that lie within one second.
+fn max_per_second(times: &[Duration]) -> usize {
+    let window = |from: &Duration| *from..*from + Duration::from_secs(1);
+    let within = |from| times.iter().filter(|at| window(from).contains(at)).count();
     times.iter().map(within).max().unwrap_or(0)
 }
--- a/tools/soak/src/run/watch.rs
+++ b/tools/soak/src/run/watch.rs
@@ -1,88 +1,103 @@
-//! What is seen while a run goes on: who holds keys, how processes fare, what they log.
+//! Observes the owners of keys, the processes and their logs while a run is in progress.
+//!
+//! It also decides whether a VM was undisturbed during some time, since some guarantees hold only then.
 
 use std::time::Duration;
 
 use bramleypier_platform_standin::vm::Program;
 use indexmap::IndexMap;
 
-use super::{Disturbed, LOOK, Run};
+use super::{Disturbance, POLL_INTERVAL, Run};
 use crate::{check::InForce, fleet::KEYS};
 
-/// How long what was disturbed stays excused.
-const STABILITY: Duration = Duration::from_secs(3);
+/// The time after a disturbance during which its VM still counts as disturbed.
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
 impl Run {
+    /// Records the peak memory of a VM's process, in bytes.
     pub(super) fn note_memory(&self, vm: usize, bytes: u64) {
-        let mut account = self.account.borrow_mut();
-        if account.memory.len() <= vm {
-            account.memory.resize(vm + 1, 0);
+        let mut observations = self.observations.borrow_mut();
+        if observations.peak_memory.len() <= vm {
+            observations.peak_memory.resize(vm + 1, 0);
         }
-        account.memory[vm] = account.memory[vm].max(bytes);
+        observations.peak_memory[vm] = observations.peak_memory[vm].max(bytes);
     }
 
-    /// Looks at holders, processes and logs until the run is over.
+    /// Checks owners, processes and logs at intervals until the run is finished.
     pub(super) async fn watch(&self) {
         let mut since: IndexMap<u64, Duration> = IndexMap::new();
-        let mut read: IndexMap<(usize, usize), usize> = IndexMap::new();
-        while !self.over.get() {
+        let mut lines_read: IndexMap<(usize, usize), usize> = IndexMap::new();
+        while !self.finished.get() {
             let now = self.clock.now();
             for key in KEYS {
-                self.look_at_holders(now, key, &mut since);
+                self.check_owners(now, key, &mut since);
             }
-            let vms = self.world.borrow().vms.len();
+            let vms = self.cluster.borrow().vms.len();
             for vm in 0..vms {
-                self.look_at_process(vm);
-                self.look_at_log(now, vm, &mut read);
+                self.check_process(vm);
+                self.check_log(now, vm, &mut lines_read);
             }
-            self.clock.sleep(LOOK).await;
+            self.clock.sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn look_at_holders(&self, now: Duration, key: u64, since: &mut IndexMap<u64, Duration>) {
-        let world = self.world.borrow();
-        let leaving = world.gone.iter().filter(|server| server.holds(key)).count();
-        if world.holders(key) + leaving < 2 {
+    /// Records for how long a key has had two owners.
+    fn check_owners(&self, now: Duration, key: u64, since: &mut IndexMap<u64, Duration>) {
+        let cluster = self.cluster.borrow();
+        let old_owners = cluster
+            .replaced
+            .iter()
+            .filter(|server| server.holds(key))
+            .count();
+        if cluster.owners(key) + old_owners < 2 {
             since.shift_remove(&key);
             return;
         }
-        let begun = *since.entry(key).or_insert(now);
-        let mut account = self.account.borrow_mut();
-        let longest = account.two_holders.entry(key).or_default();
-        *longest = (*longest).max(now.saturating_sub(begun));
+        let started = *since.entry(key).or_insert(now);
+        let mut observations = self.observations.borrow_mut();
+        let longest = observations.double_ownership.entry(key).or_default();
+        *longest = (*longest).max(now.saturating_sub(started));
     }
 
-    fn look_at_process(&self, vm: usize) {
-        let mut world = self.world.borrow_mut();
-        let memory = world.vms[vm].memory();
-        let ended = |program: &mut Program| matches!(program.child.try_wait(), Ok(Some(_)));
-        if world.vms[vm].program.as_mut().is_some_and(ended) {
-            let program = world.vms[vm].program.take();
+    /// Records the memory of a VM's process, and that it has ended unexpectedly.
+    fn check_process(&self, vm: usize) {
+        let mut cluster = self.cluster.borrow_mut();
+        let peak_memory = cluster.vms[vm].peak_memory();
+        let has_ended = |program: &mut Program| matches!(program.child.try_wait(), Ok(Some(_)));
+        if cluster.vms[vm].program.as_mut().is_some_and(has_ended) {
+            let program = cluster.vms[vm].program.take();
             if let Some(program) = program {
-                world.vms[vm].ended(&program);
+                cluster.vms[vm].keep_log(&program);
             }
-            self.account.borrow_mut().own_ends.push(vm);
+            self.observations.borrow_mut().crashed_vms.push(vm);
         }
-        drop(world);
-        self.note_memory(vm, memory);
+        drop(cluster);
+        self.note_memory(vm, peak_memory);
     }
 
-    fn look_at_log(&self, now: Duration, vm: usize, read: &mut IndexMap<(usize, usize), usize>) {
-        let world = self.world.borrow();
-        let start = world.vms[vm].starts();
-        let Some(program) = &world.vms[vm].program else {
+    /// Records the configurations that came into force, from new lines of a VM's log.
+    fn check_log(
+        &self,
+        now: Duration,
+        vm: usize,
+        lines_read: &mut IndexMap<(usize, usize), usize>,
+    ) {
+        let cluster = self.cluster.borrow();
+        let start = cluster.vms[vm].starts();
+        let Some(program) = &cluster.vms[vm].program else {
             return;
         };
         let Ok(lines) = program.lines.lock() else {
             return;
         };
-        let next = read.entry((vm, start)).or_default();
+        let next = lines_read.entry((vm, start)).or_default();
         for line in &lines[*next..] {
-            let Some(version) = version(line) else {
+            let Some(version) = config_version(line) else {
                 continue;
             };
-            let accepted = self.accepted.borrow().get(&version).copied();
-            let took = accepted.filter(|at| self.is_calm(vm, *at, now));
-            self.account.borrow_mut().in_force.push(InForce {
+            let accepted_at = self.accepted_at.borrow().get(&version).copied();
+            let took = accepted_at.filter(|at| self.is_undisturbed(vm, *at, now));
+            self.observations.borrow_mut().in_force.push(InForce {
                 vm,
                 start,
                 version,
@@ -92,17 +107,17 @@
         *next = lines.len();
     }
 
-    /// Returns whether nothing disturbed a VM or the store from a while before a moment until another.
-    pub(super) fn is_calm(&self, vm: usize, from: Duration, to: Duration) -> bool {
-        let disturbed = self.disturbed.borrow();
-        let touches = |it: &Disturbed| it.from <= to && it.to + STABILITY >= from;
-        let concerns = |it: &Disturbed| it.vm.is_none_or(|other| other == vm);
-        !disturbed.iter().any(|it| touches(it) && concerns(it))
+    /// Returns whether neither the VM nor the store was disturbed between `from` and `to`, nor shortly before.
+    pub(super) fn is_undisturbed(&self, vm: usize, from: Duration, to: Duration) -> bool {
+        let all = self.disturbances.borrow();
+        let overlaps = |it: &Disturbance| it.from <= to && it.to + RECOVERY_TIME >= from;
+        let affects = |it: &Disturbance| it.vm.is_none_or(|other| other == vm);
+        !all.iter().any(|it| overlaps(it) && affects(it))
     }
 }
 
-/// Returns the version that a log line says is in force.
-fn version(line: &str) -> Option<u32> {
+/// Returns the version of the configuration that a log line reports as in force.
+fn config_version(line: &str) -> Option<u32> {
     let (_, rest) = line.split_once("event=config-in-force version=")?;
     rest.split_whitespace().next()?.parse().ok()
 }
--- a/tools/soak/tests/check.rs
+++ b/tools/soak/tests/check.rs
@@ -1,43 +1,44 @@
-//! Each promise, broken in an account: the checks notice, and say nothing of an account that keeps them.
+//! The checks of the soak: each violation is reported, and observations without one pass.
 
 use std::time::Duration;
 
-use bramleypier_soak::check::{self, Account, Breach, Ended, InForce, Seen};
+use bramleypier_soak::check::{self, InForce, Observations, Outcome, RequestRecord, Violation};
 
-fn seen(id: &str, once: bool, ended: Ended) -> Seen {
-    Seen {
+fn request(id: &str, once: bool, outcome: Outcome) -> RequestRecord {
+    RequestRecord {
         id: id.to_owned(),
         once,
         vm: 0,
         sent: Duration::ZERO,
-        ended,
+        outcome,
     }
 }
 
-fn answered(status: u16, own: bool) -> Ended {
-    Ended::Answered { status, own }
+fn answered(status: u16, valid: bool) -> Outcome {
+    Outcome::Answered { status, valid }
 }
 
-/// One order and one look-up, both well.
-fn sound() -> Account {
-    Account {
+/// Observations without a violation: a served order, a served lookup that was retried, a refused order, and one whose
+/// outcome is unknown to its caller.
+fn no_violation() -> Observations {
+    Observations {
         requests: vec![
-            seen("order", true, answered(200, true)),
-            seen("look", false, answered(200, true)),
-            seen("refused", true, answered(503, false)),
-            seen("in-doubt", true, answered(502, false)),
+            request("order", true, answered(200, true)),
+            request("look", false, answered(200, true)),
+            request("refused", true, answered(503, false)),
+            request("in-doubt", true, answered(502, false)),
         ],
-        ran: [
+        executions: [
             ("order".to_owned(), 1),
             ("look".to_owned(), 3),
             ("in-doubt".to_owned(), 1),
         ]
         .into(),
-        recovered: Some(Duration::from_secs(1)),
-        memory: vec![30 << 20],
+        recovery_time: Some(Duration::from_secs(1)),
+        peak_memory: vec![30 << 20],
         in_force: vec![in_force(0, 1, 1), in_force(0, 1, 2), in_force(0, 2, 2)],
-        newest: 2,
-        ..Account::default()
+        newest_version: 2,
+        ..Observations::default()
     }
 }
 
@@ -51,84 +52,94 @@
 }
 
 #[test]
-fn an_account_that_keeps_all_promises_is_sound() {
-    assert_eq!(check::breaches(&sound()), []);
+fn a_run_without_violations_passes() {
+    assert_eq!(check::violations(&no_violation()), []);
 }
 
 #[test]
-fn each_broken_promise_is_noticed() {
-    type Break = fn(&mut Account);
-    let cases: Vec<(Break, Breach)> = vec![
+fn each_violation_is_reported() {
+    type Change = fn(&mut Observations);
+    let cases: Vec<(Change, Violation)> = vec![
         (
             |it| {
-                it.ran.insert("order".to_owned(), 2);
+                it.executions.insert("order".to_owned(), 2);
             },
-            Breach::RanTwice("order".to_owned()),
+            Violation::RanTwice("order".to_owned()),
         ),
         (
             |it| {
-                it.ran.insert("refused".to_owned(), 1);
+                it.executions.insert("refused".to_owned(), 1);
             },
-            Breach::UntrueRefusal("refused".to_owned()),
+            Violation::FalseRefusal("refused".to_owned()),
         ),
         (
-            |it| it.requests[1].ended = answered(200, false),
-            Breach::ForeignAnswer("look".to_owned()),
+            |it| it.requests[1].outcome = answered(200, false),
+            Violation::WrongResponse("look".to_owned()),
         ),
         (
             |it| {
-                it.planned = true;
+                it.planned_only = true;
                 it.requests.truncate(2);
-                it.requests[0].ended = Ended::Closed;
+                it.requests[0].outcome = Outcome::Closed;
             },
-            Breach::Cut("order".to_owned()),
+            Violation::Interrupted("order".to_owned()),
         ),
         (
             |it| {
-                it.two_holders.insert(7, Duration::from_millis(80));
+                it.double_ownership.insert(7, Duration::from_millis(80));
             },
-            Breach::TwoOwners(7),
+            Violation::TwoOwners(7),
         ),
         (
             |it| it.in_force.push(in_force(0, 1, 1)),
-            Breach::WentBack(in_force(0, 1, 1)),
+            Violation::ConfigWentBack(in_force(0, 1, 1)),
         ),
-        (|it| it.newest = 3, Breach::Stuck(0)),
+        (|it| it.newest_version = 3, Violation::ConfigMissing(0)),
         (
             |it| it.in_force[1].took = Some(Duration::from_secs(3)),
-            Breach::Late(InForce {
+            Violation::ConfigLate(InForce {
                 took: Some(Duration::from_secs(3)),
                 ..in_force(0, 1, 2)
             }),
         ),
-        (|it| it.memory[0] = 300 << 20, Breach::Memory(0)),
-        (|it| it.own_ends.push(2), Breach::Ended(2)),
-        (|it| it.recovered = None, Breach::NotRecovered),
         (
-            |it| it.evacuated.push("i-1".to_owned()),
-            Breach::Evacuated("i-1".to_owned()),
+            |it| it.peak_memory[0] = 300 << 20,
+            Violation::MemoryExceeded(0),
         ),
+        (|it| it.crashed_vms.push(2), Violation::ProcessEnded(2)),
+        (|it| it.recovery_time = None, Violation::NotRecovered),
         (
-            |it| it.cold.push(("i-1".to_owned(), check::COLD_MOST + 1)),
-            Breach::Overheated("i-1".to_owned(), check::COLD_MOST + 1),
+            |it| it.used_while_evacuated.push("i-1".to_owned()),
+            Violation::Evacuated("i-1".to_owned()),
         ),
         (
-            |it| it.recovered = Some(Duration::from_secs(20)),
-            Breach::NotRecovered,
+            |it| {
+                it.cold_peaks
+                    .push(("i-1".to_owned(), check::COLD_MAX_PER_S + 1))
+            },
+            Violation::WarmupExceeded("i-1".to_owned(), check::COLD_MAX_PER_S + 1),
+        ),
+        (
+            |it| it.recovery_time = Some(Duration::from_secs(20)),
+            Violation::NotRecovered,
         ),
     ];
-    for (spoil, breach) in cases {
-        let mut account = sound();
-        spoil(&mut account);
-        assert_eq!(check::breaches(&account), [breach]);
+    for (change, violation) in cases {
+        let mut observations = no_violation();
+        change(&mut observations);
+        assert_eq!(check::violations(&observations), [violation]);
     }
 }
 
 #[test]
-fn what_may_happen_under_faults_is_allowed() {
-    let mut account = sound();
-    account.requests.push(seen("closed", true, Ended::Closed));
-    account.ran.insert("closed".to_owned(), 1);
-    account.two_holders.insert(7, Duration::from_millis(20));
-    assert_eq!(check::breaches(&account), []);
+fn effects_that_faults_may_have_are_allowed() {
+    let mut observations = no_violation();
+    observations
+        .requests
+        .push(request("closed", true, Outcome::Closed));
+    observations.executions.insert("closed".to_owned(), 1);
+    observations
+        .double_ownership
+        .insert(7, Duration::from_millis(20));
+    assert_eq!(check::violations(&observations), []);
 }
