--- a/tools/soak/tests/check.rs
+++ b/tools/soak/tests/check.rs
@@ -115,7 +115,7 @@
         (
             |it| {
                 it.cold_peaks
-                    .push(("i-1".to_owned(), check::COLD_MAX_PER_S + 1))
+                    .push(("i-1".to_owned(), check::COLD_MAX_PER_S + 1));
             },
             Violation::WarmupExceeded("i-1".to_owned(), check::COLD_MAX_PER_S + 1),
         ),
