--- a/program/tests/store_calls.rs
+++ b/program/tests/store_calls.rs
@@ -149,7 +149,7 @@
     });
 }
 
-/// Guards against stale listings: a store that had dropped its history answered them with a state six seconds old, so
+/// Guards against stale listings: a store that had dropped its history served them with a state six seconds old, so
 /// VMs kept an old configuration, lost their watch again, and listed the old state once more.
 #[test]
 fn listings_after_lost_history_are_never_stale() {
--- a/tools/soak/src/plan.rs
+++ b/tools/soak/src/plan.rs
@@ -84,7 +84,7 @@
 pub struct Step {
     /// The time from the start of the callers to the start of the step.
     pub at: Duration,
-    /// How long it lasts; unused by faults of a moment and those with their own duration.
+    /// How long it lasts; ignored by instantaneous faults and by faults with a fixed duration.
     pub duration: Duration,
     /// A fault or a piece of planned work.
     pub fault: Fault,
