--- a/tools/load/src/arrivals.rs
+++ b/tools/load/src/arrivals.rs
@@ -1,15 +1,15 @@
-//! When requests arrive, fixed in advance.
+//! Generates arrival times of requests, which depend on the pattern, the rate and the seed alone.
 
 use std::{str::FromStr, time::Duration};
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// How arrivals are spaced.
+/// Distribution of the gaps between arrivals.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pattern {
     /// All gaps are equal.
     Constant,
-    /// Gaps are exponential: arrivals of many callers that don't know of each other.
+    /// Gaps are exponentially distributed, as with many independent callers.
     Poisson,
 }
 
@@ -25,17 +25,17 @@
     }
 }
 
-/// An endless stream of arrival times, counted from the start of the run.
+/// Endless iterator over arrival times, each counted from the start of the run.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     pattern: Pattern,
-    gap: f64,
-    next: f64,
-    random: StdRng,
+    mean_gap: f64,
+    time: f64,
+    rng: StdRng,
 }
 
 impl Arrivals {
-    /// Creates a stream of `rate` arrivals a second; none at all for a rate of zero.
+    /// Creates a stream of `rate` arrivals per second; it is empty when the rate is zero.
     ///
     /// # Example
     ///
@@ -48,16 +48,16 @@
     pub fn new(pattern: Pattern, rate: f64, seed: u64) -> Self {
         Self {
             pattern,
-            gap: if rate > 0.0 { rate.recip() } else { f64::MAX },
-            next: 0.0,
-            random: StdRng::seed_from_u64(seed),
+            mean_gap: if rate > 0.0 { rate.recip() } else { f64::MAX },
+            time: 0.0,
+            rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    fn gap(&mut self) -> f64 {
+    fn next_gap(&mut self) -> f64 {
         match self.pattern {
-            Pattern::Constant => self.gap,
-            Pattern::Poisson => self.gap * exponential(&mut self.random),
+            Pattern::Constant => self.mean_gap,
+            Pattern::Poisson => self.mean_gap * exponential(&mut self.rng),
         }
     }
 }
@@ -66,12 +66,12 @@
     type Item = Duration;
 
     fn next(&mut self) -> Option<Duration> {
-        self.next += self.gap();
-        Duration::try_from_secs_f64(self.next).ok()
+        self.time += self.next_gap();
+        Duration::try_from_secs_f64(self.time).ok()
     }
 }
 
-/// Draws from the exponential distribution of mean 1.
+/// Samples the exponential distribution with mean 1.
 ///
 /// # Example
 ///
@@ -81,10 +81,10 @@
 ///
 /// assert!(arrivals::exponential(&mut StdRng::seed_from_u64(1)) >= 0.0);
 /// ```
-pub fn exponential<R>(random: &mut R) -> f64
+pub fn exponential<R>(rng: &mut R) -> f64
 where
     R: Rng,
 {
-    let chance: f64 = random.random();
-    -(1.0 - chance).ln()
+    let uniform: f64 = rng.random();
+    -(1.0 - uniform).ln()
 }
--- a/tools/load/src/bench.rs
+++ b/tools/load/src/bench.rs
@@ -1,4 +1,6 @@
-//! The path through one VM, against the same work straight at the targets.
+//! Measures the request path through one VM and compares it with direct requests to targets.
+//!
+//! It also measures an idle VM, and the VM's memory while it forwards large files.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -6,55 +8,55 @@
 
 use crate::{
     config::{Class, Config, Work},
-    run::Outcome,
-    scene::{self, Error, Scene, Setup},
+    run::RunResults,
     table,
+    testbed::{self, Error, Setup, Testbed},
 };
 
-/// The VM through which all requests go.
-const VM: &str = "vm-1";
-/// The service of look-ups.
-const LOOKUPS: &str = "tracking";
-/// The service of files.
-const FILES: &str = "archive";
-/// Targets that check no grants, for the work straight at them.
-const PLAIN: usize = 8;
-/// The size of a large file.
-const LARGE: u64 = 64 << 20;
+/// Name of the VM through which all requests go.
+const VM_NAME: &str = "vm-1";
+/// Service that serves look-ups.
+const LOOKUP_SERVICE: &str = "tracking";
+/// Service that serves files.
+const FILE_SERVICE: &str = "archive";
+/// Number of targets that don't check grants, used for direct requests.
+const PLAIN_TARGETS: usize = 8;
+/// Size of a large file: 64 MiB.
+const LARGE_FILE_BYTES: u64 = 64 << 20;
 
-/// What to measure.
+/// Options of the path measurement.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the VMs; found beside the running one unless it is given.
+    /// Executable of the VMs; by default it is looked up next to the running executable.
     pub program: Option<PathBuf>,
-    /// The directory of the documents.
+    /// Directory of the services' documents.
     pub documents: PathBuf,
-    /// Look-ups a second, one run each.
+    /// Look-ups per second; each rate is a run of its own.
     pub rates: Vec<f64>,
-    /// How long each run takes.
-    pub span: Duration,
-    /// How often runs through the VM and straight runs take turns.
+    /// Duration of each run.
+    pub duration: Duration,
+    /// Number of rounds, each a direct run followed by a run through the VM.
     pub rounds: usize,
-    /// Threads that send.
+    /// Number of sending threads.
     pub workers: usize,
 }
 
-/// Measures the path, printing a row for each run.
+/// Measures the path and prints a table row for each run.
 ///
 /// # Errors
 ///
-/// Fails when the fleet doesn't start.
-pub async fn path(options: &Options) -> Result<(), Error> {
+/// Fails when the fleet doesn't start, or a run can't be measured.
+pub async fn measure_path(options: &Options) -> Result<(), Error> {
     let setup = Setup {
         program: options.program.clone(),
-        documents: [LOOKUPS, FILES]
+        documents: [LOOKUP_SERVICE, FILE_SERVICE]
             .map(|name| options.documents.join(format!("{name}.ini")))
             .to_vec(),
         vms: 3,
     };
-    let mut scene = Scene::start(&setup).await?;
-    scene.add_plain(PLAIN).await?;
-    idle(&scene, options.span).await?;
+    let mut testbed = Testbed::start(&setup).await?;
+    testbed.add_plain_targets(PLAIN_TARGETS).await?;
+    measure_idle(&testbed, options.duration).await?;
     println!(
         "| route | rate/s | goodput/s | p50 ms | p99 ms | p99.9 ms | refused or failed | VM CPU us/request | requests a CPU second | VM resident MB |"
     );
@@ -64,34 +66,34 @@
             let config = Config {
                 rates: [*rate, 0.0, 0.0],
                 seed: round as u64 + 1,
-                span: options.span,
+                duration: options.duration,
                 work: Work::Fixed(Duration::ZERO),
                 workers: options.workers,
                 ..Config::default()
             };
-            let straight = Config {
-                addresses: scene.plain.clone(),
+            let direct = Config {
+                addresses: testbed.plain_targets.clone(),
                 direct: true,
                 ..config.clone()
             };
-            measure(&scene, "straight", &straight).await?;
-            let through = Config {
-                addresses: vec![scene.callers()?[0]],
+            measure_load(&testbed, "straight", &direct).await?;
+            let routed = Config {
+                addresses: vec![testbed.entry_addresses()?[0]],
                 ..config
             };
-            measure(&scene, "through", &through).await?;
+            measure_load(&testbed, "through", &routed).await?;
         }
     }
-    files(&scene, options).await
+    measure_files(&testbed, options).await
 }
 
-/// Tells what a VM spends while no requests come.
-async fn idle(scene: &Scene, span: Duration) -> Result<(), Error> {
-    let (start, before) = (clock::now(), scene.usage(VM)?);
-    compio::time::sleep(span).await;
-    let after = scene.usage(VM)?;
-    let took = clock::now().saturating_sub(start);
-    let share = after.since(&before).as_secs_f64() / took.as_secs_f64();
+/// Prints the processor time and memory that a VM uses while it receives no requests.
+async fn measure_idle(testbed: &Testbed, duration: Duration) -> Result<(), Error> {
+    let (start, before) = (clock::now(), testbed.usage(VM_NAME)?);
+    compio::time::sleep(duration).await;
+    let after = testbed.usage(VM_NAME)?;
+    let elapsed = clock::now().saturating_sub(start);
+    let share = after.since(&before).as_secs_f64() / elapsed.as_secs_f64();
     println!(
         "idle: {:.2} % of a core, {:.1} MB resident\n",
         share * 100.0,
@@ -100,16 +102,16 @@
     Ok(())
 }
 
-async fn measure(scene: &Scene, route: &str, config: &Config) -> Result<(), Error> {
-    let before = scene.usage(VM)?;
-    let outcome = scene::load(config).await?;
-    let after = scene.usage(VM)?;
+async fn measure_load(testbed: &Testbed, route: &str, config: &Config) -> Result<(), Error> {
+    let before = testbed.usage(VM_NAME)?;
+    let results = testbed::run_load(config).await?;
+    let after = testbed.usage(VM_NAME)?;
     println!(
         "{}",
-        row(
+        format_row(
             route,
             config,
-            &outcome,
+            &results,
             after.since(&before),
             after.resident_kb
         )
@@ -117,50 +119,57 @@
     Ok(())
 }
 
-fn row(route: &str, config: &Config, outcome: &Outcome, cpu: Duration, resident: u64) -> String {
-    let counts = outcome.whole.class(Class::Lookups);
+fn format_row(
+    route: &str,
+    config: &Config,
+    results: &RunResults,
+    cpu: Duration,
+    resident: u64,
+) -> String {
+    let counts = results.overall.class(Class::Lookups);
     let [median, p99, p999, _] = table::quantiles(counts).map(table::millis);
-    // The warm-up's requests cost processor time too.
-    let share = config.span.as_secs_f64() / outcome.span.as_secs_f64().max(f64::MIN_POSITIVE);
-    let sent = table::float(counts.sent) * share;
-    let each = cpu.as_secs_f64() / sent.max(1.0);
-    let (each, a_second) = match route {
+    // Requests of the warm-up also use processor time, so they are added in proportion to its duration.
+    let share =
+        config.duration.as_secs_f64() / results.duration.as_secs_f64().max(f64::MIN_POSITIVE);
+    let sent = table::to_f64(counts.sent) * share;
+    let cpu_per_request = cpu.as_secs_f64() / sent.max(1.0);
+    let (cpu_per_request, requests_per_cpu_second) = match route {
         "through" => (
-            format!("{:.1}", each * 1e6),
-            format!("{:.0}", each.max(f64::MIN_POSITIVE).recip()),
+            format!("{:.1}", cpu_per_request * 1e6),
+            format!("{:.0}", cpu_per_request.max(f64::MIN_POSITIVE).recip()),
         ),
         _ => ("-".to_owned(), "-".to_owned()),
     };
     format!(
-        "| {route} | {:.0} | {:.0} | {median} | {p99} | {p999} | {} | {each} | {a_second} | {:.1} |",
+        "| {route} | {:.0} | {:.0} | {median} | {p99} | {p999} | {} | {cpu_per_request} | {requests_per_cpu_second} | {:.1} |",
         config.rates[0],
-        table::goodput(counts, outcome.span),
+        table::goodput(counts, results.duration),
         counts.sent - counts.good,
         table::megabytes(resident),
     )
 }
 
-/// Pulls large files and tells how far the VM's memory grew.
-async fn files(scene: &Scene, options: &Options) -> Result<(), Error> {
+/// Downloads large files and prints by how much the VM's peak memory grew.
+async fn measure_files(testbed: &Testbed, options: &Options) -> Result<(), Error> {
     let config = Config {
-        service: FILES.to_owned(),
-        addresses: vec![scene.callers()?[0]],
+        service: FILE_SERVICE.to_owned(),
+        addresses: vec![testbed.entry_addresses()?[0]],
         rates: [0.0, 0.0, 2.0],
-        file_bytes: LARGE,
-        span: options.span,
+        file_bytes: LARGE_FILE_BYTES,
+        duration: options.duration,
         work: Work::Fixed(Duration::ZERO),
         deadline: Duration::from_secs(30),
         ..Config::default()
     };
-    let before = scene.usage(VM)?;
-    let outcome = scene::load(&config).await?;
-    let after = scene.usage(VM)?;
-    let counts = outcome.whole.class(Class::Files);
+    let before = testbed.usage(VM_NAME)?;
+    let results = testbed::run_load(&config).await?;
+    let after = testbed.usage(VM_NAME)?;
+    let counts = results.overall.class(Class::Files);
     let cpu = after.since(&before).as_secs_f64();
     println!(
         "\nfiles of {} MB: {}; VM peak {:.1} MB before, {:.1} MB after; {:.2} CPU s for {} MB counted",
-        LARGE >> 20,
-        table::line(&outcome.whole, outcome.span),
+        LARGE_FILE_BYTES >> 20,
+        table::summary_line(&results.overall, results.duration),
         table::megabytes(before.peak_kb),
         table::megabytes(after.peak_kb),
         cpu,
--- a/tools/load/src/bin/bramleypier-experiment.rs
+++ b/tools/load/src/bin/bramleypier-experiment.rs
@@ -1,4 +1,4 @@
-//! Measures a fleet of real processes under load and faults.
+//! Command-line tool that measures fleets of real processes, idle, under load and with faults.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -7,131 +7,131 @@
     bench,
     config::Work,
     experiment::{self, fault::Fault, summary},
-    rest,
-    scene::Error,
+    idle,
+    testbed::Error,
 };
 
 /// Experiments with bramleypier, for tests only.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Measures look-ups through one VM against the same straight at targets, and large files
+    /// Compares look-ups through one VM with direct look-ups at targets, and measures large files
     #[bpaf(command)]
     Path {
-        /// The program of the VMs; found beside this one unless given
+        /// Executable of the VMs; by default it is looked up next to this one
         #[bpaf(argument("FILE"), optional)]
         program: Option<PathBuf>,
-        /// The directory of the documents
+        /// Directory of the services' documents
         #[bpaf(argument("DIR"), fallback(PathBuf::from("examples/quito")))]
         documents: PathBuf,
-        /// Look-ups a second; give one option for each run
+        /// Look-ups per second; repeat the option for several runs
         #[bpaf(argument("RATE"), many)]
         rate: Vec<f64>,
-        /// How long each run takes
+        /// Duration of each run
         #[bpaf(argument("SECONDS"), fallback(5.0))]
         seconds: f64,
-        /// How often runs take turns
+        /// Number of rounds, each a direct run and a run through the VM
         #[bpaf(argument("COUNT"), fallback(1))]
         rounds: usize,
-        /// Threads that send
+        /// Number of sending threads
         #[bpaf(argument("COUNT"), fallback(1))]
         workers: usize,
     },
-    /// Measures fleets at rest by their size, and how fast a document is in force
+    /// Measures idle fleets of several sizes, and how long a changed document takes to be in force
     #[bpaf(command)]
     Rest {
-        /// The program of the VMs; found beside this one unless given
+        /// Executable of the VMs; by default it is looked up next to this one
         #[bpaf(argument("FILE"), optional)]
         program: Option<PathBuf>,
-        /// The service's document
+        /// Document of the service
         #[bpaf(
             argument("FILE"),
             fallback(PathBuf::from("examples/quito/tracking.ini"))
         )]
         document: PathBuf,
-        /// How many VMs there are; give one option for each fleet
+        /// Number of VMs; repeat the option for several fleets
         #[bpaf(argument("COUNT"), many)]
         vms: Vec<usize>,
-        /// How long each fleet is measured
+        /// Duration for which each fleet is measured
         #[bpaf(argument("SECONDS"), fallback(10.0))]
         seconds: f64,
     },
-    /// Measures a service at several loads, whole and with a fault, against yardsticks
+    /// Measures a service at several loads, with and without faults, and compares it with baselines
     #[bpaf(command)]
     Load {
-        /// The program of the VMs; found beside this one unless given
+        /// Executable of the VMs; by default it is looked up next to this one
         #[bpaf(argument("FILE"), optional)]
         program: Option<PathBuf>,
-        /// The service's document
+        /// Document of the service
         #[bpaf(
             argument("FILE"),
             fallback(PathBuf::from("examples/quito/tracking.ini"))
         )]
         document: PathBuf,
-        /// How many VMs there are
+        /// Number of VMs
         #[bpaf(argument("COUNT"), fallback(10))]
         vms: usize,
-        /// A load in percent of what all slots can do; give one option for each
+        /// Load in percent of the capacity of all slots; repeat the option for several loads
         #[bpaf(argument("PERCENT"), many)]
         load: Vec<f64>,
-        /// What breaks: steady, target, vm or platform; give one option for each
+        /// Fault to inject: steady (none), target, vm or platform; repeat the option for several faults
         #[bpaf(argument("FAULT"), many)]
         fault: Vec<Fault>,
-        /// How often each run is done, in turns
+        /// Number of rounds; each round does every run once
         #[bpaf(argument("COUNT"), fallback(3))]
         rounds: usize,
-        /// How long each run takes, its warm-up included
+        /// Duration of each run, including its warm-up
         #[bpaf(argument("SECONDS"), fallback(12.0))]
         seconds: f64,
-        /// How long at the start nothing is counted
+        /// Warm-up at the start of a run, which isn't counted
         #[bpaf(argument("SECONDS"), fallback(2.0))]
         warm_up: f64,
-        /// The time of the work: fixed:MS or exponential:MS
+        /// Work time of a request: fixed:MS or exponential:MS
         #[bpaf(
             argument("TIME"),
             fallback(Work::Exponential(Duration::from_millis(10)))
         )]
         work: Work,
-        /// The share of requests that are orders
+        /// Fraction of requests that are orders
         #[bpaf(argument("SHARE"), fallback(0.1))]
         orders: f64,
-        /// The share of requests that are files
+        /// Fraction of requests that are files
         #[bpaf(argument("SHARE"), fallback(0.0))]
         files: f64,
-        /// The size of a file
+        /// Size of a file
         #[bpaf(argument("BYTES"), fallback(200_000))]
         file_bytes: u64,
-        /// How many keys there are
+        /// Number of keys
         #[bpaf(argument("COUNT"), fallback(100_000))]
         keys: usize,
-        /// The exponent of Zipf's law for keys; all are equally likely at 0
+        /// Exponent of the Zipf distribution of keys; at 0 all keys are equally likely
         #[bpaf(argument("EXPONENT"), fallback(0.0))]
         zipf: f64,
-        /// The longest wait in a yardstick's queue: as long as the document allows
+        /// Longest wait in a baseline's queue; use the limit that the document sets
         #[bpaf(argument("MS"), fallback(300))]
         patience_ms: u64,
-        /// Threads that send
+        /// Number of sending threads
         #[bpaf(argument("COUNT"), fallback(2))]
         workers: usize,
-        /// Choices among plain targets are measured too
+        /// Also measure direct requests to plain targets under several balancing policies
         choices: bool,
-        /// Where callers' lines are kept, one a sending; nowhere unless given
+        /// Directory in which the callers' logs are kept, one line per attempt; by default none are kept
         #[bpaf(argument("DIR"), optional)]
         lines: Option<PathBuf>,
-        /// Where the table, the runs and the plots are written
+        /// Directory for the table, the runs and the plots
         #[bpaf(argument("DIR"), fallback(PathBuf::from("experiment")))]
         out: PathBuf,
     },
 }
 
-/// The sizes of fleets when none are given.
-const SIZES: [usize; 4] = [3, 6, 12, 24];
-/// The rates when none are given.
-const RATES: [f64; 3] = [500.0, 2000.0, 8000.0];
-/// The loads when none are given.
-const LOADS: [f64; 5] = [50.0, 80.0, 95.0, 200.0, 500.0];
-/// What breaks when nothing is given.
-const FAULTS: [Fault; 4] = [Fault::None, Fault::Target, Fault::Vm, Fault::Platform];
+/// Default numbers of VMs.
+const DEFAULT_SIZES: [usize; 4] = [3, 6, 12, 24];
+/// Default rates, in look-ups per second.
+const DEFAULT_RATES: [f64; 3] = [500.0, 2000.0, 8000.0];
+/// Default loads, in percent of the capacity of all slots.
+const DEFAULT_LOADS: [f64; 5] = [50.0, 80.0, 95.0, 200.0, 500.0];
+/// Default faults.
+const DEFAULT_FAULTS: [Fault; 4] = [Fault::None, Fault::Target, Fault::Vm, Fault::Platform];
 
 #[compio::main]
 async fn main() -> ExitCode {
@@ -157,12 +157,12 @@
             let options = bench::Options {
                 program,
                 documents,
-                rates: or(rate, &RATES),
-                span: Duration::from_secs_f64(seconds.max(2.0)),
+                rates: or_default(rate, &DEFAULT_RATES),
+                duration: Duration::from_secs_f64(seconds.max(2.0)),
                 rounds,
                 workers,
             };
-            bench::path(&options).await
+            bench::measure_path(&options).await
         }
         Command::Rest {
             program,
@@ -170,13 +170,17 @@
             vms,
             seconds,
         } => {
-            let options = rest::Options {
+            let options = idle::Options {
                 program,
                 document,
-                sizes: if vms.is_empty() { SIZES.to_vec() } else { vms },
-                span: Duration::from_secs_f64(seconds.max(1.0)),
+                sizes: if vms.is_empty() {
+                    DEFAULT_SIZES.to_vec()
+                } else {
+                    vms
+                },
+                duration: Duration::from_secs_f64(seconds.max(1.0)),
             };
-            rest::measure(&options).await
+            idle::measure(&options).await
         }
         Command::Load {
             program,
@@ -203,10 +207,10 @@
                 program,
                 document,
                 vms,
-                loads: or(load, &LOADS),
-                faults: or(fault, &FAULTS),
+                loads: or_default(load, &DEFAULT_LOADS),
+                faults: or_default(fault, &DEFAULT_FAULTS),
                 rounds,
-                span: Duration::from_secs_f64(seconds.max(2.0)),
+                duration: Duration::from_secs_f64(seconds.max(2.0)),
                 warm_up: Duration::from_secs_f64(warm_up.max(0.0)),
                 work,
                 orders: orders.clamp(0.0, 1.0),
@@ -214,7 +218,7 @@
                 file_bytes,
                 keys,
                 zipf,
-                patience: Duration::from_millis(patience_ms),
+                max_wait: Duration::from_millis(patience_ms),
                 workers,
                 choices,
                 lines,
@@ -227,8 +231,8 @@
     }
 }
 
-/// Returns what was given, or else the preset.
-fn or<T>(given: Vec<T>, preset: &[T]) -> Vec<T>
+/// Returns the given values, or the preset ones when none are given.
+fn or_default<T>(given: Vec<T>, preset: &[T]) -> Vec<T>
 where
     T: Clone,
 {
--- a/tools/load/src/call.rs
+++ b/tools/load/src/call.rs
@@ -1,4 +1,4 @@
-//! One exchange: a request as its caller sends it, and what the answer tells.
+//! Performs one HTTP exchange: builds the request, sends it, and interprets the response.
 
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
@@ -9,47 +9,47 @@
 
 use crate::{config::Class, pool::Pool};
 
-/// Carries what an answer says of the request.
-const OUTCOME: &str = "bramleypier-outcome";
-/// Carries the VM or target at which the outcome arose.
-const PEER: &str = "bramleypier-peer";
-/// Carries the time to come back.
-const RETRY: &str = "bramleypier-retry-ms";
-/// How long a caller waits beyond the deadline that it named.
-pub const GRACE: Duration = Duration::from_secs(1);
-/// The most bytes of an answer that are kept to look for the request's id.
-const KEPT: usize = 64 * 1024;
+/// Response header that says whether the request ran.
+const OUTCOME_HEADER: &str = "bramleypier-outcome";
+/// Response header that names the VM or target at which the outcome was decided.
+const PEER_HEADER: &str = "bramleypier-peer";
+/// Response header with the time after which to retry, in milliseconds.
+const RETRY_HEADER: &str = "bramleypier-retry-ms";
+/// Time that a caller waits for a response after the deadline that it sent.
+pub const DEADLINE_GRACE: Duration = Duration::from_secs(1);
+/// Number of body bytes that are kept to search them for the request's id.
+const MAX_KEPT_BYTES: usize = 64 * 1024;
 
-/// A request to make.
+/// Content of one request, the same for each of its attempts.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// Its id, the same when it is sent again.
+pub struct CallSpec {
+    /// Id; retries of the request have the same id.
     pub id: String,
-    /// Its class.
+    /// Class of the work.
     pub class: Class,
-    /// Its key.
+    /// Sharding key.
     pub key: String,
-    /// The time of its work, unless the stand-in decides.
+    /// Work time to request from the stand-in, which decides by itself without one.
     pub work: Option<Duration>,
-    /// The size of the file that is asked for.
+    /// Size of the requested file, in bytes.
     pub bytes: u64,
-    /// How long the caller is ready to wait.
+    /// Deadline that is sent with the request.
     pub deadline: Duration,
-    /// The service, unless it goes straight to a target.
+    /// Name of the service; none when the request goes directly to a target.
     pub service: Option<String>,
 }
 
-impl Ask {
-    /// Returns the path, with the id where the target's log shows it.
+impl CallSpec {
+    /// Returns the path; look-ups and files carry the id in it, so that it appears in the target's log.
     ///
     /// # Example
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_load::{call::Ask, config::Class};
+    /// use bramleypier_load::{call::CallSpec, config::Class};
     ///
-    /// let ask = Ask {
+    /// let spec = CallSpec {
     ///     id: "7".into(),
     ///     class: Class::Files,
     ///     key: "key-1".into(),
@@ -58,18 +58,18 @@
     ///     deadline: Duration::from_secs(1),
     ///     service: Some("archive".into()),
     /// };
-    /// assert_eq!(ask.path(), "/archive/key-1/files/file?tag=7&bytes=10");
+    /// assert_eq!(spec.path(), "/archive/key-1/files/file?tag=7&bytes=10");
     /// ```
     pub fn path(&self) -> String {
         let Self { id, key, bytes, .. } = self;
-        let rest = match self.class {
+        let suffix = match self.class {
             Class::Lookups => format!("/status?tag={id}"),
             Class::Orders => "/orders".to_owned(),
             Class::Files => format!("/files/file?tag={id}&bytes={bytes}"),
         };
         match &self.service {
-            Some(service) => format!("/{service}/{key}{rest}"),
-            None => rest,
+            Some(service) => format!("/{service}/{key}{suffix}"),
+            None => suffix,
         }
     }
 
@@ -96,159 +96,170 @@
     }
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What a caller learned.
+/// Result of one exchange, as the caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// What it was told of the request.
-    pub told: Told,
-    /// The status; zero when no head came.
+pub struct CallResult {
+    /// Whether the request ran, as the response reports it.
+    pub outcome: Told,
+    /// HTTP status; zero when no response head was received.
     pub status: u16,
-    /// How many bytes of the body came.
+    /// Number of body bytes that were received.
     pub bytes: u64,
-    /// Whether the answer was whole and the caller's own, as far as one came.
+    /// Whether the body was intact and belonged to this request; also true when no response was received.
     pub sound: bool,
-    /// Whether no whole answer came.
+    /// Whether no complete response was received.
     pub failed: bool,
-    /// The VM or target at which the outcome arose.
+    /// VM or target at which the outcome was decided.
     pub peer: String,
-    /// When to come back.
-    pub retry: Option<Duration>,
+    /// Time after which to retry.
+    pub retry_after: Option<Duration>,
 }
 
-impl Answer {
-    /// Creates what a caller knows that got no answer.
+impl CallResult {
+    /// Creates the result of an exchange without a response; `sent` says whether the request may have left.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier_load::call::Answer;
+    /// use bramleypier_load::call::CallResult;
     ///
-    /// assert!(Answer::none(false).failed);
+    /// assert!(CallResult::without_response(false).failed);
     /// ```
-    pub fn none(sent: bool) -> Self {
+    pub fn without_response(sent: bool) -> Self {
         Self {
-            told: if sent { Told::Unknown } else { Told::NotRun },
+            outcome: if sent { Told::Unknown } else { Told::NotRun },
             status: 0,
             bytes: 0,
             sound: true,
             failed: true,
             peer: String::new(),
-            retry: None,
+            retry_after: None,
         }
     }
 
-    /// Returns whether the work ran and its whole answer came.
+    /// Returns whether the request ran, succeeded, and its complete and intact response was received.
     pub fn is_good(&self) -> bool {
-        self.told == Told::Ran && self.sound && !self.failed && self.status < 400
+        self.outcome == Told::Ran && self.sound && !self.failed && self.status < 400
     }
 }
 
-/// Makes one exchange over a kept connection, or a new one.
-pub async fn exchange(pool: &Pool, address: SocketAddr, ask: &Ask) -> Answer {
-    let limit = ask.deadline + GRACE;
+/// Performs one exchange over a pooled connection or a new one.
+pub async fn exchange(pool: &Pool, address: SocketAddr, spec: &CallSpec) -> CallResult {
+    let limit = spec.deadline + DEADLINE_GRACE;
     let sent = Cell::new(false);
-    match compio::time::timeout(limit, attempt(pool, address, ask, &sent)).await {
-        Ok(answer) => answer,
-        Err(_) => Answer::none(sent.get()),
+    match compio::time::timeout(limit, attempt(pool, address, spec, &sent)).await {
+        Ok(result) => result,
+        Err(_) => CallResult::without_response(sent.get()),
     }
 }
 
-/// Makes the exchange; `sent` tells whether a byte of the request may have left.
-async fn attempt(pool: &Pool, address: SocketAddr, ask: &Ask, sent: &Cell<bool>) -> Answer {
-    let Ok(request) = ask.request(address) else {
-        return Answer::none(false);
+/// Performs the exchange; sets `sent` before any byte of the request may leave.
+async fn attempt(
+    pool: &Pool,
+    address: SocketAddr,
+    spec: &CallSpec,
+    sent: &Cell<bool>,
+) -> CallResult {
+    let Ok(request) = spec.request(address) else {
+        return CallResult::without_response(false);
     };
-    let Ok(mut lent) = pool.take(address).await else {
-        return Answer::none(false);
+    let Ok(mut connection) = pool.acquire(address).await else {
+        return CallResult::without_response(false);
     };
     sent.set(true);
-    let Some(sender) = lent.sender() else {
-        return Answer::none(false);
+    let Some(sender) = connection.sender() else {
+        return CallResult::without_response(false);
     };
     match sender.try_send_request(request).await {
         Ok(response) => {
-            let answer = read(response, ask).await;
-            if !answer.failed {
-                compio::runtime::spawn(lent.keep()).detach();
+            let result = read(response, spec).await;
+            if !result.failed {
+                compio::runtime::spawn(connection.recycle()).detach();
             }
-            answer
+            result
         }
-        // Hyper gives the request back when it was never written.
-        Err(mut failure) => Answer::none(failure.take_message().is_none()),
+        // Hyper returns the request in the error when it was never written.
+        Err(mut failure) => CallResult::without_response(failure.take_message().is_none()),
     }
 }
 
-/// Reads a whole answer.
-async fn read(response: Response<Incoming>, ask: &Ask) -> Answer {
+/// Reads a whole response and interprets it.
+async fn read(response: Response<Incoming>, spec: &CallSpec) -> CallResult {
     let (head, body) = response.into_parts();
-    let mut answer = Answer {
-        told: told(head.status, &head.headers, ask),
+    let mut result = CallResult {
+        outcome: reported_outcome(head.status, &head.headers, spec),
         status: head.status.as_u16(),
-        peer: text(&head.headers, PEER).to_owned(),
-        retry: text(&head.headers, RETRY)
+        peer: header_text(&head.headers, PEER_HEADER).to_owned(),
+        retry_after: header_text(&head.headers, RETRY_HEADER)
             .parse()
             .ok()
             .map(Duration::from_millis),
-        ..Answer::none(true)
+        ..CallResult::without_response(true)
     };
-    let is_target = answer.told == Told::Ran && head.status.is_success();
-    match ask.class {
-        Class::Files if is_target => read_file(&mut answer, body, ask.bytes).await,
-        _ => read_text(&mut answer, body, is_target.then_some(&ask.id)).await,
+    let is_target = result.outcome == Told::Ran && head.status.is_success();
+    match spec.class {
+        Class::Files if is_target => read_file(&mut result, body, spec.bytes).await,
+        _ => read_text(&mut result, body, is_target.then_some(&spec.id)).await,
     }
-    answer
+    result
 }
 
-/// Reads a small answer; a target's echo names the request's id.
-async fn read_text(answer: &mut Answer, mut body: Incoming, id: Option<&String>) {
+/// Reads a small body; with an `id`, checks that the body contains it, as a target echoes the id.
+async fn read_text(result: &mut CallResult, mut body: Incoming, id: Option<&String>) {
     let mut kept = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            answer.told = Told::Unknown;
+            result.outcome = Told::Unknown;
             return;
         };
         let data = frame.data_ref().map_or(&[][..], |data| data);
-        answer.bytes += data.len() as u64;
-        let room = KEPT.saturating_sub(kept.len());
-        kept.extend_from_slice(&data[..data.len().min(room)]);
+        result.bytes += data.len() as u64;
+        let remaining = MAX_KEPT_BYTES.saturating_sub(kept.len());
+        kept.extend_from_slice(&data[..data.len().min(remaining)]);
     }
-    answer.failed = false;
-    answer.sound = id.is_none_or(|id| contains(&kept, id));
+    result.failed = false;
+    result.sound = id.is_none_or(|id| contains(&kept, id));
 }
 
-/// Reads a file and checks each of its bytes.
-async fn read_file(answer: &mut Answer, mut body: Incoming, size: u64) {
+/// Reads a file and checks each byte and the size.
+async fn read_file(result: &mut CallResult, mut body: Incoming, size: u64) {
     let mut intact = true;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            answer.told = Told::Unknown;
+            result.outcome = Told::Unknown;
             return;
         };
         let data = frame.data_ref().map_or(&[][..], |data| data);
-        let due = (answer.bytes..).map(payload::byte_at);
-        intact &= data.iter().copied().zip(due).all(|(byte, due)| byte == due);
-        answer.bytes += data.len() as u64;
+        let expected = (result.bytes..).map(payload::byte_at);
+        intact &= data
+            .iter()
+            .copied()
+            .zip(expected)
+            .all(|(byte, expected)| byte == expected);
+        result.bytes += data.len() as u64;
     }
-    answer.failed = false;
-    answer.sound = intact && answer.bytes == size;
+    result.failed = false;
+    result.sound = intact && result.bytes == size;
 }
 
-/// Returns what the head of an answer tells of the request.
+/// Returns whether a request ran, as the status and headers of its response report it.
+///
+/// A direct response of a target has no outcome header; with a success status it means that the request ran.
 ///
 /// # Example
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_load::{call, call::Ask, config::Class};
+/// use bramleypier_load::{call, call::CallSpec, config::Class};
 /// use bramleypier_standins::audit::Told;
 /// use http::{HeaderMap, StatusCode};
 ///
-/// let ask = Ask {
+/// let spec = CallSpec {
 ///     id: "7".into(),
 ///     class: Class::Lookups,
 ///     key: "key-1".into(),
@@ -257,20 +268,20 @@
 ///     deadline: Duration::from_secs(1),
 ///     service: Some("tracking".into()),
 /// };
-/// // An answer of an entry VM without an outcome tells nothing.
-/// let told = call::told(StatusCode::OK, &HeaderMap::new(), &ask);
-/// assert_eq!(told, Told::Unknown);
+/// // Without an outcome header, a response of an entry VM leaves the outcome unknown.
+/// let outcome = call::reported_outcome(StatusCode::OK, &HeaderMap::new(), &spec);
+/// assert_eq!(outcome, Told::Unknown);
 /// ```
-pub fn told(status: StatusCode, headers: &HeaderMap, ask: &Ask) -> Told {
-    match text(headers, OUTCOME) {
+pub fn reported_outcome(status: StatusCode, headers: &HeaderMap, spec: &CallSpec) -> Told {
+    match header_text(headers, OUTCOME_HEADER) {
         "ran" => Told::Ran,
         "not-run" => Told::NotRun,
-        "" if ask.service.is_none() && status.is_success() => Told::Ran,
+        "" if spec.service.is_none() && status.is_success() => Told::Ran,
         _ => Told::Unknown,
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     let value = headers.get(name);
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
--- a/tools/load/src/journal.rs
+++ b/tools/load/src/call_log.rs
@@ -1,4 +1,4 @@
-//! One line for each sending, for the audit after a run.
+//! Log of all attempts of a run, one JSON line each, for the audit after the run.
 
 use std::{
     fs::File,
@@ -11,36 +11,36 @@
 
 use crate::config::Class;
 
-/// One sending of one request; the same id may be sent again.
+/// One attempt of a request; retries of the request have the same id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Line {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// Its key.
+    /// Sharding key of the request.
     pub key: String,
-    /// Its class.
+    /// Class of the work.
     pub class: Class,
-    /// Where it was sent.
+    /// Address to which it was sent.
     pub address: String,
-    /// When it was sent, on the machine's clock.
+    /// Time at which it was sent, in milliseconds of the machine's clock.
     pub sent_ms: u64,
-    /// What the caller was told.
+    /// Whether the request ran, as the response reported it.
     pub told: Told,
-    /// Whether the answer, if one came, was whole and the caller's own.
+    /// Whether the response, if one was received, was intact and belonged to this request.
     pub sound: bool,
-    /// The answer's status; zero when none came.
+    /// HTTP status; zero when no response was received.
     pub status: u16,
-    /// How many bytes of the answer's body came.
+    /// Number of body bytes that were received.
     pub bytes: u64,
-    /// The VM or target at which the outcome arose.
+    /// VM or target at which the outcome was decided.
     pub peer: String,
-    /// From the due time to the answer, in microseconds.
+    /// Time from the due time to the end of the attempt, in microseconds.
     pub latency_us: u64,
 }
 
 impl Line {
-    /// Returns the line as the audit takes it: without an answer nobody was told anything.
+    /// Returns the attempt in the form that the audit reads; without a response its outcome is unknown.
     pub fn call(&self) -> Call {
         let told = if self.status == 0 {
             Told::Unknown
@@ -57,14 +57,14 @@
     }
 }
 
-/// A file of lines.
+/// Log file of attempts.
 #[derive(Debug)]
-pub struct Journal {
+pub struct CallLog {
     file: BufWriter<File>,
 }
 
-impl Journal {
-    /// Creates the file, or empties it.
+impl CallLog {
+    /// Creates the file, or truncates an existing one.
     ///
     /// # Errors
     ///
@@ -74,7 +74,7 @@
         Ok(Self { file })
     }
 
-    /// Writes a line.
+    /// Writes one line.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
         self.file.write_all(b"\n")
     }
 
-    /// Writes out what is still kept in memory.
+    /// Flushes buffered lines to the file.
     ///
     /// # Errors
     ///
@@ -94,11 +94,11 @@
     }
 }
 
-/// Reads a file of lines.
+/// Reads all lines of a log file.
 ///
 /// # Errors
 ///
-/// Fails when it can't be read, or a line is not one of ours.
+/// Fails when the file can't be read, or a line isn't a [`Line`].
 pub fn read(path: &Path) -> io::Result<Vec<Line>> {
     let lines = BufReader::new(File::open(path)?).lines();
     lines
--- a/tools/load/src/config.rs
+++ b/tools/load/src/config.rs
@@ -1,4 +1,4 @@
-//! What one run of load is.
+//! Configuration of one load run.
 
 use std::{net::SocketAddr, path::PathBuf, str::FromStr, time::Duration};
 
@@ -6,23 +6,23 @@
 
 use crate::arrivals::Pattern;
 
-/// A class of work.
+/// Class of work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// A GET whose answer is small.
+    /// GET with a small response.
     Lookups,
-    /// A POST that must run at most once.
+    /// POST that must run at most once.
     Orders,
-    /// A GET of a file.
+    /// GET of a file.
     Files,
 }
 
 impl Class {
-    /// Every class, in the order of their indices.
+    /// All classes, in the order of their indices.
     pub const ALL: [Self; 3] = [Self::Lookups, Self::Orders, Self::Files];
 
-    /// Returns the name.
+    /// Returns the name as it stands in logs and tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Lookups => "lookups",
@@ -31,52 +31,52 @@
         }
     }
 
-    /// Returns the index in arrays by class.
+    /// Returns the index of this class in per-class arrays.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Returns whether the work may run more than once.
+    /// Returns whether the work may run more than once without harm.
     pub fn is_idempotent(self) -> bool {
         self != Self::Orders
     }
 }
 
-/// How a request's address is chosen.
+/// Load-balancing policy that chooses the address of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spread {
-    /// One after the other, as the balancer does.
-    Round,
-    /// At random.
+pub enum Policy {
+    /// Each address in turn, as the load balancer does.
+    RoundRobin,
+    /// A random address.
     Random,
-    /// The one with fewer requests of this worker in flight, of two at random.
-    Two,
-    /// The one with the fewest requests of this worker in flight.
-    Least,
+    /// Of two random addresses, the one with fewer requests of this worker in flight.
+    TwoChoices,
+    /// The address with the fewest requests of this worker in flight.
+    LeastInFlight,
 }
 
-impl FromStr for Spread {
+impl FromStr for Policy {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         match text {
-            "round" => Ok(Self::Round),
+            "round" => Ok(Self::RoundRobin),
             "random" => Ok(Self::Random),
-            "two" => Ok(Self::Two),
-            "least" => Ok(Self::Least),
+            "two" => Ok(Self::TwoChoices),
+            "least" => Ok(Self::LeastInFlight),
             _ => Err(format!("{text:?} is none of round, random, two, least")),
         }
     }
 }
 
-/// The time of a request's work, which the caller names to the targets' stand-ins.
+/// Work time of a request, which the caller sends to the targets' stand-ins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// The stand-in decides.
-    Unsaid,
-    /// The same time each time.
+    /// Not sent: the stand-in decides.
+    Unspecified,
+    /// The same time for every request.
     Fixed(Duration),
-    /// Exponential with this mean, rounded to whole milliseconds.
+    /// Exponentially distributed with this mean, rounded to whole milliseconds.
     Exponential(Duration),
 }
 
@@ -86,11 +86,11 @@
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (kind, ms) = text.split_once(':').unwrap_or((text, "0"));
         let ms = ms.parse().map_err(|cause| format!("{text:?}: {cause}"))?;
-        let span = Duration::from_millis(ms);
+        let duration = Duration::from_millis(ms);
         match kind {
-            "unsaid" => Ok(Self::Unsaid),
-            "fixed" => Ok(Self::Fixed(span)),
-            "exponential" => Ok(Self::Exponential(span)),
+            "unsaid" => Ok(Self::Unspecified),
+            "fixed" => Ok(Self::Fixed(duration)),
+            "exponential" => Ok(Self::Exponential(duration)),
             _ => Err(format!(
                 "{text:?} is none of unsaid, fixed:MS, exponential:MS"
             )),
@@ -98,47 +98,47 @@
     }
 }
 
-/// One run of load.
+/// Configuration of one load run.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// The service that is asked.
+    /// Name of the requested service.
     pub service: String,
-    /// Where requests go.
+    /// Addresses to which requests are sent.
     pub addresses: Vec<SocketAddr>,
     /// Whether the addresses are those of targets, not of entry VMs.
     pub direct: bool,
-    /// How an address is chosen.
-    pub spread: Spread,
-    /// Requests a second, by class.
+    /// Policy that chooses the address of each request.
+    pub policy: Policy,
+    /// Requests per second, by class.
     pub rates: [f64; 3],
-    /// How arrivals are spaced.
+    /// Distribution of the gaps between arrivals.
     pub pattern: Pattern,
-    /// What all chance is drawn from.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// How long requests are sent.
-    pub span: Duration,
-    /// How long at the start nothing is counted.
+    /// Duration for which requests are sent, including the warm-up.
+    pub duration: Duration,
+    /// Warm-up at the start of the run, which isn't counted.
     pub warm_up: Duration,
-    /// How many keys there are.
+    /// Number of keys.
     pub keys: usize,
-    /// The exponent of Zipf's law; all keys are equally likely at zero.
+    /// Exponent of the Zipf distribution of keys; at zero all keys are equally likely.
     pub zipf: f64,
-    /// The size of a file.
+    /// Size of a file, in bytes.
     pub file_bytes: u64,
-    /// The time of the work.
+    /// Work time of requests.
     pub work: Work,
-    /// How long callers are ready to wait.
+    /// Deadline that callers send with a request.
     pub deadline: Duration,
-    /// How often an order is sent at the most.
-    pub sends: usize,
-    /// How many threads send.
+    /// Maximum number of attempts for an order.
+    pub max_attempts: usize,
+    /// Number of sending threads.
     pub workers: usize,
-    /// The most connections of a worker to an address.
+    /// Maximum number of connections per worker and address.
     pub connections: usize,
-    /// How often the balancer checks an entry VM's health; never without one.
-    pub health: Option<Duration>,
-    /// Where one line a request is written; each worker adds its number to the name.
-    pub log: Option<PathBuf>,
+    /// Interval of the balancer's health checks; without one there are none.
+    pub health_interval: Option<Duration>,
+    /// File for one line per attempt; each worker appends its number to the name.
+    pub log_file: Option<PathBuf>,
 }
 
 impl Default for Config {
@@ -147,22 +147,22 @@
             service: "tracking".to_owned(),
             addresses: Vec::new(),
             direct: false,
-            spread: Spread::Round,
+            policy: Policy::RoundRobin,
             rates: [1000.0, 0.0, 0.0],
             pattern: Pattern::Poisson,
             seed: 1,
-            span: Duration::from_secs(10),
+            duration: Duration::from_secs(10),
             warm_up: Duration::from_secs(1),
             keys: 10_000,
             zipf: 0.0,
             file_bytes: 200_000,
-            work: Work::Unsaid,
+            work: Work::Unspecified,
             deadline: Duration::from_secs(2),
-            sends: 1,
+            max_attempts: 1,
             workers: 1,
             connections: 256,
-            health: None,
-            log: None,
+            health_interval: None,
+            log_file: None,
         }
     }
 }
--- a/tools/load/src/experiment/account.rs
+++ b/tools/load/src/experiment/analysis.rs
@@ -1,4 +1,4 @@
-//! What the callers' and the targets' logs say of a run.
+//! Analyses the logs that the callers and the targets wrote during a run.
 
 use std::{io, time::Duration};
 
@@ -13,38 +13,38 @@
 use xxhash_rust::xxh3;
 
 use crate::{
+    call_log::{self, Line},
     config::{Class, Config},
-    journal::{self, Line},
     worker,
 };
 
-/// The length of a slice of time in which failures are counted.
-const SLICE: u64 = 100;
-/// How many findings of each kind are told in full.
-const EXAMPLES: usize = 5;
-/// One request in so many may fail in a slice that counts as served.
-const TOLERATED: u64 = 100;
+/// Length of a time slice for which failures are counted.
+const SLICE_MS: u64 = 100;
+/// Number of findings of each kind that are described in full.
+const MAX_EXAMPLES: usize = 5;
+/// A time slice counts as served when at most one of this many requests fails.
+const REQUESTS_PER_TOLERATED_FAILURE: u64 = 100;
 
-/// What the logs say of a run.
+/// Results of the analysis of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
-    /// Greatest over mean count of runs by target.
+pub struct Analysis {
+    /// Greatest divided by mean number of executed requests per target.
     pub imbalance: f64,
-    /// How often a key's work went on at another target, for each key.
+    /// Number of moves to another target per key, as the targets' logs show them.
     pub churn: f64,
-    /// The longest time for which a slice of the hash space was not served in time.
+    /// Longest time for which some slice of the hash space was not served in time.
     pub gap: Duration,
-    /// All slices of time in which more than one request in a hundred was not served.
+    /// Total time of the time slices in which more than one request in a hundred was not served.
     pub failing: Duration,
-    /// What the audit found.
+    /// Findings of the audit.
     pub findings: Findings,
-    /// All that is known of some of the requests that it found.
+    /// Log entries of the first few findings of each kind.
     pub examples: Vec<String>,
 }
 
-impl Account {
-    /// Returns how many findings the audit has.
-    pub fn count(&self) -> u64 {
+impl Analysis {
+    /// Returns the number of findings of the audit.
+    pub fn finding_count(&self) -> u64 {
         let findings = &self.findings;
         let lists = [
             &findings.doubled,
@@ -57,60 +57,60 @@
     }
 }
 
-/// Reads what the workers of a run wrote.
+/// Reads the log files of all workers of a run.
 ///
 /// # Errors
 ///
 /// Fails when a file can't be read.
-pub fn lines(config: &Config) -> io::Result<Vec<Line>> {
+pub fn read_call_logs(config: &Config) -> io::Result<Vec<Line>> {
     let mut lines = Vec::new();
     for worker in 0..config.workers.max(1) {
         if let Some(path) = worker::log_path(config, worker) {
-            lines.extend(journal::read(&path)?);
+            lines.extend(call_log::read(&path)?);
         }
     }
     Ok(lines)
 }
 
-/// Joins the callers' lines with what the targets ran.
+/// Joins the callers' log with the requests that the targets ran.
 ///
-/// The hash space is cut into `slices` equal parts; the first `warm_up` counts for the audit only.
+/// The hash space is divided into `slices` equal parts. Requests of the first `warm_up` count for the audit only.
 ///
 /// # Example
 ///
 /// ```
-/// use bramleypier_load::experiment::account;
+/// use bramleypier_load::experiment::analysis;
 ///
-/// assert!(account::account(&[], &[], &[], 60, std::time::Duration::ZERO).findings.is_clean());
+/// assert!(analysis::analyse(&[], &[], &[], 60, std::time::Duration::ZERO).findings.is_clean());
 /// ```
-pub fn account(
+pub fn analyse(
     lines: &[Line],
     runs: &[Run],
     targets: &[String],
     slices: u64,
     warm_up: Duration,
-) -> Account {
+) -> Analysis {
     let calls: Vec<Call> = lines.iter().map(Line::call).collect();
     let first = lines.iter().map(|line| line.sent_ms).min().unwrap_or(0);
     let from = first + clock::millis(warm_up);
     let counted = lines.iter().filter(move |line| line.sent_ms >= from);
     let lookups = || counted.clone().filter(|line| line.class == Class::Lookups);
-    let samples: Vec<Sample> = lookups().map(|line| sample(line, slices)).collect();
+    let samples: Vec<Sample> = lookups().map(|line| to_sample(line, slices)).collect();
     let last = lookups().map(|line| line.sent_ms).max().unwrap_or(0);
     let gaps = measure::gaps(&samples, Duration::from_millis(last));
     let findings = audit::audit(&calls, runs);
-    Account {
-        examples: examples(&findings, lines, runs),
+    Analysis {
+        examples: describe_findings(&findings, lines, runs),
         imbalance: measure::imbalance(runs, targets),
         churn: measure::churn(runs),
         gap: gaps.values().max().copied().unwrap_or_default(),
-        failing: failing(lookups()),
+        failing: failing_time(lookups()),
         findings,
     }
 }
 
-/// Tells what callers and targets say of the first few requests and keys that were found.
-fn examples(findings: &Findings, lines: &[Line], runs: &[Run]) -> Vec<String> {
+/// Lists the log entries of callers and targets for the first few findings of each kind.
+fn describe_findings(findings: &Findings, lines: &[Line], runs: &[Run]) -> Vec<String> {
     let kinds = [
         ("doubled", &findings.doubled),
         ("lost", &findings.lost),
@@ -119,14 +119,14 @@
         ("two owners", &findings.two_owners),
     ];
     let found = kinds.iter().flat_map(|(kind, list)| {
-        let first = list.iter().take(EXAMPLES);
+        let first = list.iter().take(MAX_EXAMPLES);
         first.map(move |name| (kind, name))
     });
     let mut examples = Vec::new();
     for (kind, name) in found {
         examples.push(format!("{kind}: {name}"));
-        let told = lines.iter().filter(|line| line.id == *name);
-        examples.extend(told.map(|line| format!("  told {line:?}")));
+        let calls = lines.iter().filter(|line| line.id == *name);
+        examples.extend(calls.map(|line| format!("  told {line:?}")));
         let ran = runs.iter().filter(|run| {
             run.key == *name || run.idempotency == *name || run.path.contains(name.as_str())
         });
@@ -135,11 +135,11 @@
     examples
 }
 
-/// Takes a line as a sample of the slice that its key stands in.
-fn sample(line: &Line, slices: u64) -> Sample {
+/// Converts a log line to a sample of the hash space slice that contains its key.
+fn to_sample(line: &Line, slices: u64) -> Sample {
     let served = is_served(line);
-    let point = u128::from(xxh3::xxh3_64(line.key.as_bytes()));
-    let slice = (point * u128::from(slices.max(1))) >> u64::BITS;
+    let hash = u128::from(xxh3::xxh3_64(line.key.as_bytes()));
+    let slice = (hash * u128::from(slices.max(1))) >> u64::BITS;
     Sample {
         service: String::new(),
         key: slice.to_string(),
@@ -158,27 +158,27 @@
     line.told == Told::Ran && line.sound && line.status == 200
 }
 
-/// Adds up the slices of time in which too many look-ups were not served.
+/// Returns the total time of the time slices in which too many look-ups were not served.
 ///
 /// # Example
 ///
 /// ```
-/// use bramleypier_load::experiment::account;
+/// use bramleypier_load::experiment::analysis;
 ///
-/// assert!(account::failing([].into_iter()).is_zero());
+/// assert!(analysis::failing_time([].into_iter()).is_zero());
 /// ```
-pub fn failing<'a, I>(lines: I) -> Duration
+pub fn failing_time<'a, I>(lines: I) -> Duration
 where
     I: Iterator<Item = &'a Line>,
 {
     let mut slices: IndexMap<u64, (u64, u64)> = IndexMap::new();
     for line in lines {
-        let (all, failed) = slices.entry(line.sent_ms / SLICE).or_default();
+        let (all, failed) = slices.entry(line.sent_ms / SLICE_MS).or_default();
         *all += 1;
         *failed += u64::from(!is_served(line));
     }
     let failing = slices
         .values()
-        .filter(|(all, failed)| failed * TOLERATED > *all);
-    Duration::from_millis(failing.count() as u64 * SLICE)
+        .filter(|(all, failed)| failed * REQUESTS_PER_TOLERATED_FAILURE > *all);
+    Duration::from_millis(failing.count() as u64 * SLICE_MS)
 }
--- a/tools/load/src/experiment/baseline.rs
+++ b/tools/load/src/experiment/baseline.rs
@@ -1,50 +1,48 @@
-//! Yardsticks: the same arrivals and work times, served without any cost.
+//! Baselines: simulates the same arrivals and work times without overhead.
 
 use std::time::Duration;
 
 use crate::{
     config::{Config, Work},
     experiment::cell::{Cell, Row},
-    perfect::{self, Terms},
-    plan::{self, Shot},
+    ideal::{self, Parameters},
+    plan::{self, PlannedRequest},
 };
 
-/// Slots of a target.
-const SLOTS: usize = 2;
+/// Number of slots of a target.
+const SLOTS_PER_TARGET: usize = 2;
 
-/// Adds the rows of one queue before all slots, and of a queue for each target by key; who would
-/// wait longer than `patience` is refused.
-pub fn arithmetic(
-    rows: &mut Vec<Row>,
-    cell: &Cell,
-    config: &Config,
-    slots: u32,
-    patience: Duration,
-) {
-    let plan = plan::whole(config);
+/// Adds the rows of two simulations: one queue in front of all slots, and a queue per target with
+/// requests assigned by key.
+///
+/// A request that would wait longer than `max_wait` is rejected.
+pub fn add_rows(rows: &mut Vec<Row>, cell: &Cell, config: &Config, slots: u32, max_wait: Duration) {
+    let plan = plan::all_requests(config);
     let slots = usize::try_from(slots).unwrap_or(1);
-    let one = Terms {
+    let single_queue = Parameters {
         queues: 1,
         slots,
-        work: mean(config.work),
-        patience,
+        work: mean_work(config.work),
+        max_wait,
         warm_up: config.warm_up,
     };
-    let split = Terms {
-        queues: slots / SLOTS,
-        slots: SLOTS,
-        ..one
+    let queue_per_target = Parameters {
+        queues: slots / SLOTS_PER_TARGET,
+        slots: SLOTS_PER_TARGET,
+        ..single_queue
     };
-    let span = config.span.saturating_sub(config.warm_up);
-    let counts = perfect::serve(&plan, &one, |_| 0);
-    rows.push(Row::new("one queue", cell, &counts, span));
-    let counts = perfect::serve(&plan, &split, |shot: &Shot| shot.key);
-    rows.push(Row::new("queue by key", cell, &counts, span));
+    let duration = config.duration.saturating_sub(config.warm_up);
+    let counts = ideal::simulate(&plan, &single_queue, |_| 0);
+    rows.push(Row::new("one queue", cell, &counts, duration));
+    let counts = ideal::simulate(&plan, &queue_per_target, |request: &PlannedRequest| {
+        request.key
+    });
+    rows.push(Row::new("queue by key", cell, &counts, duration));
 }
 
-fn mean(work: Work) -> Duration {
+fn mean_work(work: Work) -> Duration {
     match work {
-        Work::Fixed(span) | Work::Exponential(span) => span,
-        Work::Unsaid => Duration::ZERO,
+        Work::Fixed(duration) | Work::Exponential(duration) => duration,
+        Work::Unspecified => Duration::ZERO,
     }
 }
--- a/tools/load/src/experiment/cell.rs
+++ b/tools/load/src/experiment/cell.rs
@@ -1,4 +1,4 @@
-//! One run and what came of it.
+//! Runs one cell of the experiment matrix and collects its results.
 
 use std::{fmt, time::Duration};
 
@@ -8,93 +8,93 @@
 use crate::{
     config::Config,
     experiment::{
-        account::{self, Account},
+        analysis::{self, Analysis},
         fault::Fault,
     },
-    run::Outcome,
-    scene::{self, Error, Scene},
+    run::RunResults,
     table::{self, millis},
     tally::Counts,
+    testbed::{self, Error, Testbed},
     usage::Usage,
 };
 
-/// The part of the counted time after which something breaks.
-const FAULT_PART: u32 = 4;
+/// The fault is injected after the counted time divided by this number.
+const FAULT_TIME_DIVISOR: u32 = 4;
 
-/// Slices of the hash space for each target: as many as its ranges.
-const SLICES: u64 = 4;
+/// Slices of the hash space per target: the number of ranges that a target has.
+const SLICES_PER_TARGET: u64 = 4;
 
-/// One run of the matrix.
+/// One run of the experiment matrix.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
-    /// What breaks.
+    /// Injected fault.
     pub fault: Fault,
-    /// The load, in percent of what all slots can do.
+    /// Load, in percent of the capacity of all slots.
     pub load: f64,
-    /// The round.
+    /// Number of the round, from zero.
     pub round: usize,
 }
 
-/// What the VMs spent and counted in a run.
+/// Resources that the VMs used in a run, and sums of their counters.
 #[derive(Clone, Debug, Default)]
-pub struct Spent {
-    /// Processor time of each VM as a share of a core, the greatest.
-    pub core: f64,
-    /// Processor time for each request.
-    pub each: Duration,
-    /// Resident memory of the VM that has most, in kilobytes.
+pub struct FleetUsage {
+    /// Processor time of the busiest VM, as a fraction of one core.
+    pub max_core_share: f64,
+    /// Processor time of all VMs per request.
+    pub cpu_per_request: Duration,
+    /// Greatest resident memory of a VM, in kilobytes.
     pub resident_kb: u64,
-    /// Connections opened to targets.
+    /// Number of connections opened to targets.
     pub opened: i64,
-    /// Attempts after the first.
+    /// Number of attempts after the first.
     pub retried: i64,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: i64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Which way the requests took.
+    /// Route of the requests: through the VMs, direct, or a simulated baseline.
     pub route: &'static str,
-    /// The run.
+    /// Cell of the matrix.
     pub cell: Cell,
-    /// Requests, as their callers counted them.
+    /// Counts of requests, as their callers saw them.
     pub counts: Counts,
-    /// How long requests were counted.
-    pub span: Duration,
-    /// What the VMs spent, where requests went through them.
-    pub spent: Option<Spent>,
-    /// What the logs say, where there are logs.
-    pub account: Option<Account>,
+    /// Duration for which requests were counted.
+    pub duration: Duration,
+    /// Resources that the VMs used; none when no requests went through them.
+    pub fleet_usage: Option<FleetUsage>,
+    /// Analysis of the logs; none when there are no logs.
+    pub analysis: Option<Analysis>,
 }
 
 impl Row {
-    /// The head of a table of rows.
-    pub const HEAD: &str = "route,fault,load,round,sent,good,not_run,unknown,errors,unsound,\
+    /// Header of a CSV table of rows.
+    pub const CSV_HEADER: &str = "route,fault,load,round,sent,good,not_run,unknown,errors,unsound,\
                             goodput,p50_ms,p99_ms,p999_ms,max_ms,refused_p99_ms,core,cpu_us,\
                             resident_mb,opened,retried,refused,imbalance,churn,gap_ms,failing_ms,\
                             doubled,lost,untrue,unsound_audit,two_owners";
 
-    /// Creates a row of what callers saw.
-    pub fn new(route: &'static str, cell: &Cell, counts: &Counts, span: Duration) -> Self {
+    /// Creates a row from the callers' counts, without usage and analysis.
+    pub fn new(route: &'static str, cell: &Cell, counts: &Counts, duration: Duration) -> Self {
         Self {
             route,
             cell: *cell,
             counts: counts.clone(),
-            span,
-            spent: None,
-            account: None,
+            duration,
+            fleet_usage: None,
+            analysis: None,
         }
     }
 
-    /// Returns requests served well in a second.
+    /// Returns the number of successful requests per second.
     pub fn goodput(&self) -> f64 {
-        table::goodput(&self.counts, self.span)
+        table::goodput(&self.counts, self.duration)
     }
 }
 
-/// Writes the row as CSV.
+/// Formats the row as CSV.
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts = &self.counts;
@@ -115,24 +115,24 @@
             self.goodput(),
             millis(counts.refused.quantile(0.99)),
         )?;
-        match &self.spent {
-            Some(spent) => write!(f, ",{spent}")?,
+        match &self.fleet_usage {
+            Some(fleet_usage) => write!(f, ",{fleet_usage}")?,
             None => f.write_str(",,,,,,")?,
         }
-        match &self.account {
-            Some(account) => write!(f, ",{account}"),
+        match &self.analysis {
+            Some(analysis) => write!(f, ",{analysis}"),
             None => f.write_str(",,,,,,,,,"),
         }
     }
 }
 
-impl fmt::Display for Spent {
+impl fmt::Display for FleetUsage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
             "{:.3},{:.1},{:.1},{},{},{}",
-            self.core,
-            self.each.as_secs_f64() * 1e6,
+            self.max_core_share,
+            self.cpu_per_request.as_secs_f64() * 1e6,
             table::megabytes(self.resident_kb),
             self.opened,
             self.retried,
@@ -141,7 +141,7 @@
     }
 }
 
-impl fmt::Display for Account {
+impl fmt::Display for Analysis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let findings = &self.findings;
         write!(
@@ -160,45 +160,49 @@
     }
 }
 
-/// Runs a cell on a fresh fleet, and gives the fleet back.
+/// Runs a cell on a newly started fleet and returns the fleet with the row.
 ///
 /// # Errors
 ///
 /// Fails when load can't be sent, or logs can't be read.
-pub async fn run(mut scene: Scene, cell: &Cell, config: &Config) -> Result<(Row, Scene), Error> {
-    let before = readings(&scene).await?;
-    let counted = config.span.saturating_sub(config.warm_up);
-    let due = config.warm_up + counted / FAULT_PART;
-    let load = scene::load(config);
-    let strike = cell.fault.strike(&mut scene, due);
-    let (outcome, struck) = future::join(load, strike).await;
-    let (outcome, ()) = (outcome?, struck?);
-    let after = readings(&scene).await?;
-    let mut row = Row::new("bramleypier", cell, &outcome.total(), outcome.span);
-    row.spent = Some(spent(&before, &after, &outcome, config));
-    row.account = Some(account(&scene, config)?);
-    Ok((row, scene))
+pub async fn run(
+    mut testbed: Testbed,
+    cell: &Cell,
+    config: &Config,
+) -> Result<(Row, Testbed), Error> {
+    let before = read_vms(&testbed).await?;
+    let counted = config.duration.saturating_sub(config.warm_up);
+    let due = config.warm_up + counted / FAULT_TIME_DIVISOR;
+    let load = testbed::run_load(config);
+    let inject = cell.fault.inject(&mut testbed, due);
+    let (results, injected) = future::join(load, inject).await;
+    let (results, ()) = (results?, injected?);
+    let after = read_vms(&testbed).await?;
+    let mut row = Row::new("bramleypier", cell, &results.total(), results.duration);
+    row.fleet_usage = Some(compare(&before, &after, &results, config));
+    row.analysis = Some(analyse_logs(&testbed, config)?);
+    Ok((row, testbed))
 }
 
-fn account(scene: &Scene, config: &Config) -> Result<Account, Error> {
-    let lines = account::lines(config).map_err(|cause| Error::Load("log", cause))?;
-    let runs = scene.fleet.runs_of_targets()?;
-    let serving = scene.documents.iter().flat_map(|document| {
+fn analyse_logs(testbed: &Testbed, config: &Config) -> Result<Analysis, Error> {
+    let lines = analysis::read_call_logs(config).map_err(|cause| Error::Load("log", cause))?;
+    let runs = testbed.fleet.runs_of_targets()?;
+    let running = testbed.documents.iter().flat_map(|document| {
         let names = document.targets.keys();
-        names.filter(|name| scene.fleet.runs(name)).cloned()
+        names.filter(|name| testbed.fleet.runs(name)).cloned()
     });
-    let serving: Vec<String> = serving.collect();
-    let slices = scene.fleet.targets.len() as u64 * SLICES;
-    Ok(account::account(
+    let running: Vec<String> = running.collect();
+    let slices = testbed.fleet.targets.len() as u64 * SLICES_PER_TARGET;
+    Ok(analysis::analyse(
         &lines,
         &runs,
-        &serving,
+        &running,
         slices,
         config.warm_up,
     ))
 }
 
-/// What a VM has spent and counted so far.
+/// Usage and counters of a VM so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reading {
     usage: Usage,
@@ -207,45 +211,46 @@
     refused: i64,
 }
 
-/// Reads all VMs that run.
-async fn readings(scene: &Scene) -> Result<IndexMap<String, Reading>, Error> {
-    let mut readings = IndexMap::new();
-    for vm in scene.vms.iter().filter(|vm| scene.fleet.runs(vm)) {
-        let totals = scene.totals(vm).await?;
+/// Reads the usage and counters of all running VMs.
+async fn read_vms(testbed: &Testbed) -> Result<IndexMap<String, Reading>, Error> {
+    let mut read_vms = IndexMap::new();
+    for vm in testbed.vms.iter().filter(|vm| testbed.fleet.runs(vm)) {
+        let totals = testbed.totals(vm).await?;
         let reading = Reading {
-            usage: scene.usage(vm)?,
-            opened: scene::total(&totals, "connections.opened"),
-            retried: scene::total(&totals, "requests.retried"),
-            refused: scene::total(&totals, "requests.not_run"),
+            usage: testbed.usage(vm)?,
+            opened: testbed::metric_sum(&totals, "connections.opened"),
+            retried: testbed::metric_sum(&totals, "requests.retried"),
+            refused: testbed::metric_sum(&totals, "requests.not_run"),
         };
-        readings.insert(vm.clone(), reading);
+        read_vms.insert(vm.clone(), reading);
     }
-    Ok(readings)
+    Ok(read_vms)
 }
 
-/// Compares readings of the VMs that still run; what a lost VM spent is not known.
-fn spent(
+/// Computes the usage between two readings of the VMs that still run; that of a lost VM is unknown.
+fn compare(
     before: &IndexMap<String, Reading>,
     after: &IndexMap<String, Reading>,
-    outcome: &Outcome,
+    results: &RunResults,
     config: &Config,
-) -> Spent {
-    let mut spent = Spent::default();
+) -> FleetUsage {
+    let mut fleet_usage = FleetUsage::default();
     let mut cpu = Duration::ZERO;
-    let mut greatest = Duration::ZERO;
+    let mut max_cpu = Duration::ZERO;
     for (vm, reading) in after {
         let earlier = before.get(vm).copied().unwrap_or_default();
-        let own = reading.usage.since(&earlier.usage);
-        cpu += own;
-        greatest = greatest.max(own);
-        spent.resident_kb = spent.resident_kb.max(reading.usage.resident_kb);
-        spent.opened += reading.opened - earlier.opened;
-        spent.retried += reading.retried - earlier.retried;
-        spent.refused += reading.refused - earlier.refused;
+        let vm_cpu = reading.usage.since(&earlier.usage);
+        cpu += vm_cpu;
+        max_cpu = max_cpu.max(vm_cpu);
+        fleet_usage.resident_kb = fleet_usage.resident_kb.max(reading.usage.resident_kb);
+        fleet_usage.opened += reading.opened - earlier.opened;
+        fleet_usage.retried += reading.retried - earlier.retried;
+        fleet_usage.refused += reading.refused - earlier.refused;
     }
-    let share = config.span.as_secs_f64() / outcome.span.as_secs_f64().max(f64::MIN_POSITIVE);
-    let count = table::float(outcome.total().sent) * share;
-    spent.core = greatest.as_secs_f64() / config.span.as_secs_f64();
-    spent.each = cpu.div_f64(count.max(1.0));
-    spent
+    let share =
+        config.duration.as_secs_f64() / results.duration.as_secs_f64().max(f64::MIN_POSITIVE);
+    let count = table::to_f64(results.total().sent) * share;
+    fleet_usage.max_core_share = max_cpu.as_secs_f64() / config.duration.as_secs_f64();
+    fleet_usage.cpu_per_request = cpu.div_f64(count.max(1.0));
+    fleet_usage
 }
--- a/tools/load/src/experiment/fault.rs
+++ b/tools/load/src/experiment/fault.rs
@@ -1,29 +1,29 @@
-//! What breaks during a run.
+//! Fault that is injected during a run.
 
 use std::{str::FromStr, time::Duration};
 
 use bramleypier_standins::platform;
 
-use crate::scene::{Error, Scene};
+use crate::testbed::{Error, Testbed};
 
-/// How long a lost process stays on the platform's list.
-const LIST_LAG: Duration = Duration::from_secs(1);
+/// Time for which a lost process stays in the platform's list.
+const LISTING_DELAY: Duration = Duration::from_secs(1);
 
-/// What breaks during a run.
+/// Fault that is injected during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// A target is killed.
     Target,
     /// A VM is killed.
     Vm,
-    /// The platform's service hangs up on all calls, from then on.
+    /// The platform's service closes the connection on every call from then on.
     Platform,
 }
 
 impl Fault {
-    /// Returns the name.
+    /// Returns the name as it stands in tables and plots.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "steady",
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Breaks what is to be broken, `after` from now.
+    /// Injects the fault, `after` from now.
     ///
     /// # Errors
     ///
-    /// Fails when there is nothing of the kind.
-    pub async fn strike(self, scene: &mut Scene, after: Duration) -> Result<(), Error> {
+    /// Fails when the process can't be killed, or the platform doesn't accept the change.
+    pub async fn inject(self, testbed: &mut Testbed, after: Duration) -> Result<(), Error> {
         if self == Self::None {
             return Ok(());
         }
@@ -48,24 +48,24 @@
                 down: true,
                 ..platform::Faults::default()
             };
-            return Ok(scene.fleet.platform_faults(&down).await?);
+            return Ok(testbed.fleet.platform_faults(&down).await?);
         }
-        let Some(name) = self.victim(scene) else {
+        let Some(name) = self.process_to_kill(testbed) else {
             return Ok(());
         };
-        scene.fleet.kill(&name)?;
-        compio::time::sleep(LIST_LAG).await;
-        Ok(scene.fleet.unlist(&name).await?)
+        testbed.fleet.kill(&name)?;
+        compio::time::sleep(LISTING_DELAY).await;
+        Ok(testbed.fleet.unlist(&name).await?)
     }
 
-    /// Returns the process that is killed.
-    fn victim(self, scene: &Scene) -> Option<String> {
+    /// Returns the name of the process to kill, if the fault kills one.
+    fn process_to_kill(self, testbed: &Testbed) -> Option<String> {
         match self {
             Self::Target => {
-                let document = scene.documents.first()?;
+                let document = testbed.documents.first()?;
                 document.targets.keys().next().cloned()
             }
-            Self::Vm => scene.vms.last().cloned(),
+            Self::Vm => testbed.vms.last().cloned(),
             Self::None | Self::Platform => None,
         }
     }
--- a/tools/load/src/experiment/mod.rs
+++ b/tools/load/src/experiment/mod.rs
@@ -1,12 +1,12 @@
-//! Fleets at several loads, whole and with a fault, against yardsticks.
+//! Measures fleets at several loads, with and without faults, and compares them with baselines.
 //!
-//! - [`fault`] is what breaks during a run;
-//! - [`cell`] is one run and what came of it;
-//! - [`account`] reads the callers' and the targets' logs;
-//! - [`baseline`] gives the yardsticks of the same arrivals and work;
-//! - [`summary`] makes tables and plots of all runs.
+//! - [`fault`] injects faults during a run;
+//! - [`cell`] does one run and collects its results;
+//! - [`analysis`] evaluates the callers' and the targets' logs;
+//! - [`baseline`] simulates the same arrivals and work without overhead;
+//! - [`summary`] writes tables and plots of all runs.
 
-pub mod account;
+pub mod analysis;
 pub mod baseline;
 pub mod cell;
 pub mod fault;
@@ -15,96 +15,96 @@
 use std::{path::PathBuf, time::Duration};
 
 use crate::{
-    config::{Config, Spread, Work},
+    config::{Config, Policy, Work},
     experiment::{
         cell::{Cell, Row},
         fault::Fault,
     },
-    scene::{Error, Scene, Setup},
+    testbed::{Error, Setup, Testbed},
 };
 
-/// How much load there is, as a share of what all slots can do.
-const FULL: f64 = 100.0;
-/// The most connections from all workers to all VMs: enough that requests wait there and not here,
-/// and fewer than the descriptors that a process commonly gets.
-const CONNECTIONS: usize = 9000;
-/// How often the balancer checks a VM's health.
-const HEALTH_PERIOD: Duration = Duration::from_millis(250);
-/// The choices among targets that are measured straight at them.
-const CHOICES: [(&str, Spread); 3] = [
-    ("random", Spread::Random),
-    ("two choices", Spread::Two),
-    ("least own", Spread::Least),
+/// Load at which the requested work equals the capacity of all slots.
+const FULL_LOAD_PERCENT: f64 = 100.0;
+/// Maximum number of connections from all workers to all VMs: enough that requests queue in the VMs and
+/// not in the load generator, and below the usual limit of file descriptors per process.
+const MAX_CONNECTIONS: usize = 9000;
+/// Interval of the balancer's health checks.
+const HEALTH_INTERVAL: Duration = Duration::from_millis(250);
+/// Policies that are measured with direct requests to targets, with their route names.
+const DIRECT_POLICIES: [(&str, Policy); 3] = [
+    ("random", Policy::Random),
+    ("two choices", Policy::TwoChoices),
+    ("least own", Policy::LeastInFlight),
 ];
 
-/// What to measure.
+/// Options of an experiment.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the VMs; found beside the running one unless it is given.
+    /// Executable of the VMs; by default it is looked up next to the running executable.
     pub program: Option<PathBuf>,
-    /// The service's document.
+    /// Document of the service.
     pub document: PathBuf,
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
-    /// Loads, in percent of what all slots can do.
+    /// Loads, in percent of the capacity of all slots.
     pub loads: Vec<f64>,
-    /// What breaks.
+    /// Faults to inject, one per run.
     pub faults: Vec<Fault>,
-    /// How often each run is done.
+    /// Number of rounds; each round does every run once.
     pub rounds: usize,
-    /// How long each run takes, its warm-up included.
-    pub span: Duration,
-    /// How long at the start nothing is counted.
+    /// Duration of each run, including its warm-up.
+    pub duration: Duration,
+    /// Warm-up at the start of a run, which isn't counted.
     pub warm_up: Duration,
-    /// The time of the work.
+    /// Work time of requests.
     pub work: Work,
-    /// The share of requests that are orders.
+    /// Fraction of requests that are orders.
     pub orders: f64,
-    /// The share of requests that are files.
+    /// Fraction of requests that are files.
     pub files: f64,
-    /// The size of a file.
+    /// Size of a file, in bytes.
     pub file_bytes: u64,
-    /// How many keys there are.
+    /// Number of keys.
     pub keys: usize,
-    /// The exponent of Zipf's law for keys.
+    /// Exponent of the Zipf distribution of keys.
     pub zipf: f64,
-    /// The longest wait in a yardstick's queue: as long as the document allows.
-    pub patience: Duration,
-    /// Threads that send.
+    /// Longest wait in a baseline's queue; it should be the limit that the document sets.
+    pub max_wait: Duration,
+    /// Number of sending threads.
     pub workers: usize,
-    /// Whether choices among plain targets are measured too.
+    /// Whether direct requests to plain targets are also measured, under several policies.
     pub choices: bool,
-    /// Where callers' lines are kept; with the fleet, which goes after its run, unless given.
+    /// Directory for the callers' logs; by default that of the fleet, which is deleted after its run.
     pub lines: Option<PathBuf>,
 }
 
-/// Does all runs, in turns, and returns their rows; prints each as it comes.
+/// Does all runs, round by round, prints their rows as they finish, and returns them.
 ///
 /// # Errors
 ///
-/// Fails when a fleet doesn't start.
+/// Fails when a fleet doesn't start, or a run can't be measured.
 pub async fn run(options: &Options) -> Result<Vec<Row>, Error> {
     let mut rows = Vec::new();
-    println!("{}", Row::HEAD);
+    println!("{}", Row::CSV_HEADER);
     for round in 0..options.rounds {
-        for cell in order(options, round) {
-            let scene = start(options).await?;
-            let slots = scene.slots();
-            let config = config(options, &scene, &cell, slots)?;
-            baseline::arithmetic(&mut rows, &cell, &config, slots, options.patience);
-            let (row, scene) = cell::run(scene, &cell, &config).await?;
+        for cell in round_cells(options, round) {
+            let testbed = start_testbed(options).await?;
+            let slots = testbed.slots();
+            let config = cell_config(options, &testbed, &cell, slots)?;
+            baseline::add_rows(&mut rows, &cell, &config, slots, options.max_wait);
+            let (row, testbed) = cell::run(testbed, &cell, &config).await?;
             rows.push(row);
             if options.choices && cell.fault == Fault::None {
-                straight(&mut rows, &scene, &cell, &config).await?;
+                measure_direct(&mut rows, &testbed, &cell, &config).await?;
             }
-            show(&rows, &cell);
+            print_rows(&rows, &cell);
         }
     }
     Ok(rows)
 }
 
-/// Returns the cells of a round; every other round goes through them backwards.
-fn order(options: &Options, round: usize) -> Vec<Cell> {
+/// Returns the cells of a round; every second round reverses their order.
+fn round_cells(options: &Options, round: usize) -> Vec<Cell> {
     let faults = options.faults.iter();
     let mut cells: Vec<Cell> = faults
         .flat_map(|fault| {
@@ -122,80 +122,85 @@
     cells
 }
 
-async fn start(options: &Options) -> Result<Scene, Error> {
+async fn start_testbed(options: &Options) -> Result<Testbed, Error> {
     let setup = Setup {
         program: options.program.clone(),
         documents: vec![options.document.clone()],
         vms: options.vms,
     };
-    let mut scene = Scene::start(&setup).await?;
+    let mut testbed = Testbed::start(&setup).await?;
     if options.choices {
-        let count = scene.fleet.targets.len();
-        scene.add_plain(count).await?;
+        let count = testbed.fleet.targets.len();
+        testbed.add_plain_targets(count).await?;
     }
-    Ok(scene)
+    Ok(testbed)
 }
 
-fn config(options: &Options, scene: &Scene, cell: &Cell, slots: u32) -> Result<Config, Error> {
+fn cell_config(
+    options: &Options,
+    testbed: &Testbed,
+    cell: &Cell,
+    slots: u32,
+) -> Result<Config, Error> {
     let mean = match options.work {
-        Work::Fixed(span) | Work::Exponential(span) => span,
-        Work::Unsaid => Duration::from_millis(1),
+        Work::Fixed(duration) | Work::Exponential(duration) => duration,
+        Work::Unspecified => Duration::from_millis(1),
     };
-    let rate = cell.load / FULL * f64::from(slots) / mean.as_secs_f64();
+    let rate = cell.load / FULL_LOAD_PERCENT * f64::from(slots) / mean.as_secs_f64();
     let lookups = (1.0 - options.orders - options.files).max(0.0);
-    let service = scene.documents.first();
+    let service = testbed.documents.first();
     Ok(Config {
         service: service.map_or_else(String::new, |document| document.service.clone()),
-        addresses: scene.callers()?,
+        addresses: testbed.entry_addresses()?,
         rates: [lookups, options.orders, options.files].map(|share| share * rate),
         file_bytes: options.file_bytes,
         seed: cell.round as u64 + 1,
-        span: options.span,
+        duration: options.duration,
         warm_up: options.warm_up,
         keys: options.keys,
         zipf: options.zipf,
         work: options.work,
-        sends: 3,
+        max_attempts: 3,
         workers: options.workers,
-        connections: CONNECTIONS / (options.workers * options.vms).max(1),
-        health: Some(HEALTH_PERIOD),
-        log: Some(lines(options, scene, cell)),
+        connections: MAX_CONNECTIONS / (options.workers * options.vms).max(1),
+        health_interval: Some(HEALTH_INTERVAL),
+        log_file: Some(call_log_path(options, testbed, cell)),
         ..Config::default()
     })
 }
 
-/// Returns where the callers' lines of a run are written.
-fn lines(options: &Options, scene: &Scene, cell: &Cell) -> PathBuf {
+/// Returns the path of the callers' log of a run.
+fn call_log_path(options: &Options, testbed: &Testbed, cell: &Cell) -> PathBuf {
     let name = cell.fault.name().replace(' ', "-");
     let file = format!("{name}-{:.0}-{}.jsonl", cell.load, cell.round);
     let directory = options.lines.as_deref();
-    directory.unwrap_or(scene.fleet.dir()).join(file)
+    directory.unwrap_or(testbed.fleet.dir()).join(file)
 }
 
-/// Measures choices among as many plain targets, straight from the callers.
-async fn straight(
+/// Measures direct requests from the callers to as many plain targets, under each policy.
+async fn measure_direct(
     rows: &mut Vec<Row>,
-    scene: &Scene,
+    testbed: &Testbed,
     cell: &Cell,
     config: &Config,
 ) -> Result<(), Error> {
-    for (name, spread) in CHOICES {
+    for (name, policy) in DIRECT_POLICIES {
         let config = Config {
-            addresses: scene.plain.clone(),
+            addresses: testbed.plain_targets.clone(),
             direct: true,
-            spread,
-            health: None,
-            log: None,
-            workers: scene.vms.len(),
+            policy,
+            health_interval: None,
+            log_file: None,
+            workers: testbed.vms.len(),
             ..config.clone()
         };
-        let outcome = crate::scene::load(&config).await?;
-        rows.push(Row::new(name, cell, &outcome.total(), outcome.span));
+        let results = crate::testbed::run_load(&config).await?;
+        rows.push(Row::new(name, cell, &results.total(), results.duration));
     }
     Ok(())
 }
 
-fn show(rows: &[Row], cell: &Cell) {
+fn print_rows(rows: &[Row], cell: &Cell) {
     for row in rows.iter().filter(|row| row.cell == *cell) {
         println!("{row}");
     }
--- a/tools/load/src/experiment/summary.rs
+++ b/tools/load/src/experiment/summary.rs
@@ -1,4 +1,4 @@
-//! Tables and plots of all runs.
+//! Writes tables and plots of all runs.
 
 use std::{fmt::Write, fs, io, path::Path};
 
@@ -10,22 +10,22 @@
     table,
 };
 
-/// The runs of one route and cell, over all rounds.
+/// Rows that belong together, such as those of one route, fault and load over all rounds.
 type Group<'a> = Vec<&'a Row>;
 
-/// A figure's median, least and greatest value over the rounds.
+/// Median, least and greatest value of a figure over the rounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Range {
-    /// The median.
+    /// Median.
     pub median: f64,
-    /// The least.
+    /// Least value.
     pub least: f64,
-    /// The greatest.
+    /// Greatest value.
     pub greatest: f64,
 }
 
 impl Range {
-    /// Returns the range of some values; zero when there are none.
+    /// Returns the range of the values; all zero when there are none.
     ///
     /// # Example
     ///
@@ -48,18 +48,23 @@
 
     fn text(self) -> String {
         if self.least.to_bits() == self.greatest.to_bits() {
-            return short(self.median);
+            return format_value(self.median);
         }
         let Self {
             median,
             least,
             greatest,
         } = self;
-        format!("{} ({}-{})", short(median), short(least), short(greatest))
+        format!(
+            "{} ({}-{})",
+            format_value(median),
+            format_value(least),
+            format_value(greatest)
+        )
     }
 }
 
-/// Writes all runs as CSV, a Markdown table, and a plot for each fault.
+/// Writes all runs as CSV, a Markdown table, the findings of the audits, and a plot for each fault.
 ///
 /// # Errors
 ///
@@ -67,22 +72,22 @@
 pub fn write(directory: &Path, rows: &[Row]) -> io::Result<()> {
     fs::create_dir_all(directory)?;
     let lines: Vec<String> = rows.iter().map(ToString::to_string).collect();
-    let csv = format!("{}\n{}\n", Row::HEAD, lines.join("\n"));
+    let csv = format!("{}\n{}\n", Row::CSV_HEADER, lines.join("\n"));
     fs::write(directory.join("runs.csv"), csv)?;
     fs::write(directory.join("table.md"), markdown(rows))?;
     fs::write(directory.join("findings.txt"), findings(rows))?;
-    for (fault, rows) in by(rows, |row| row.cell.fault.name().to_owned()) {
+    for (fault, rows) in group_by(rows, |row| row.cell.fault.name().to_owned()) {
         let name = format!("{}.svg", fault.replace(' ', "-"));
         fs::write(directory.join(name), plot(&fault, &rows).svg())?;
     }
     Ok(())
 }
 
-/// Returns what is known of the requests that the audits found.
+/// Returns the log entries of the audits' findings, one per line.
 fn findings(rows: &[Row]) -> String {
     let mut text = String::new();
     for row in rows {
-        let examples = row.account.iter().flat_map(|account| &account.examples);
+        let examples = row.analysis.iter().flat_map(|analysis| &analysis.examples);
         let cell = row.cell;
         for example in examples {
             let name = cell.fault.name();
@@ -107,15 +112,15 @@
         let cell = row.cell;
         format!("{} | {:.0} | {}", cell.fault.name(), cell.load, row.route)
     };
-    for (name, group) in by(rows, name) {
+    for (name, group) in group_by(rows, name) {
         // Writing to a string never fails.
-        let _ = writeln!(text, "| {name} | {} |", cells(&group).join(" | "));
+        let _ = writeln!(text, "| {name} | {} |", figures(&group).join(" | "));
     }
     text
 }
 
-/// Returns the figures of one line of the table.
-fn cells(group: &Group<'_>) -> Vec<String> {
+/// Returns the figures of one table row.
+fn figures(group: &Group<'_>) -> Vec<String> {
     let range = |figure: &dyn Fn(&Row) -> f64| {
         let values: Vec<f64> = group.iter().map(|row| figure(row)).collect();
         Range::of(&values).text()
@@ -123,42 +128,42 @@
     let quantile = |share: f64| {
         range(&move |row: &Row| row.counts.served.quantile(share).as_secs_f64() * 1000.0)
     };
-    let mut cells = vec![
+    let mut figures = vec![
         range(&Row::goodput),
         quantile(0.5),
         quantile(0.99),
         quantile(0.999),
-        range(&|row| table::float(row.counts.not_run)),
-        range(&|row| table::float(row.counts.unknown)),
+        range(&|row| table::to_f64(row.counts.not_run)),
+        range(&|row| table::to_f64(row.counts.unknown)),
     ];
-    let accounts = group.iter().all(|row| row.account.is_some());
-    let of_account = |figure: &dyn Fn(&super::account::Account) -> f64| {
-        range(&|row| row.account.as_ref().map_or(0.0, figure))
+    let has_analysis = group.iter().all(|row| row.analysis.is_some());
+    let from_analysis = |figure: &dyn Fn(&super::analysis::Analysis) -> f64| {
+        range(&|row| row.analysis.as_ref().map_or(0.0, figure))
     };
-    let of_spent = |figure: &dyn Fn(&super::cell::Spent) -> f64| {
-        range(&|row| row.spent.as_ref().map_or(0.0, figure))
+    let from_usage = |figure: &dyn Fn(&super::cell::FleetUsage) -> f64| {
+        range(&|row| row.fleet_usage.as_ref().map_or(0.0, figure))
     };
-    if !accounts {
-        cells.extend(std::iter::repeat_n("-".to_owned(), 7));
-        return cells;
+    if !has_analysis {
+        figures.extend(std::iter::repeat_n("-".to_owned(), 7));
+        return figures;
     }
-    cells.extend([
-        of_account(&|account| account.gap.as_secs_f64() * 1000.0),
-        of_account(&|account| account.failing.as_secs_f64() * 1000.0),
-        of_spent(&|spent| spent.core),
-        of_spent(&|spent| table::megabytes(spent.resident_kb)),
-        of_spent(&|spent| signed(spent.opened)),
-        of_spent(&|spent| signed(spent.retried)),
-        of_account(&|account| table::float(account.count())),
+    figures.extend([
+        from_analysis(&|analysis| analysis.gap.as_secs_f64() * 1000.0),
+        from_analysis(&|analysis| analysis.failing.as_secs_f64() * 1000.0),
+        from_usage(&|fleet_usage| fleet_usage.max_core_share),
+        from_usage(&|fleet_usage| table::megabytes(fleet_usage.resident_kb)),
+        from_usage(&|fleet_usage| signed_to_f64(fleet_usage.opened)),
+        from_usage(&|fleet_usage| signed_to_f64(fleet_usage.retried)),
+        from_analysis(&|analysis| table::to_f64(analysis.finding_count())),
     ]);
-    cells
+    figures
 }
 
-fn signed(count: i64) -> f64 {
+fn signed_to_f64(count: i64) -> f64 {
     f64::from(i32::try_from(count).unwrap_or(i32::MAX))
 }
 
-/// Plots the 99th percentile of each route over the load, with the median over the rounds.
+/// Plots the 99th percentile of each route against the load, as the median over the rounds.
 fn plot(fault: &str, rows: &Group<'_>) -> Plot {
     let mut routes: IndexMap<&str, IndexMap<u64, Vec<f64>>> = IndexMap::new();
     for row in rows {
@@ -179,14 +184,14 @@
     });
     Plot {
         title: format!("99th percentile of what ran: {fault}"),
-        across: "load, % of what all slots can do".to_owned(),
-        up: "ms".to_owned(),
+        x_label: "load, % of what all slots can do".to_owned(),
+        y_label: "ms".to_owned(),
         is_log: true,
         series: series.collect(),
     }
 }
 
-fn by<'a, F, R>(rows: R, name: F) -> IndexMap<String, Group<'a>>
+fn group_by<'a, F, R>(rows: R, name: F) -> IndexMap<String, Group<'a>>
 where
     F: Fn(&Row) -> String,
     R: IntoIterator<Item = &'a Row>,
@@ -198,7 +203,7 @@
     groups
 }
 
-fn short(value: f64) -> String {
+fn format_value(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 || value.fract() == 0.0 => format!("{value:.0}"),
         size if size >= 10.0 => format!("{value:.1}"),
--- a/tools/load/src/keys.rs
+++ b/tools/load/src/keys.rs
@@ -1,13 +1,13 @@
-//! Which keys requests ask for.
+//! Chooses the sharding keys of requests.
 
 use rand::Rng;
 
-/// Keys numbered from zero, drawn uniformly or by Zipf's law.
+/// Keys numbered from zero, sampled from a uniform or a Zipf distribution.
 #[derive(Clone, Debug)]
 pub struct Keys {
     count: usize,
-    /// The sums of weights up to each key; empty when all keys are equally likely.
-    sums: Vec<f64>,
+    /// Sum of the weights up to and including each key; empty when all keys are equally likely.
+    cumulative_weights: Vec<f64>,
 }
 
 impl Keys {
@@ -22,32 +22,36 @@
     /// use rand::{SeedableRng, rngs::StdRng};
     ///
     /// let keys = Keys::new(10, 1.0);
-    /// assert!(keys.draw(&mut StdRng::seed_from_u64(1)) < 10);
+    /// assert!(keys.sample(&mut StdRng::seed_from_u64(1)) < 10);
     /// ```
     pub fn new(count: usize, exponent: f64) -> Self {
         let count = count.max(1);
-        let mut sums = Vec::new();
+        let mut cumulative_weights = Vec::new();
         if exponent > 0.0 {
             let mut sum = 0.0;
             let mut rank = 0.0_f64;
-            sums.extend((0..count).map(|_| {
+            cumulative_weights.extend((0..count).map(|_| {
                 rank += 1.0;
                 sum += rank.powf(-exponent);
                 sum
             }));
         }
-        Self { count, sums }
+        Self {
+            count,
+            cumulative_weights,
+        }
     }
 
-    /// Draws a key.
-    pub fn draw<R>(&self, random: &mut R) -> usize
+    /// Samples a key.
+    pub fn sample<R>(&self, rng: &mut R) -> usize
     where
         R: Rng,
     {
-        let Some(whole) = self.sums.last() else {
-            return random.random_range(0..self.count);
+        let Some(total) = self.cumulative_weights.last() else {
+            return rng.random_range(0..self.count);
         };
-        let point = random.random_range(0.0..*whole);
-        self.sums.partition_point(|sum| *sum <= point)
+        let threshold = rng.random_range(0.0..*total);
+        self.cumulative_weights
+            .partition_point(|sum| *sum <= threshold)
     }
 }
--- a/tools/load/src/plan.rs
+++ b/tools/load/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a run: which request is due when. It depends on the configuration alone.
+//! Plans a run: decides which request is due when, from the configuration alone.
 
 use std::{iter::Peekable, time::Duration};
 
@@ -10,39 +10,39 @@
     keys::Keys,
 };
 
-/// Keeps the streams of chance of a worker apart from those of others.
-const WORKER_STRIDE: u64 = 1000;
-/// The stream of chance for keys and work; the classes' arrivals have those below it.
-const DRAWS: u64 = 10;
+/// Distance between the seeds of two workers, so that their random streams differ.
+const WORKER_SEED_STRIDE: u64 = 1000;
+/// Seed offset of the random stream for keys and work times; the arrivals of the classes use lower offsets.
+const KEY_AND_WORK_STREAM: u64 = 10;
 
-/// A request that is due.
+/// Planned request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shot {
-    /// When it is due, counted from the start of the run.
+pub struct PlannedRequest {
+    /// Due time, counted from the start of the run.
     pub due: Duration,
-    /// Its number among those of its worker.
+    /// Sequence number among the requests of its worker.
     pub number: u64,
-    /// Its class.
+    /// Class of the work.
     pub class: Class,
-    /// Its key's number.
+    /// Number of the key.
     pub key: usize,
-    /// The time of its work, unless the stand-in decides.
+    /// Work time; without one the stand-in decides.
     pub work: Option<Duration>,
 }
 
-/// The requests of one worker, in the order in which they are due.
+/// Iterator over the requests of one worker, ordered by due time.
 #[derive(Clone, Debug)]
 pub struct Plan {
     streams: [Peekable<Arrivals>; 3],
     keys: Keys,
     work: Work,
-    span: Duration,
+    duration: Duration,
     number: u64,
-    random: StdRng,
+    rng: StdRng,
 }
 
 impl Plan {
-    /// Creates the plan of a worker, which sends its share of all requests.
+    /// Creates the plan of one worker, at an equal share of the configured rates.
     ///
     /// # Example
     ///
@@ -53,8 +53,8 @@
     /// assert!(Plan::new(&config, 0).eq(Plan::new(&config, 0)));
     /// ```
     pub fn new(config: &Config, worker: usize) -> Self {
-        let seed = config.seed.wrapping_add(worker as u64 * WORKER_STRIDE);
-        let share = share(config.workers);
+        let seed = config.seed.wrapping_add(worker as u64 * WORKER_SEED_STRIDE);
+        let share = worker_share(config.workers);
         let stream = |class: Class| {
             let rate = config.rates[class.index()] * share;
             let seed = seed.wrapping_add(class.index() as u64);
@@ -64,76 +64,76 @@
             streams: Class::ALL.map(stream),
             keys: Keys::new(config.keys, config.zipf),
             work: config.work,
-            span: config.span,
+            duration: config.duration,
             number: 0,
-            random: StdRng::seed_from_u64(seed.wrapping_add(DRAWS)),
+            rng: StdRng::seed_from_u64(seed.wrapping_add(KEY_AND_WORK_STREAM)),
         }
     }
 
-    fn work(&mut self) -> Option<Duration> {
+    fn next_work(&mut self) -> Option<Duration> {
         match self.work {
-            Work::Unsaid => None,
-            Work::Fixed(span) => Some(span),
+            Work::Unspecified => None,
+            Work::Fixed(duration) => Some(duration),
             Work::Exponential(mean) => {
-                let span = mean.mul_f64(arrivals::exponential(&mut self.random));
-                Some(Duration::from_millis(round_millis(span)))
+                let duration = mean.mul_f64(arrivals::exponential(&mut self.rng));
+                Some(Duration::from_millis(round_millis(duration)))
             }
         }
     }
 
-    /// Returns the class whose next request is due first.
-    fn first(&mut self) -> Option<(Duration, Class)> {
-        let heads = Class::ALL.map(|class| {
-            let head = self.streams[class.index()].peek();
-            head.map(|due| (*due, class))
+    /// Returns the class whose next request is due first, with the due time.
+    fn next_due(&mut self) -> Option<(Duration, Class)> {
+        let upcoming = Class::ALL.map(|class| {
+            let next = self.streams[class.index()].peek();
+            next.map(|due| (*due, class))
         });
-        heads.into_iter().flatten().min_by_key(|(due, _)| *due)
+        upcoming.into_iter().flatten().min_by_key(|(due, _)| *due)
     }
 }
 
 impl Iterator for Plan {
-    type Item = Shot;
+    type Item = PlannedRequest;
 
-    fn next(&mut self) -> Option<Shot> {
-        let (due, class) = self.first()?;
-        if due >= self.span {
+    fn next(&mut self) -> Option<PlannedRequest> {
+        let (due, class) = self.next_due()?;
+        if due >= self.duration {
             return None;
         }
         self.streams[class.index()].next();
         self.number += 1;
-        Some(Shot {
+        Some(PlannedRequest {
             due,
             number: self.number,
             class,
-            key: self.keys.draw(&mut self.random),
-            work: self.work(),
+            key: self.keys.sample(&mut self.rng),
+            work: self.next_work(),
         })
     }
 }
 
-/// Returns the requests of all workers, in the order in which they are due.
+/// Returns the requests of all workers, ordered by due time.
 ///
 /// # Example
 ///
 /// ```
 /// use bramleypier_load::{config::Config, plan};
 ///
-/// let shots = plan::whole(&Config::default());
-/// assert!(shots.is_sorted_by_key(|shot| shot.due));
+/// let requests = plan::all_requests(&Config::default());
+/// assert!(requests.is_sorted_by_key(|request| request.due));
 /// ```
-pub fn whole(config: &Config) -> Vec<Shot> {
+pub fn all_requests(config: &Config) -> Vec<PlannedRequest> {
     let plans = (0..config.workers.max(1)).flat_map(|worker| Plan::new(config, worker));
-    let mut shots: Vec<Shot> = plans.collect();
-    shots.sort_by_key(|shot| shot.due);
-    shots
+    let mut requests: Vec<PlannedRequest> = plans.collect();
+    requests.sort_by_key(|request| request.due);
+    requests
 }
 
-fn share(workers: usize) -> f64 {
+fn worker_share(workers: usize) -> f64 {
     let workers = u32::try_from(workers.max(1)).unwrap_or(u32::MAX);
     f64::from(workers).recip()
 }
 
-fn round_millis(span: Duration) -> u64 {
+fn round_millis(duration: Duration) -> u64 {
     let half = Duration::from_micros(500);
-    u64::try_from((span + half).as_millis()).unwrap_or(u64::MAX)
+    u64::try_from((duration + half).as_millis()).unwrap_or(u64::MAX)
 }
--- a/tools/load/src/plot.rs
+++ b/tools/load/src/plot.rs
@@ -1,17 +1,17 @@
-//! Line plots as SVG.
+//! Draws line plots as SVG.
 
 use svg::{
     Document,
     node::element::{Line, Polyline, Rectangle, Text},
 };
 
-/// The size of a plot, in pixels.
-const SIZE: (f64, f64) = (800.0, 420.0);
-/// The room around the axes: left, top, right, bottom.
-const MARGIN: (f64, f64, f64, f64) = (70.0, 40.0, 180.0, 50.0);
-/// How many lines of the grid there are in each direction.
-const GRID: u32 = 5;
-/// The colours of series, over again when there are more.
+/// Width and height of a plot.
+const SIZE_PX: (f64, f64) = (800.0, 420.0);
+/// Margins around the axes: left, top, right, bottom.
+const MARGIN_PX: (f64, f64, f64, f64) = (70.0, 40.0, 180.0, 50.0);
+/// Number of grid intervals in each direction.
+const GRID_INTERVALS: u32 = 5;
+/// Colours of the series, repeated when there are more series.
 const COLOURS: [&str; 8] = [
     "#1f77b4", "#d62728", "#2ca02c", "#9467bd", "#ff7f0e", "#17becf", "#8c564b", "#7f7f7f",
 ];
@@ -19,31 +19,31 @@
 /// One line of a plot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// What the legend calls it.
+    /// Name in the legend.
     pub name: String,
-    /// Its points, from left to right.
+    /// Points, from left to right.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A plot of lines over common axes.
+/// Line plot with common axes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plot {
-    /// What it shows.
+    /// Title above the plot.
     pub title: String,
-    /// The name of the horizontal axis, with its unit.
-    pub across: String,
-    /// The name of the vertical axis, with its unit.
-    pub up: String,
+    /// Label of the horizontal axis, with its unit.
+    pub x_label: String,
+    /// Label of the vertical axis, with its unit.
+    pub y_label: String,
     /// Whether the vertical axis is logarithmic.
     pub is_log: bool,
-    /// The lines.
+    /// Lines of the plot.
     pub series: Vec<Series>,
 }
 
-/// The bounds of the axes.
+/// Least and greatest value of each axis; for a logarithmic axis, of the logarithms.
 struct Bounds {
-    across: (f64, f64),
-    up: (f64, f64),
+    x: (f64, f64),
+    y: (f64, f64),
 }
 
 impl Plot {
@@ -56,8 +56,8 @@
     ///
     /// let plot = Plot {
     ///     title: "Latency".into(),
-    ///     across: "second".into(),
-    ///     up: "ms".into(),
+    ///     x_label: "second".into(),
+    ///     y_label: "ms".into(),
     ///     is_log: false,
     ///     series: vec![Series {
     ///         name: "p50".into(),
@@ -69,47 +69,69 @@
     pub fn svg(&self) -> String {
         let bounds = self.bounds();
         let mut document = Document::new()
-            .set("viewBox", (0.0, 0.0, SIZE.0, SIZE.1))
+            .set("viewBox", (0.0, 0.0, SIZE_PX.0, SIZE_PX.1))
             .set("font-family", "sans-serif")
             .set("font-size", 12)
-            .add(rectangle((0.0, 0.0), SIZE))
-            .add(label(&self.title, (MARGIN.0, 22.0), "start"))
-            .add(label(&self.across, (SIZE.0 / 2.0, SIZE.1 - 12.0), "middle"))
-            .add(label(&self.up, (8.0, MARGIN.1 - 8.0), "start"));
-        for step in 0..=GRID {
-            let share = f64::from(step) / f64::from(GRID);
-            document = self.grid(document, &bounds, share);
+            .add(rectangle((0.0, 0.0), SIZE_PX))
+            .add(label(&self.title, (MARGIN_PX.0, 22.0), "start"))
+            .add(label(
+                &self.x_label,
+                (SIZE_PX.0 / 2.0, SIZE_PX.1 - 12.0),
+                "middle",
+            ))
+            .add(label(&self.y_label, (8.0, MARGIN_PX.1 - 8.0), "start"));
+        for step in 0..=GRID_INTERVALS {
+            let fraction = f64::from(step) / f64::from(GRID_INTERVALS);
+            document = self.draw_grid(document, &bounds, fraction);
         }
         for (index, series) in self.series.iter().enumerate() {
-            document = self.line(document, &bounds, index, series);
+            document = self.draw_series(document, &bounds, index, series);
         }
         document.to_string()
     }
 
-    /// Draws one line of the grid in each direction, with its value.
-    fn grid(&self, document: Document, bounds: &Bounds, share: f64) -> Document {
-        let x = left() + share * width();
-        let y = bottom() - share * height();
-        let across = bounds.across.0 + share * (bounds.across.1 - bounds.across.0);
-        let up = bounds.up.0 + share * (bounds.up.1 - bounds.up.0);
-        let up = if self.is_log { 10_f64.powf(up) } else { up };
+    /// Draws one grid line in each direction, with its value, at this fraction of the axes.
+    fn draw_grid(&self, document: Document, bounds: &Bounds, fraction: f64) -> Document {
+        let x = left() + fraction * width();
+        let y = bottom() - fraction * height();
+        let x_value = bounds.x.0 + fraction * (bounds.x.1 - bounds.x.0);
+        let y_value = bounds.y.0 + fraction * (bounds.y.1 - bounds.y.0);
+        let y_value = if self.is_log {
+            10_f64.powf(y_value)
+        } else {
+            y_value
+        };
         document
-            .add(rule((x, MARGIN.1), (x, bottom())))
-            .add(rule((left(), y), (left() + width(), y)))
-            .add(label(&short(across), (x, bottom() + 16.0), "middle"))
-            .add(label(&short(up), (left() - 6.0, y + 4.0), "end"))
+            .add(grid_line((x, MARGIN_PX.1), (x, bottom())))
+            .add(grid_line((left(), y), (left() + width(), y)))
+            .add(label(
+                &format_value(x_value),
+                (x, bottom() + 16.0),
+                "middle",
+            ))
+            .add(label(
+                &format_value(y_value),
+                (left() - 6.0, y + 4.0),
+                "end",
+            ))
     }
 
-    fn line(&self, document: Document, bounds: &Bounds, index: usize, series: &Series) -> Document {
-        let points = series.points.iter().map(|(across, up)| {
-            let x = left() + share(*across, bounds.across) * width();
-            let y = bottom() - share(self.scaled(*up), bounds.up) * height();
+    fn draw_series(
+        &self,
+        document: Document,
+        bounds: &Bounds,
+        index: usize,
+        series: &Series,
+    ) -> Document {
+        let points = series.points.iter().map(|(x_value, y_value)| {
+            let x = left() + fraction(*x_value, bounds.x) * width();
+            let y = bottom() - fraction(self.scaled(*y_value), bounds.y) * height();
             format!("{x:.1},{y:.1}")
         });
         let points = points.collect::<Vec<_>>().join(" ");
         let colour = COLOURS[index % COLOURS.len()];
         let row = u32::try_from(index).unwrap_or(u32::MAX);
-        let y = MARGIN.1 + 18.0 * f64::from(row);
+        let y = MARGIN_PX.1 + 18.0 * f64::from(row);
         let x = left() + width() + 10.0;
         document
             .add(
@@ -131,32 +153,32 @@
             .add(label(&series.name, (x + 22.0, y + 4.0), "start"))
     }
 
-    fn scaled(&self, up: f64) -> f64 {
+    fn scaled(&self, y_value: f64) -> f64 {
         if self.is_log {
-            up.max(f64::MIN_POSITIVE).log10()
+            y_value.max(f64::MIN_POSITIVE).log10()
         } else {
-            up
+            y_value
         }
     }
 
     fn bounds(&self) -> Bounds {
         let points = || self.series.iter().flat_map(|series| &series.points);
-        let up: Vec<f64> = points()
-            .filter(|(_, up)| !self.is_log || *up > 0.0)
-            .map(|(_, up)| self.scaled(*up))
+        let y_values: Vec<f64> = points()
+            .filter(|(_, y_value)| !self.is_log || *y_value > 0.0)
+            .map(|(_, y_value)| self.scaled(*y_value))
             .collect();
-        let (mut low, high) = range(up.into_iter());
+        let (mut low, high) = range(y_values.into_iter());
         if !self.is_log {
             low = low.min(0.0);
         }
         Bounds {
-            across: range(points().map(|(across, _)| *across)),
-            up: (low, high),
+            x: range(points().map(|(x_value, _)| *x_value)),
+            y: (low, high),
         }
     }
 }
 
-/// Returns the least and the greatest value, always apart.
+/// Returns the least and the greatest value; they always differ, so that an axis has a length.
 fn range<I>(values: I) -> (f64, f64)
 where
     I: Iterator<Item = f64>,
@@ -172,27 +194,27 @@
     }
 }
 
-fn share(value: f64, (low, high): (f64, f64)) -> f64 {
+fn fraction(value: f64, (low, high): (f64, f64)) -> f64 {
     ((value - low) / (high - low)).clamp(0.0, 1.0)
 }
 
 fn left() -> f64 {
-    MARGIN.0
+    MARGIN_PX.0
 }
 
 fn width() -> f64 {
-    SIZE.0 - MARGIN.0 - MARGIN.2
+    SIZE_PX.0 - MARGIN_PX.0 - MARGIN_PX.2
 }
 
 fn height() -> f64 {
-    SIZE.1 - MARGIN.1 - MARGIN.3
+    SIZE_PX.1 - MARGIN_PX.1 - MARGIN_PX.3
 }
 
 fn bottom() -> f64 {
-    SIZE.1 - MARGIN.3
+    SIZE_PX.1 - MARGIN_PX.3
 }
 
-fn short(value: f64) -> String {
+fn format_value(value: f64) -> String {
     match value.abs() {
         size if size >= 100.0 => format!("{value:.0}"),
         size if size >= 10.0 => format!("{value:.1}"),
@@ -209,7 +231,7 @@
         .set("fill", "white")
 }
 
-fn rule(from: (f64, f64), to: (f64, f64)) -> Line {
+fn grid_line(from: (f64, f64), to: (f64, f64)) -> Line {
     Line::new()
         .set("x1", from.0)
         .set("y1", from.1)
--- a/tools/load/src/pool.rs
+++ b/tools/load/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections, a bounded number to each address.
+//! Connection pool with a limit on the connections to each address.
 
 use std::{cell::RefCell, collections::VecDeque, io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -13,19 +13,19 @@
 use indexmap::IndexMap;
 use quick_error::quick_error;
 
-/// How long a new connection may take.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// Why there is no connection.
+    /// Reason why a connection couldn't be opened.
     #[derive(Debug)]
     pub enum Error {
-        /// It was not opened.
+        /// The TCP connection failed.
         Connect(peer: SocketAddr, cause: io::Error) {
             display("step=connect peer={peer} cause={cause}")
             source(cause)
         }
-        /// HTTP did not begin on it.
+        /// The HTTP handshake failed.
         Handshake(peer: SocketAddr, cause: hyper::Error) {
             display("step=handshake peer={peer} cause={cause}")
             source(cause)
@@ -33,25 +33,25 @@
     }
 }
 
-/// The sending side of a connection.
+/// Request sender of a connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
 #[derive(Debug, Default)]
-struct Peer {
+struct PeerConnections {
     idle: Vec<Sender>,
     open: usize,
     waiting: VecDeque<oneshot::Sender<()>>,
 }
 
-/// Connections by address; clones share them.
+/// Connection pool by address; clones share the connections.
 #[derive(Clone, Debug)]
 pub struct Pool {
     limit: usize,
-    peers: Rc<RefCell<IndexMap<SocketAddr, Peer>>>,
+    peers: Rc<RefCell<IndexMap<SocketAddr, PeerConnections>>>,
 }
 
 impl Pool {
-    /// Creates a pool that keeps at most `limit` connections to an address.
+    /// Creates a pool with at most `limit` connections to each address.
     pub fn new(limit: usize) -> Self {
         Self {
             limit: limit.max(1),
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Takes a kept connection or opens one; waits while too many are in use.
+    /// Takes an idle connection or opens a new one; waits while the limit is reached.
     ///
     /// # Errors
     ///
-    /// Fails when none can be opened.
-    pub async fn take(&self, address: SocketAddr) -> Result<Lent, Error> {
+    /// Fails when a connection can't be opened.
+    pub async fn acquire(&self, address: SocketAddr) -> Result<PooledConnection, Error> {
         loop {
-            let turn = {
+            let wakeup = {
                 let mut peers = self.peers.borrow_mut();
                 let peer = peers.entry(address).or_default();
                 while let Some(sender) = peer.idle.pop() {
                     if sender.is_ready() {
-                        return Ok(self.lend(address, Some(sender)));
+                        return Ok(self.check_out(address, Some(sender)));
                     }
                     peer.open -= 1;
                 }
@@ -79,32 +79,32 @@
                     peer.open += 1;
                     None
                 } else {
-                    let (sender, turn) = oneshot::channel();
+                    let (sender, wakeup) = oneshot::channel();
                     peer.waiting.push_back(sender);
-                    Some(turn)
+                    Some(wakeup)
                 }
             };
-            match turn {
-                // A cancelled wait is one whose turn another took: look again.
-                Some(turn) => drop(turn.await),
+            match wakeup {
+                // A cancelled wait means that another request took this turn; check the pool again.
+                Some(wakeup) => drop(wakeup.await),
                 None => break,
             }
         }
-        let mut lent = self.lend(address, None);
-        lent.sender = Some(open(address).await?);
-        Ok(lent)
+        let mut connection = self.check_out(address, None);
+        connection.sender = Some(open(address).await?);
+        Ok(connection)
     }
 
-    fn lend(&self, address: SocketAddr, sender: Option<Sender>) -> Lent {
-        Lent {
+    fn check_out(&self, address: SocketAddr, sender: Option<Sender>) -> PooledConnection {
+        PooledConnection {
             pool: self.clone(),
             address,
             sender,
-            kept: None,
+            reusable: None,
         }
     }
 
-    fn give_back(&self, address: SocketAddr, sender: Option<Sender>) {
+    fn release(&self, address: SocketAddr, sender: Option<Sender>) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(address).or_default();
         match sender {
@@ -119,36 +119,36 @@
     }
 }
 
-/// A connection in use; it is closed when this is dropped before it is kept.
+/// Connection in use; dropping it closes the connection unless it was recycled.
 #[derive(Debug)]
-pub struct Lent {
+pub struct PooledConnection {
     pool: Pool,
     address: SocketAddr,
     sender: Option<Sender>,
-    kept: Option<Sender>,
+    reusable: Option<Sender>,
 }
 
-impl Lent {
-    /// Returns the sending side.
+impl PooledConnection {
+    /// Returns the request sender.
     pub fn sender(&mut self) -> Option<&mut Sender> {
         self.sender.as_mut()
     }
 
-    /// Keeps the connection for the next request, once it is ready for one.
-    pub async fn keep(mut self) {
+    /// Returns the connection to the pool once it is ready for another request.
+    pub async fn recycle(mut self) {
         let Some(mut sender) = self.sender.take() else {
             return;
         };
         if sender.ready().await.is_ok() {
-            self.kept = Some(sender);
+            self.reusable = Some(sender);
         }
     }
 }
 
-impl Drop for Lent {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
-        let kept = self.kept.take();
-        self.pool.give_back(self.address, kept);
+        let reusable = self.reusable.take();
+        self.pool.release(self.address, reusable);
     }
 }
 
@@ -163,7 +163,7 @@
     let (sender, connection) = http1::handshake(HyperStream::new_plain(stream))
         .await
         .map_err(|cause| Error::Handshake(address, cause))?;
-    // The sender hears of a failure by itself.
+    // A failure of the connection also shows up as an error of the sender.
     runtime::spawn(async move { drop(connection.await) }).detach();
     Ok(sender)
 }
--- a/tools/load/src/run.rs
+++ b/tools/load/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the workers of one run and gathers what they report.
+//! Runs the workers of one load run and merges their reports.
 
 use std::{
     io,
@@ -16,37 +16,37 @@
     worker::{self, Report},
 };
 
-/// How long workers get to start before the first request is due.
-const START: Duration = Duration::from_millis(200);
+/// Time for workers to start before the first request is due.
+const START_DELAY: Duration = Duration::from_millis(200);
 
-/// What came of a run.
+/// Results of a load run.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
-    /// All requests, but for those of the warm-up.
-    pub whole: Tally,
-    /// The same by the second in which they were sent or answered.
-    pub seconds: Vec<Tally>,
-    /// How long requests were sent and counted.
-    pub span: Duration,
+pub struct RunResults {
+    /// Counts of all requests except those of the warm-up.
+    pub overall: Tally,
+    /// The same counts, by the second in which requests were sent or their results came.
+    pub per_second: Vec<Tally>,
+    /// Duration for which requests were counted: the run without its warm-up.
+    pub duration: Duration,
 }
 
-impl Outcome {
+impl RunResults {
     /// Returns the counts of all classes together.
     pub fn total(&self) -> Counts {
-        self.whole.total()
+        self.overall.total()
     }
 }
 
-/// Runs the load and calls `progress` once a second.
+/// Runs the load and calls `progress` for each second that all workers have reported.
 ///
 /// # Errors
 ///
-/// Fails when a worker can't start, or can't write its log.
-pub fn run<F>(config: &Config, mut progress: F) -> io::Result<Outcome>
+/// Fails when a worker can't start or can't write its log.
+pub fn run<F>(config: &Config, mut progress: F) -> io::Result<RunResults>
 where
     F: FnMut(u64, &Tally),
 {
-    let start = clock::now() + START;
+    let start = clock::now() + START_DELAY;
     let (sender, reports) = mpsc::channel();
     let workers: Vec<_> = (0..config.workers.max(1))
         .map(|worker| {
@@ -55,34 +55,34 @@
         })
         .collect();
     drop(sender);
-    let outcome = gather(&reports, workers.len(), &mut progress);
+    let results = collect_reports(&reports, workers.len(), &mut progress);
     for worker in workers {
         let result = worker.join();
         result.unwrap_or_else(|_| Err(io::Error::other("a worker panicked")))?;
     }
-    Ok(Outcome {
-        span: config.span.saturating_sub(config.warm_up),
-        ..outcome
+    Ok(RunResults {
+        duration: config.duration.saturating_sub(config.warm_up),
+        ..results
     })
 }
 
-/// Adds up reports; a second is over when all workers have reported it.
-fn gather<F>(reports: &Receiver<Report>, workers: usize, progress: &mut F) -> Outcome
+/// Merges reports by second; a second is complete when all workers have reported it.
+fn collect_reports<F>(reports: &Receiver<Report>, workers: usize, progress: &mut F) -> RunResults
 where
     F: FnMut(u64, &Tally),
 {
-    let mut open: IndexMap<u64, (usize, Tally)> = IndexMap::new();
-    let mut outcome = Outcome::default();
+    let mut pending: IndexMap<u64, (usize, Tally)> = IndexMap::new();
+    let mut results = RunResults::default();
     for report in reports {
-        let (count, tally) = open.entry(report.second).or_default();
+        let (count, tally) = pending.entry(report.second).or_default();
         tally.merge(&report.tally);
         *count += 1;
-        outcome.whole.merge(&report.tally);
+        results.overall.merge(&report.tally);
         if *count == workers {
             progress(report.second, tally);
         }
     }
-    open.sort_keys();
-    outcome.seconds = open.into_values().map(|(_, tally)| tally).collect();
-    outcome
+    pending.sort_keys();
+    results.per_second = pending.into_values().map(|(_, tally)| tally).collect();
+    results
 }
--- a/tools/load/src/table.rs
+++ b/tools/load/src/table.rs
@@ -1,18 +1,18 @@
-//! Figures as tables: CSV for machines, columns for people.
+//! Formats results as CSV for programs and as text lines for people.
 
 use std::{fmt::Write, fs, io, path::Path, time::Duration};
 
 use crate::{
     config::Class,
-    run::Outcome,
+    run::RunResults,
     tally::{Counts, Tally},
 };
 
-/// The head of the CSV file.
-const HEAD: &str = "second,class,sent,ran,not_run,unknown,errors,unsound,resent,goodput,\
+/// Header of the CSV file.
+const CSV_HEADER: &str = "second,class,sent,ran,not_run,unknown,errors,unsound,resent,goodput,\
                     p50_ms,p99_ms,p999_ms,max_ms,refused_p99_ms\n";
 
-/// Returns a span in milliseconds, with two decimals.
+/// Formats a duration in milliseconds, with two decimals.
 ///
 /// # Example
 ///
@@ -23,38 +23,38 @@
 ///
 /// assert_eq!(table::millis(Duration::from_micros(1234)), "1.23");
 /// ```
-pub fn millis(span: Duration) -> String {
-    format!("{:.2}", span.as_secs_f64() * 1000.0)
+pub fn millis(duration: Duration) -> String {
+    format!("{:.2}", duration.as_secs_f64() * 1000.0)
 }
 
-/// Returns a count as a float.
-pub fn float(count: u64) -> f64 {
+/// Converts a count to a float.
+pub fn to_f64(count: u64) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
 
-/// Returns kilobytes as megabytes.
+/// Converts kilobytes to megabytes.
 pub fn megabytes(kilobytes: u64) -> f64 {
-    float(kilobytes) / 1024.0
+    to_f64(kilobytes) / 1024.0
 }
 
-/// Returns how many requests a second were served well.
-pub fn goodput(counts: &Counts, span: Duration) -> f64 {
-    float(counts.good) / span.as_secs_f64().max(f64::MIN_POSITIVE)
+/// Returns the number of successful requests per second.
+pub fn goodput(counts: &Counts, duration: Duration) -> f64 {
+    to_f64(counts.good) / duration.as_secs_f64().max(f64::MIN_POSITIVE)
 }
 
-/// Returns a run as CSV: a row a second and class, and one for the whole.
-pub fn csv(outcome: &Outcome) -> String {
-    let mut text = HEAD.to_owned();
+/// Returns a run as CSV: a row for each second and class, and one per class for the whole run.
+pub fn csv(results: &RunResults) -> String {
+    let mut text = CSV_HEADER.to_owned();
     let second = Duration::from_secs(1);
-    for (index, tally) in outcome.seconds.iter().enumerate() {
-        rows(&mut text, &index.to_string(), tally, second);
+    for (index, tally) in results.per_second.iter().enumerate() {
+        write_rows(&mut text, &index.to_string(), tally, second);
     }
-    rows(&mut text, "whole", &outcome.whole, outcome.span);
+    write_rows(&mut text, "whole", &results.overall, results.duration);
     text
 }
 
-fn rows(text: &mut String, name: &str, tally: &Tally, span: Duration) {
-    for class in used(tally) {
+fn write_rows(text: &mut String, name: &str, tally: &Tally, duration: Duration) {
+    for class in active_classes(tally) {
         let counts = tally.class(class);
         let latencies = quantiles(counts).map(millis).join(",");
         let row = writeln!(
@@ -68,7 +68,7 @@
             counts.errors,
             counts.unsound,
             counts.resent,
-            goodput(counts, span),
+            goodput(counts, duration),
             millis(counts.refused.quantile(0.99)),
         );
         // Writing to a string never fails.
@@ -81,13 +81,13 @@
 /// # Errors
 ///
 /// Fails when the file can't be written.
-pub fn write_csv(path: &Path, outcome: &Outcome) -> io::Result<()> {
-    fs::write(path, csv(outcome))
+pub fn write_csv(path: &Path, results: &RunResults) -> io::Result<()> {
+    fs::write(path, csv(results))
 }
 
-/// Returns one line on a tally, for people.
-pub fn line(tally: &Tally, span: Duration) -> String {
-    let classes = used(tally).map(|class| {
+/// Returns a tally as one line of text.
+pub fn summary_line(tally: &Tally, duration: Duration) -> String {
+    let classes = active_classes(tally).map(|class| {
         let counts = tally.class(class);
         let [median, p99, p999, max] = quantiles(counts).map(millis);
         format!(
@@ -101,13 +101,13 @@
             counts.errors,
             counts.unsound,
             counts.resent,
-            goodput(counts, span),
+            goodput(counts, duration),
         )
     });
     classes.collect::<Vec<_>>().join("; ")
 }
 
-/// Returns the median, the 99th and the 99.9th percentile, and the greatest latency.
+/// Returns the median, the 99th and the 99.9th percentile, and the maximum of the latencies.
 pub fn quantiles(counts: &Counts) -> [Duration; 4] {
     [
         counts.served.quantile(0.5),
@@ -117,7 +117,7 @@
     ]
 }
 
-fn used(tally: &Tally) -> impl Iterator<Item = Class> {
+fn active_classes(tally: &Tally) -> impl Iterator<Item = Class> {
     Class::ALL.into_iter().filter(|class| {
         let counts = tally.class(*class);
         counts.sent + counts.ran + counts.not_run + counts.unknown > 0
--- a/tools/load/src/tally.rs
+++ b/tools/load/src/tally.rs
@@ -1,16 +1,16 @@
-//! What came of requests, added up by class.
+//! Counts the results of requests by class, with latency histograms.
 
 use std::time::Duration;
 
 use bramleypier_standins::audit::Told;
 use hdrhistogram::Histogram;
 
-use crate::{call::Answer, config::Class};
+use crate::{call::CallResult, config::Class};
 
-/// Digits that latencies keep.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Latencies, in microseconds.
+/// Histogram of latencies, recorded in microseconds.
 #[derive(Clone, Debug)]
 pub struct Latencies {
     histogram: Option<Histogram<u64>>,
@@ -19,35 +19,35 @@
 impl Default for Latencies {
     fn default() -> Self {
         Self {
-            histogram: Histogram::new(DIGITS).ok(),
+            histogram: Histogram::new(SIGNIFICANT_DIGITS).ok(),
         }
     }
 }
 
 impl Latencies {
-    /// Adds one latency.
-    pub fn add(&mut self, span: Duration) {
-        let micros = u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
+    /// Records one latency.
+    pub fn add(&mut self, duration: Duration) {
+        let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
         if let Some(histogram) = &mut self.histogram {
-            // It resizes itself, so every value fits.
+            // The histogram resizes itself, so every value fits.
             let _ = histogram.record(micros);
         }
     }
 
-    /// Adds all of another's.
+    /// Adds all entries of another one.
     pub fn merge(&mut self, other: &Self) {
         if let (Some(histogram), Some(other)) = (&mut self.histogram, &other.histogram) {
-            // It resizes itself, so every value fits.
+            // The histogram resizes itself, so every value fits.
             let _ = histogram.add(other);
         }
     }
 
-    /// Returns how many were added.
+    /// Returns the number of recorded latencies.
     pub fn count(&self) -> u64 {
         self.histogram.as_ref().map_or(0, Histogram::len)
     }
 
-    /// Returns the latency within which this share of requests lay; zero when there are none.
+    /// Returns the latency below or at which this fraction of requests lies; zero when there are none.
     ///
     /// # Example
     ///
@@ -70,36 +70,36 @@
         }))
     }
 
-    /// Returns the greatest latency.
+    /// Returns the maximum latency.
     pub fn max(&self) -> Duration {
         Duration::from_micros(self.histogram.as_ref().map_or(0, Histogram::max))
     }
 }
 
-/// What came of one class's requests.
+/// Counts and latencies of the requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     /// Requests that were due.
     pub sent: u64,
-    /// Those that ran and whose whole answer came in time.
+    /// Requests that ran and whose complete, intact and successful response was received.
     pub good: u64,
-    /// Those that were told to have run.
+    /// Requests that ran, as their responses reported.
     pub ran: u64,
-    /// Those that were told not to have run.
+    /// Requests that didn't run, as their responses reported.
     pub not_run: u64,
-    /// Those of which nobody knows.
+    /// Requests whose outcome is unknown.
     pub unknown: u64,
-    /// Those that got no whole answer; they count as not run or unknown too.
+    /// Requests without a complete response; they also count as not run or unknown.
     pub errors: u64,
-    /// Those whose answer was another's or not what the target sent.
+    /// Requests whose response was corrupted or belonged to another request.
     pub unsound: u64,
-    /// Further sendings of the same request.
+    /// Retries: attempts after the first.
     pub resent: u64,
-    /// Bytes of answers.
+    /// Body bytes of responses.
     pub bytes: u64,
-    /// From the due time to the whole answer, of those that ran.
+    /// Time from the due time to the end of the response, for requests that ran.
     pub served: Latencies,
-    /// The same, of those that were told not to have run.
+    /// The same time, for requests that didn't run.
     pub refused: Latencies,
 }
 
@@ -119,19 +119,19 @@
     }
 }
 
-/// What came of all requests, by class.
+/// Counts and latencies of all requests, by class.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     classes: [Counts; 3],
 }
 
 impl Tally {
-    /// Returns a class's counts.
+    /// Returns the counts of a class.
     pub fn class(&self, class: Class) -> &Counts {
         &self.classes[class.index()]
     }
 
-    /// Returns the counts of all classes together.
+    /// Returns the merged counts of all classes.
     pub fn total(&self) -> Counts {
         let mut total = Counts::default();
         for counts in &self.classes {
@@ -141,32 +141,38 @@
     }
 
     /// Counts a request that is due.
-    pub fn sent(&mut self, class: Class) {
+    pub fn record_sent(&mut self, class: Class) {
         self.classes[class.index()].sent += 1;
     }
 
-    /// Counts a request's last answer, `latency` after it was due.
+    /// Counts the final result of a request, `latency` after its due time and after `attempts` attempts.
     ///
     /// # Example
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier_load::{call::Answer, config::Class, tally::Tally};
+    /// use bramleypier_load::{call::CallResult, config::Class, tally::Tally};
     ///
     /// let mut tally = Tally::default();
-    /// tally.ended(Class::Orders, &Answer::none(true), Duration::from_secs(1), 2);
+    /// tally.record_result(Class::Orders, &CallResult::without_response(true), Duration::from_secs(1), 2);
     /// assert_eq!(tally.class(Class::Orders).unknown, 1);
     /// assert_eq!(tally.class(Class::Orders).resent, 1);
     /// ```
-    pub fn ended(&mut self, class: Class, answer: &Answer, latency: Duration, sends: usize) {
+    pub fn record_result(
+        &mut self,
+        class: Class,
+        result: &CallResult,
+        latency: Duration,
+        attempts: usize,
+    ) {
         let counts = &mut self.classes[class.index()];
-        counts.good += u64::from(answer.is_good());
-        counts.errors += u64::from(answer.failed);
-        counts.unsound += u64::from(!answer.sound);
-        counts.resent += sends.saturating_sub(1) as u64;
-        counts.bytes += answer.bytes;
-        match answer.told {
+        counts.good += u64::from(result.is_good());
+        counts.errors += u64::from(result.failed);
+        counts.unsound += u64::from(!result.sound);
+        counts.resent += attempts.saturating_sub(1) as u64;
+        counts.bytes += result.bytes;
+        match result.outcome {
             Told::Ran => {
                 counts.ran += 1;
                 counts.served.add(latency);
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Adds all of another's.
+    /// Adds all entries of another one.
     pub fn merge(&mut self, other: &Self) {
         for (counts, other) in self.classes.iter_mut().zip(&other.classes) {
             counts.merge(other);
--- a/tools/load/src/scene.rs
+++ b/tools/load/src/testbed.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback, set up for a measurement.
+//! Starts a fleet of real processes on loopback for a measurement and reads their counters.
 
 use std::{
     io,
@@ -15,39 +15,39 @@
 
 use crate::{
     config::Config,
-    run::{self, Outcome},
+    run::{self, RunResults},
     usage::Usage,
 };
 
-/// How long services may take until they are served.
-const READY: Duration = Duration::from_secs(30);
-/// How many keys must be served before a measurement starts.
+/// Timeout for services to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of keys that must be served before a measurement starts.
 const READY_KEYS: usize = 100;
-/// The failure domains, one after the other.
+/// Failure domains, assigned to the VMs in turn.
 const DOMAINS: [&str; 3] = ["uio-norte", "uio-centro", "uio-sur"];
 
 quick_error! {
-    /// Why a measurement did not come about.
+    /// Reason why a measurement failed.
     #[derive(Debug)]
     pub enum Error {
-        /// A step with the fleet failed.
+        /// An operation on the fleet failed.
         Fleet(cause: fleet::Error) {
             from()
             display("{cause}")
             source(cause)
         }
-        /// A service could not be set up.
+        /// A service couldn't be set up.
         Service(cause: services::Error) {
             from()
             display("{cause}")
             source(cause)
         }
-        /// An address is none.
+        /// An address is invalid.
         Address(text: String, cause: AddrParseError) {
             display("address {text:?}: {cause}")
             source(cause)
         }
-        /// The load could not be sent, or a file not written.
+        /// The load couldn't be sent, or a file couldn't be read or written.
         Load(step: &'static str, cause: io::Error) {
             display("step={step} cause={cause}")
             source(cause)
@@ -55,66 +55,66 @@
     }
 }
 
-/// What a fleet consists of.
+/// Composition of a fleet.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The program of the VMs; found beside the running one unless it is given.
+    /// Executable of the VMs; by default it is looked up next to the running executable.
     pub program: Option<PathBuf>,
-    /// The documents of the services.
+    /// Documents of the services.
     pub documents: Vec<PathBuf>,
-    /// How many VMs there are.
+    /// Number of VMs.
     pub vms: usize,
 }
 
-/// The part of a VM's status that is read.
+/// Part of a VM's status that is read here.
 #[derive(Debug, Deserialize)]
 struct Status {
     totals: IndexMap<String, i64>,
 }
 
-/// A fleet that serves.
+/// Running fleet with its services.
 #[derive(Debug)]
-pub struct Scene {
-    /// The processes.
+pub struct Testbed {
+    /// Processes of the fleet.
     pub fleet: Fleet,
-    /// The services' documents, with the targets' real addresses.
+    /// Documents of the services, with the targets' actual addresses.
     pub documents: Vec<Document>,
-    /// The VMs' names.
+    /// Names of the VMs.
     pub vms: Vec<String>,
-    /// Where targets are that check no grants and are on no document.
-    pub plain: Vec<SocketAddr>,
+    /// Addresses of targets that don't check grants and stand in no document.
+    pub plain_targets: Vec<SocketAddr>,
 }
 
-impl Scene {
-    /// Starts everything and waits until all services are served.
+impl Testbed {
+    /// Starts all processes and waits until all services are ready.
     ///
     /// # Errors
     ///
-    /// Fails when a process can't be started, or a service isn't served in time.
+    /// Fails when a process can't be started, or a service isn't ready in time.
     pub async fn start(setup: &Setup) -> Result<Self, Error> {
-        let mut scene = Self {
+        let mut testbed = Self {
             fleet: Fleet::start(setup.program.clone()).await?,
             documents: Vec::new(),
             vms: Vec::new(),
-            plain: Vec::new(),
+            plain_targets: Vec::new(),
         };
         for path in &setup.documents {
-            scene.add_targets(path).await?;
+            testbed.add_targets(path).await?;
         }
         for number in 0..setup.vms {
             let name = format!("vm-{}", number + 1);
             let domain = DOMAINS[number % DOMAINS.len()];
-            scene.fleet.add_vm(&name, domain, false).await?;
-            scene.vms.push(name);
+            testbed.fleet.add_vm(&name, domain, false).await?;
+            testbed.vms.push(name);
         }
-        for document in &mut scene.documents {
-            services::put(&scene.fleet, &scene.vms[0], document).await?;
+        for document in &mut testbed.documents {
+            services::put(&testbed.fleet, &testbed.vms[0], document).await?;
         }
-        scene.wait_ready().await?;
-        Ok(scene)
+        testbed.wait_ready().await?;
+        Ok(testbed)
     }
 
-    /// Starts the targets of a document; the callers name the time of the work.
+    /// Starts the targets of a document; their work time is zero unless a request names one.
     async fn add_targets(&mut self, path: &Path) -> Result<(), Error> {
         let loaded = Document::load(path);
         let mut document = loaded.map_err(|cause| Error::Load("document", cause))?;
@@ -131,17 +131,17 @@
         Ok(())
     }
 
-    /// Starts targets that check no grants, for work straight at them.
+    /// Starts targets that don't check grants, for direct requests.
     ///
     /// # Errors
     ///
-    /// Fails when one can't be started.
-    pub async fn add_plain(&mut self, count: usize) -> Result<(), Error> {
+    /// Fails when a target can't be started.
+    pub async fn add_plain_targets(&mut self, count: usize) -> Result<(), Error> {
         for number in 0..count {
             let name = format!("plain-{number}");
             let arguments = ["--checks=false", "--work-ms=0", "--fixed"];
             let started = self.fleet.add_target(&name, DOMAINS[0], false, &arguments);
-            self.plain.push(parse(&started.await?)?);
+            self.plain_targets.push(parse_address(&started.await?)?);
             // It is on no document; the list need not name it.
             self.fleet.unlist(&name).await?;
         }
@@ -163,55 +163,55 @@
             let callers = Callers::new(entry.into_iter().collect(), Duration::from_secs(2));
             for document in &self.documents {
                 let keys = services::keys(&document.service, READY_KEYS);
-                services::wait_ready(&callers, &document.service, &keys, READY).await?;
+                services::wait_ready(&callers, &document.service, &keys, READY_TIMEOUT).await?;
             }
         }
         Ok(())
     }
 
-    /// Returns where callers reach the VMs that run.
+    /// Returns the addresses of the running VMs for callers.
     ///
     /// # Errors
     ///
-    /// Fails when an address is none.
-    pub fn callers(&self) -> Result<Vec<SocketAddr>, Error> {
+    /// Fails when an address is invalid.
+    pub fn entry_addresses(&self) -> Result<Vec<SocketAddr>, Error> {
         self.fleet
             .callers()
             .iter()
-            .map(|text| parse(text))
+            .map(|text| parse_address(text))
             .collect()
     }
 
-    /// Returns where the targets of a service are.
+    /// Returns the addresses of the targets of a service.
     ///
     /// # Errors
     ///
-    /// Fails when an address is none.
+    /// Fails when an address is invalid.
     pub fn targets(&self, service: &str) -> Result<Vec<SocketAddr>, Error> {
         let document = self.documents.iter().find(|other| other.service == service);
         let names = document.map(|document| document.targets.keys());
         let targets = names.into_iter().flatten().filter_map(|name| {
             let target = self.fleet.targets.get(name);
-            target.map(|target| parse(&target.address))
+            target.map(|target| parse_address(&target.address))
         });
         targets.collect()
     }
 
-    /// Reads what a VM or target has spent so far.
+    /// Reads the processor time and memory that a VM or target has used so far.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't run.
+    /// Fails when the process isn't running.
     pub fn usage(&self, name: &str) -> Result<Usage, Error> {
         let usage = Usage::read(self.fleet.id(name)?);
         usage.map_err(|cause| Error::Load("usage", cause))
     }
 
-    /// Returns a VM's counts, by metric and service.
+    /// Returns a VM's counters by metric and service.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't answer.
+    /// Fails when the VM doesn't answer.
     pub async fn totals(&self, vm: &str) -> Result<IndexMap<String, i64>, Error> {
         let vm = self.fleet.vms.get(vm);
         let peer = vm.map_or("", |vm| vm.peer.as_str());
@@ -229,37 +229,37 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_load::scene;
+/// use bramleypier_load::testbed;
 /// use indexmap::indexmap;
 ///
 /// let totals = indexmap! { "requests.ran{service=a}".into() => 2, "requests.ran{service=b}".into() => 3 };
-/// assert_eq!(scene::total(&totals, "requests.ran"), 5);
+/// assert_eq!(testbed::metric_sum(&totals, "requests.ran"), 5);
 /// ```
-pub fn total(totals: &IndexMap<String, i64>, metric: &str) -> i64 {
-    let own = totals.iter().filter(|(name, _)| is_of(name, metric));
-    own.map(|(_, value)| value).sum()
+pub fn metric_sum(totals: &IndexMap<String, i64>, metric: &str) -> i64 {
+    let matching = totals.iter().filter(|(name, _)| is_metric(name, metric));
+    matching.map(|(_, value)| value).sum()
 }
 
-/// Returns whether a total's name, with or without a service, is that of a metric.
-fn is_of(name: &str, metric: &str) -> bool {
+/// Returns whether the name of a counter, with or without a service, is that of a metric.
+fn is_metric(name: &str, metric: &str) -> bool {
     name.split('{').next() == Some(metric)
 }
 
-fn parse(text: &str) -> Result<SocketAddr, Error> {
+fn parse_address(text: &str) -> Result<SocketAddr, Error> {
     text.parse()
         .map_err(|cause| Error::Address(text.to_owned(), cause))
 }
 
-/// Runs load beside the calling task.
+/// Runs a load on its own threads while the calling task awaits it.
 ///
 /// # Errors
 ///
-/// Fails when a worker can't start, or can't write its log.
-pub async fn load(config: &Config) -> Result<Outcome, Error> {
+/// Fails when a worker can't start or can't write its log.
+pub async fn run_load(config: &Config) -> Result<RunResults, Error> {
     let config = config.clone();
     let task = runtime::spawn_blocking(move || run::run(&config, |_, _| ()));
-    let outcome = task.await;
-    outcome
+    let results = task.await;
+    results
         .unwrap_or_else(|_| Err(io::Error::other("the load panicked")))
         .map_err(|cause| Error::Load("load", cause))
 }
--- a/tools/load/src/worker.rs
+++ b/tools/load/src/worker.rs
@@ -1,4 +1,6 @@
-//! One thread that sends its share of the plan on time, whether or not answers come.
+//! Worker thread that sends its share of the plan on time, whether or not earlier requests have ended.
+//!
+//! A collector task on the same thread counts the results, writes the log and reports once per second.
 
 use std::{cell::Cell, io, path::PathBuf, rc::Rc, sync::mpsc::Sender, time::Duration};
 
@@ -10,94 +12,94 @@
 
 use crate::{
     balancer::Balancer,
-    call::{self, Answer, Ask},
+    call::{self, CallResult, CallSpec},
+    call_log::{CallLog, Line},
     config::{Class, Config},
-    journal::{Journal, Line},
-    plan::{Plan, Shot},
+    plan::{Plan, PlannedRequest},
     pool::Pool,
     tally::Tally,
 };
 
-/// How often a worker reports.
-pub const PERIOD: Duration = Duration::from_secs(1);
-/// How many requests are sent in a row before answers are looked at.
-const BURST: u64 = 32;
-/// How long to wait before an order is sent again, when the answer doesn't say.
-const RESEND_WAIT: Duration = Duration::from_millis(50);
-/// How often the end of the last requests is looked for.
-const END_POLL: Duration = Duration::from_millis(5);
+/// Interval of a worker's reports.
+pub const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval, in requests, at which a worker that is behind its plan yields so that responses are read.
+const YIELD_EVERY: u64 = 32;
+/// Delay before an order is retried when the response doesn't name one.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Interval at which the worker checks whether the last requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a worker counted in one second.
+/// Counts of a worker for one second.
 #[derive(Debug)]
 pub struct Report {
-    /// The second, counted from the end of the warm-up; requests of the warm-up are in none.
+    /// Number of the second, counted from the end of the warm-up; requests of the warm-up are never counted.
     pub second: u64,
-    /// The counts.
+    /// Counts of this second.
     pub tally: Tally,
 }
 
-/// What happened to one request.
+/// Progress of one request, sent to the collector.
 #[derive(Debug)]
 enum Event {
-    /// It was due.
-    Sent(Duration, Class),
-    /// One sending was answered, or never will be.
-    Line(Box<Line>),
-    /// Its last sending ended.
+    /// The request was due.
+    Due(Duration, Class),
+    /// One attempt has ended, with or without a response.
+    Attempt(Box<Line>),
+    /// The last attempt has ended.
     Ended {
         due: Duration,
         class: Class,
-        answer: Answer,
+        result: CallResult,
         latency: Duration,
-        sends: usize,
+        attempts: usize,
     },
 }
 
-/// What the requests of a worker share.
+/// State that the requests of a worker share.
 #[derive(Clone)]
-struct Shared {
+struct RequestContext {
     config: Rc<Config>,
     pool: Pool,
     balancer: Balancer,
     events: mpsc::UnboundedSender<Event>,
-    open: Rc<Cell<usize>>,
-    prefix: Rc<str>,
+    in_flight: Rc<Cell<usize>>,
+    id_prefix: Rc<str>,
 }
 
 /// Runs a worker's share of a run that begins at `start`, on the machine's clock.
 ///
 /// # Errors
 ///
-/// Fails when the runtime does not start, or the log can't be written.
+/// Fails when the runtime doesn't start or the log can't be written.
 pub fn run(
     config: &Config,
     worker: usize,
     start: Duration,
     reports: Sender<Report>,
 ) -> io::Result<()> {
-    let journal = match log_path(config, worker) {
-        Some(path) => Some(Journal::create(&path)?),
+    let log = match log_path(config, worker) {
+        Some(path) => Some(CallLog::create(&path)?),
         None => None,
     };
     Runtime::new()?.block_on(async {
-        let (events, heard) = mpsc::unbounded();
+        let (events, receiver) = mpsc::unbounded();
         let collector = Collector {
             start: start + config.warm_up,
             warm_up: config.warm_up,
-            journal,
+            log,
             reports,
             tally: Tally::default(),
             second: 0,
         };
-        let collecting = runtime::spawn(collector.run(heard));
-        send(config, worker, start, events).await;
-        collecting
+        let collector_task = runtime::spawn(collector.run(receiver));
+        send_plan(config, worker, start, events).await;
+        collector_task
             .await
             .unwrap_or_else(|_| Err(io::Error::other("the collector ended early")))
     })
 }
 
-/// Returns the file of a worker's lines.
+/// Returns the log file of a worker, if attempts are logged.
 ///
 /// # Example
 ///
@@ -112,139 +114,146 @@
 /// assert_eq!(path.to_str(), Some("run.jsonl.1"));
 /// ```
 pub fn log_path(config: &Config, worker: usize) -> Option<PathBuf> {
-    let path = config.log.as_ref()?;
+    let path = config.log_file.as_ref()?;
     let mut name = path.as_os_str().to_owned();
     name.push(format!(".{worker}"));
     Some(name.into())
 }
 
-async fn send(
+async fn send_plan(
     config: &Config,
     worker: usize,
     start: Duration,
     events: mpsc::UnboundedSender<Event>,
 ) {
     let seed = config.seed.wrapping_add(worker as u64);
-    let shared = Shared {
+    let context = RequestContext {
         config: Rc::new(config.clone()),
         pool: Pool::new(config.connections),
-        balancer: Balancer::new(&config.addresses, config.spread, seed),
+        balancer: Balancer::new(&config.addresses, config.policy, seed),
         events,
-        open: Rc::default(),
-        prefix: Uuid::now_v7().simple().to_string().into(),
+        in_flight: Rc::default(),
+        id_prefix: Uuid::now_v7().simple().to_string().into(),
     };
-    if let Some(period) = config.health {
-        shared.balancer.watch(period);
+    if let Some(interval) = config.health_interval {
+        context.balancer.start_health_checks(interval);
     }
-    for shot in Plan::new(config, worker) {
-        let due = start + shot.due;
+    for request in Plan::new(config, worker) {
+        let due = start + request.due;
         let now = clock::now();
         if due > now {
             compio::time::sleep(due.saturating_sub(now)).await;
-        } else if shot.number % BURST == 0 {
+        } else if request.number % YIELD_EVERY == 0 {
             compio::time::sleep(Duration::ZERO).await;
         }
-        shared.fire(shot, due);
+        context.spawn_request(request, due);
     }
-    while shared.open.get() > 0 {
-        compio::time::sleep(END_POLL).await;
+    while context.in_flight.get() > 0 {
+        compio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
 }
 
-impl Shared {
-    /// Sends a request in a task of its own.
-    fn fire(&self, shot: Shot, due: Duration) {
-        self.tell(Event::Sent(shot.due, shot.class));
-        self.open.set(self.open.get() + 1);
-        let shared = self.clone();
+impl RequestContext {
+    /// Sends a request in its own task.
+    fn spawn_request(&self, request: PlannedRequest, due: Duration) {
+        self.emit(Event::Due(request.due, request.class));
+        self.in_flight.set(self.in_flight.get() + 1);
+        let context = self.clone();
         runtime::spawn(async move {
-            let ask = shared.ask(&shot);
-            let (answer, sends) = shared.serve(&ask, due).await;
-            shared.tell(Event::Ended {
-                due: shot.due,
-                class: shot.class,
-                answer,
+            let spec = context.call_spec(&request);
+            let (result, attempts) = context.send_with_retries(&spec, due).await;
+            context.emit(Event::Ended {
+                due: request.due,
+                class: request.class,
+                result,
                 latency: clock::now().saturating_sub(due),
-                sends,
+                attempts,
             });
-            shared.open.set(shared.open.get() - 1);
+            context.in_flight.set(context.in_flight.get() - 1);
         })
         .detach();
     }
 
-    fn ask(&self, shot: &Shot) -> Ask {
+    fn call_spec(&self, request: &PlannedRequest) -> CallSpec {
         let config = &self.config;
-        let id = match shot.class {
+        let id = match request.class {
             Class::Orders => Uuid::now_v7().to_string(),
-            Class::Lookups | Class::Files => format!("{}-{}", self.prefix, shot.number),
+            Class::Lookups | Class::Files => format!("{}-{}", self.id_prefix, request.number),
         };
-        Ask {
+        CallSpec {
             id,
-            class: shot.class,
-            key: format!("key-{}", shot.key),
-            work: shot.work,
+            class: request.class,
+            key: format!("key-{}", request.key),
+            work: request.work,
             bytes: config.file_bytes,
             deadline: config.deadline,
             service: (!config.direct).then(|| config.service.clone()),
         }
     }
 
-    /// Sends a request, an order again as often as is allowed; returns how often that was.
-    async fn serve(&self, ask: &Ask, due: Duration) -> (Answer, usize) {
-        let limit = match ask.class {
-            Class::Orders => self.config.sends.max(1),
+    /// Sends a request, retries an order up to the limit, and returns the last result and the number of attempts.
+    async fn send_with_retries(&self, spec: &CallSpec, due: Duration) -> (CallResult, usize) {
+        let limit = match spec.class {
+            Class::Orders => self.config.max_attempts.max(1),
             Class::Lookups | Class::Files => 1,
         };
-        let mut last = None;
-        let mut sends = 0;
+        let mut previous = None;
+        let mut attempts = 0;
         loop {
-            let Some(address) = self.balancer.choose(last) else {
-                return (Answer::none(false), sends);
+            let Some(address) = self.balancer.choose(previous) else {
+                return (CallResult::without_response(false), attempts);
             };
             let sent = clock::now();
-            let answer = call::exchange(&self.pool, address, ask).await;
-            self.balancer.ended(address);
-            sends += 1;
-            if self.config.log.is_some() {
-                self.note(ask, &answer, address.to_string(), sent, due);
+            let result = call::exchange(&self.pool, address, spec).await;
+            self.balancer.release(address);
+            attempts += 1;
+            if self.config.log_file.is_some() {
+                self.log_attempt(spec, &result, address.to_string(), sent, due);
             }
-            let is_settled = answer.told != Told::Unknown && !answer.failed;
-            if is_settled || sends >= limit {
-                return (answer, sends);
+            let is_final = result.outcome != Told::Unknown && !result.failed;
+            if is_final || attempts >= limit {
+                return (result, attempts);
             }
-            last = Some(address);
-            compio::time::sleep(answer.retry.unwrap_or(RESEND_WAIT)).await;
+            previous = Some(address);
+            compio::time::sleep(result.retry_after.unwrap_or(DEFAULT_RETRY_DELAY)).await;
         }
     }
 
-    fn note(&self, ask: &Ask, answer: &Answer, address: String, sent: Duration, due: Duration) {
+    fn log_attempt(
+        &self,
+        spec: &CallSpec,
+        result: &CallResult,
+        address: String,
+        sent: Duration,
+        due: Duration,
+    ) {
         let latency = clock::now().saturating_sub(due);
-        self.tell(Event::Line(Box::new(Line {
-            id: ask.id.clone(),
-            key: ask.key.clone(),
-            class: ask.class,
+        self.emit(Event::Attempt(Box::new(Line {
+            id: spec.id.clone(),
+            key: spec.key.clone(),
+            class: spec.class,
             address,
             sent_ms: clock::millis(sent),
-            told: answer.told,
-            sound: answer.sound,
-            status: answer.status,
-            bytes: answer.bytes,
-            peer: answer.peer.clone(),
+            told: result.outcome,
+            sound: result.sound,
+            status: result.status,
+            bytes: result.bytes,
+            peer: result.peer.clone(),
             latency_us: u64::try_from(latency.as_micros()).unwrap_or(u64::MAX),
         })));
     }
 
-    fn tell(&self, event: Event) {
-        // The collector lives as long as the last request.
+    fn emit(&self, event: Event) {
+        // The collector runs until the last request has ended.
         drop(self.events.unbounded_send(event));
     }
 }
 
-/// Adds up events, and reports once a second.
+/// Counts events and reports once per second.
 struct Collector {
     start: Duration,
     warm_up: Duration,
-    journal: Option<Journal>,
+    log: Option<CallLog>,
     reports: Sender<Report>,
     tally: Tally,
     second: u64,
@@ -253,58 +262,59 @@
 impl Collector {
     async fn run(mut self, mut events: mpsc::UnboundedReceiver<Event>) -> io::Result<()> {
         loop {
-            let due = self.start + PERIOD * u32::try_from(self.second + 1).unwrap_or(u32::MAX);
-            let left = due.saturating_sub(clock::now());
-            let pause = Box::pin(compio::time::sleep(left));
-            match self.gather(&mut events, pause).await? {
-                Next::Second => self.report(),
-                Next::End => break,
+            let due =
+                self.start + REPORT_INTERVAL * u32::try_from(self.second + 1).unwrap_or(u32::MAX);
+            let remaining = due.saturating_sub(clock::now());
+            let timer = Box::pin(compio::time::sleep(remaining));
+            match self.process_events(&mut events, timer).await? {
+                Wakeup::SecondOver => self.report(),
+                Wakeup::Closed => break,
             }
         }
         self.report();
-        match self.journal {
-            Some(journal) => journal.close(),
+        match self.log {
+            Some(log) => log.close(),
             None => Ok(()),
         }
     }
 
-    /// Takes events until the second is over, or none can come any more.
-    async fn gather<F>(
+    /// Processes events until the current second is over, or all senders are gone.
+    async fn process_events<F>(
         &mut self,
         events: &mut mpsc::UnboundedReceiver<Event>,
-        mut pause: F,
-    ) -> io::Result<Next>
+        mut timer: F,
+    ) -> io::Result<Wakeup>
     where
         F: Future<Output = ()> + Unpin,
     {
         loop {
-            match futures_util::future::select(pause, events.next()).await {
-                Either::Left(_) => return Ok(Next::Second),
-                Either::Right((None, _)) => return Ok(Next::End),
-                Either::Right((Some(event), rest)) => {
-                    self.on(event)?;
-                    pause = rest;
+            match futures_util::future::select(timer, events.next()).await {
+                Either::Left(_) => return Ok(Wakeup::SecondOver),
+                Either::Right((None, _)) => return Ok(Wakeup::Closed),
+                Either::Right((Some(event), timer_left)) => {
+                    self.handle(event)?;
+                    timer = timer_left;
                 }
             }
         }
     }
 
-    fn on(&mut self, event: Event) -> io::Result<()> {
+    fn handle(&mut self, event: Event) -> io::Result<()> {
         match event {
-            Event::Sent(due, class) if due >= self.warm_up => self.tally.sent(class),
+            Event::Due(due, class) if due >= self.warm_up => self.tally.record_sent(class),
             Event::Ended {
                 due,
                 class,
-                answer,
+                result,
                 latency,
-                sends,
-            } if due >= self.warm_up => self.tally.ended(class, &answer, latency, sends),
-            Event::Line(line) => {
-                if let Some(journal) = &mut self.journal {
-                    journal.write(&line)?;
+                attempts,
+            } if due >= self.warm_up => self.tally.record_result(class, &result, latency, attempts),
+            Event::Attempt(line) => {
+                if let Some(log) = &mut self.log {
+                    log.write(&line)?;
                 }
             }
-            Event::Sent(..) | Event::Ended { .. } => {}
+            Event::Due(..) | Event::Ended { .. } => {}
         }
         Ok(())
     }
@@ -313,13 +323,13 @@
         let tally = std::mem::take(&mut self.tally);
         let second = self.second;
         self.second += 1;
-        // Whoever gathers reports waits for the last one.
+        // The receiver of the reports waits for the last one.
         drop(self.reports.send(Report { second, tally }));
     }
 }
 
-/// Why a collector stopped taking events.
-enum Next {
-    Second,
-    End,
+/// Reason why the collector stopped processing events.
+enum Wakeup {
+    SecondOver,
+    Closed,
 }
--- a/tools/load/tests/figures.rs
+++ b/tools/load/tests/figures.rs
@@ -1,15 +1,15 @@
-//! What is made of answers: counts, percentiles, yardsticks, accounts, tables and plots.
+//! Tests the processing of results: counts, percentiles, baselines, log analysis, tables and plots.
 
 use std::{net::SocketAddr, time::Duration};
 
 use bramleypier_load::{
     balancer::Balancer,
-    call::Answer,
-    config::{Class, Spread},
-    experiment::{account, cell::Cell, cell::Row, fault::Fault, summary},
-    journal::{self, Journal, Line},
-    perfect::{self, Queue, Terms},
-    plan::Shot,
+    call::CallResult,
+    call_log::{self, CallLog, Line},
+    config::{Class, Policy},
+    experiment::{analysis, cell::Cell, cell::Row, fault::Fault, summary},
+    ideal::{self, Parameters, Queue},
+    plan::PlannedRequest,
     plot::{Plot, Series},
     table,
     tally::{Latencies, Tally},
@@ -21,12 +21,12 @@
     Duration::from_millis(count)
 }
 
-fn answer(told: Told, status: u16) -> Answer {
-    Answer {
-        told,
+fn result(outcome: Told, status: u16) -> CallResult {
+    CallResult {
+        outcome,
         status,
         failed: status == 0,
-        ..Answer::none(true)
+        ..CallResult::without_response(true)
     }
 }
 
@@ -58,10 +58,10 @@
     for part in &parts {
         merged.merge(part);
     }
-    for (share, due) in [(0.5, 500), (0.99, 990), (0.999, 999), (1.0, 1000)] {
+    for (share, expected) in [(0.5, 500), (0.99, 990), (0.999, 999), (1.0, 1000)] {
         let found = whole.quantile(share);
         assert!(
-            found >= ms(due) && found <= ms(due + due / 500 + 1),
+            found >= ms(expected) && found <= ms(expected + expected / 500 + 1),
             "{share}: {found:?}"
         );
         assert_eq!(merged.quantile(share), found);
@@ -80,24 +80,24 @@
 
 #[test]
 fn answers_are_counted_by_what_they_told() {
-    // The answer, and whether it counts as good, ran, not run, unknown, an error, unsound.
-    let unsound = Answer {
+    // Result, and whether it counts as good, ran, not run, unknown, an error, unsound.
+    let unsound = CallResult {
         sound: false,
-        ..answer(Told::Ran, 200)
+        ..result(Told::Ran, 200)
     };
     let cases = [
-        (answer(Told::Ran, 200), [1, 1, 0, 0, 0, 0]),
-        (answer(Told::Ran, 500), [0, 1, 0, 0, 0, 0]),
-        (answer(Told::NotRun, 503), [0, 0, 1, 0, 0, 0]),
-        (answer(Told::Unknown, 502), [0, 0, 0, 1, 0, 0]),
-        (Answer::none(true), [0, 0, 0, 1, 1, 0]),
-        (Answer::none(false), [0, 0, 1, 0, 1, 0]),
+        (result(Told::Ran, 200), [1, 1, 0, 0, 0, 0]),
+        (result(Told::Ran, 500), [0, 1, 0, 0, 0, 0]),
+        (result(Told::NotRun, 503), [0, 0, 1, 0, 0, 0]),
+        (result(Told::Unknown, 502), [0, 0, 0, 1, 0, 0]),
+        (CallResult::without_response(true), [0, 0, 0, 1, 1, 0]),
+        (CallResult::without_response(false), [0, 0, 1, 0, 1, 0]),
         (unsound, [0, 1, 0, 0, 0, 1]),
     ];
-    for (answer, due) in cases {
+    for (result, expected) in cases {
         let mut tally = Tally::default();
-        tally.sent(Class::Orders);
-        tally.ended(Class::Orders, &answer, ms(5), 3);
+        tally.record_sent(Class::Orders);
+        tally.record_result(Class::Orders, &result, ms(5), 3);
         let counts = tally.class(Class::Orders);
         let found = [
             counts.good,
@@ -107,7 +107,7 @@
             counts.errors,
             counts.unsound,
         ];
-        assert_eq!(found, due, "{answer:?}");
+        assert_eq!(found, expected, "{result:?}");
         assert_eq!((counts.sent, counts.resent), (1, 2));
         assert_eq!(counts.served.count(), counts.ran);
         assert_eq!(tally.class(Class::Files).ran, 0);
@@ -117,7 +117,8 @@
 
 #[test]
 fn a_queue_serves_in_order_and_each_slot_one_at_a_time() {
-    // Slots; due time and work of each request, and its latency; all in ms. None waits over 12 ms.
+    // Number of slots; due time, work time and expected latency of each request, in ms.
+    // Requests that would wait longer than 12 ms are rejected.
     let cases = [
         (
             1,
@@ -158,41 +159,41 @@
 
 #[test]
 fn one_queue_is_never_worse_than_a_queue_for_each_key() {
-    let shot = |number: u64| Shot {
+    let request = |number: u64| PlannedRequest {
         due: ms(number * 4),
         number,
         class: Class::Lookups,
         key: usize::try_from(number * number % 7).unwrap(),
         work: (!number.is_multiple_of(13)).then(|| ms(1 + number % 13)),
     };
-    let plan: Vec<Shot> = (0..500).map(shot).collect();
-    let one = Terms {
+    let plan: Vec<PlannedRequest> = (0..500).map(request).collect();
+    let single = Parameters {
         queues: 1,
         slots: 4,
         work: ms(5),
-        patience: Duration::from_secs(1),
+        max_wait: Duration::from_secs(1),
         warm_up: ms(0),
     };
-    let split = Terms {
+    let split = Parameters {
         queues: 2,
         slots: 2,
-        ..one
+        ..single
     };
-    let whole = perfect::serve(&plan, &one, |_| 0);
-    let parts = perfect::serve(&plan, &split, |shot| shot.key);
+    let whole = ideal::simulate(&plan, &single, |_| 0);
+    let parts = ideal::simulate(&plan, &split, |request| request.key);
     assert!(whole.served.quantile(0.99) <= parts.served.quantile(0.99));
-    let warm = Terms {
+    let warm = Parameters {
         warm_up: ms(400),
-        ..one
+        ..single
     };
-    let counted = [whole.sent, perfect::serve(&plan, &warm, |_| 0).sent];
+    let counted = [whole.sent, ideal::simulate(&plan, &warm, |_| 0).sent];
     assert_eq!(counted, [500, 400]);
-    let refusing = Terms {
-        patience: ms(0),
+    let refusing = Parameters {
+        max_wait: ms(0),
         slots: 1,
-        ..one
+        ..single
     };
-    let refused = perfect::serve(&plan, &refusing, |_| 0);
+    let refused = ideal::simulate(&plan, &refusing, |_| 0);
     assert!(refused.not_run > 0);
     assert_eq!(refused.ran + refused.not_run, refused.sent);
 }
@@ -202,24 +203,29 @@
     let addresses: Vec<SocketAddr> = (1..=3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
-    for spread in [Spread::Round, Spread::Random, Spread::Two, Spread::Least] {
-        let balancer = Balancer::new(&addresses, spread, 9);
+    for policy in [
+        Policy::RoundRobin,
+        Policy::Random,
+        Policy::TwoChoices,
+        Policy::LeastInFlight,
+    ] {
+        let balancer = Balancer::new(&addresses, policy, 9);
         let mut counts = [0; 3];
         for _ in 0..300 {
             let address = balancer.choose(None).unwrap();
             counts[usize::from(address.port() - 1)] += 1;
         }
         for last in &addresses {
-            assert_ne!(balancer.choose(Some(*last)), Some(*last), "{spread:?}");
+            assert_ne!(balancer.choose(Some(*last)), Some(*last), "{policy:?}");
         }
-        let least = if spread == Spread::Random { 50 } else { 90 };
+        let least = if policy == Policy::Random { 50 } else { 90 };
         assert!(
             counts.iter().all(|count| *count >= least),
-            "{spread:?} {counts:?}"
+            "{policy:?} {counts:?}"
         );
     }
-    assert_eq!(Balancer::new(&[], Spread::Round, 1).choose(None), None);
-    let single = Balancer::new(&addresses[..1], Spread::Two, 1);
+    assert_eq!(Balancer::new(&[], Policy::RoundRobin, 1).choose(None), None);
+    let single = Balancer::new(&addresses[..1], Policy::TwoChoices, 1);
     assert_eq!(single.choose(Some(addresses[0])), Some(addresses[0]));
 }
 
@@ -236,22 +242,22 @@
         .step_by(10)
         .map(|sent| line("k", sent, told(sent)))
         .collect();
-    let account = account::account(&lines, &[], &[], 60, ms(0));
-    assert_eq!(account.failing, ms(200));
-    assert_eq!(account.gap, ms(200));
-    // No target ran what callers were told to have run.
-    assert_eq!(account.findings.lost.len(), 80);
-    assert_eq!(account.count(), 80);
+    let analysis = analysis::analyse(&lines, &[], &[], 60, ms(0));
+    assert_eq!(analysis.failing, ms(200));
+    assert_eq!(analysis.gap, ms(200));
+    // No target ran the requests that the callers' log reports as run.
+    assert_eq!(analysis.findings.lost.len(), 80);
+    assert_eq!(analysis.finding_count(), 80);
     let runs: Vec<Run> = lines.iter().map(run).collect();
-    let account = account::account(&lines, &runs, &["t-1".into(), "t-2".into()], 60, ms(300));
-    assert!(account.findings.lost.is_empty());
+    let analysis = analysis::analyse(&lines, &runs, &["t-1".into(), "t-2".into()], 60, ms(300));
+    assert!(analysis.findings.lost.is_empty());
     assert_eq!(
-        account.findings.untrue.len(),
+        analysis.findings.untrue.len(),
         20,
         "what was told not to have run did"
     );
-    assert_eq!(account.failing, ms(100), "the warm-up doesn't count");
-    assert!((account.imbalance - 2.0).abs() < f64::EPSILON);
+    assert_eq!(analysis.failing, ms(100), "the warm-up doesn't count");
+    assert!((analysis.imbalance - 2.0).abs() < f64::EPSILON);
 }
 
 fn run(line: &Line) -> Run {
@@ -270,12 +276,12 @@
 fn lines_come_back_as_they_were_written() {
     let path = std::env::temp_dir().join(format!("bramleypier-lines-{}", std::process::id()));
     let lines = [line("a", 1, Told::Ran), line("b", 2, Told::Unknown)];
-    let mut journal = Journal::create(&path).unwrap();
+    let mut log = CallLog::create(&path).unwrap();
     for line in &lines {
-        journal.write(line).unwrap();
+        log.write(line).unwrap();
     }
-    journal.close().unwrap();
-    let read = journal::read(&path).unwrap();
+    log.close().unwrap();
+    let read = call_log::read(&path).unwrap();
     std::fs::remove_file(&path).unwrap();
     assert_eq!(read, lines);
     assert!(read[0].call().idempotent);
@@ -286,8 +292,8 @@
     let row = |round, good| {
         let mut tally = Tally::default();
         for _ in 0..good {
-            tally.sent(Class::Lookups);
-            tally.ended(Class::Lookups, &answer(Told::Ran, 200), ms(10), 1);
+            tally.record_sent(Class::Lookups);
+            tally.record_result(Class::Lookups, &result(Told::Ran, 200), ms(10), 1);
         }
         let cell = Cell {
             fault: Fault::Target,
@@ -302,12 +308,12 @@
         table.contains("| target lost | 80 | one queue | 20 (10-30) |"),
         "{table}"
     );
-    let fields = Row::HEAD.split(',').count();
+    let fields = Row::CSV_HEADER.split(',').count();
     assert_eq!(rows[0].to_string().split(',').count(), fields);
     let plot = Plot {
         title: "t".to_owned(),
-        across: "x".to_owned(),
-        up: "y".to_owned(),
+        x_label: "x".to_owned(),
+        y_label: "y".to_owned(),
         is_log: true,
         series: vec![Series {
             name: "s".to_owned(),
@@ -326,6 +332,6 @@
         ("1 (a ) b) R 1 1 1 0 -1 0 0 0 0 0 100 200 0 0", 3),
         ("", 0),
     ] {
-        assert_eq!(usage::cpu(stat).as_secs(), seconds, "{stat}");
+        assert_eq!(usage::parse_cpu_time(stat).as_secs(), seconds, "{stat}");
     }
 }
--- a/tools/load/tests/plan.rs
+++ b/tools/load/tests/plan.rs
@@ -1,21 +1,21 @@
-//! The plan of a run: arrivals, keys, and the order of requests.
+//! Tests the plan of a run: arrivals, keys, the order of requests, and the parsing of options.
 
 use std::time::Duration;
 
 use bramleypier_load::{
     arrivals::{Arrivals, Pattern},
-    config::{Class, Config, Spread, Work},
+    config::{Class, Config, Policy, Work},
     keys::Keys,
     plan::{self, Plan},
 };
 use rand::{SeedableRng, rngs::StdRng};
 
-/// How far a mean over many draws may lie from what it should be.
+/// Accepted relative deviation of a mean over many samples from its expected value.
 const TOLERANCE: f64 = 0.05;
 const DRAWS: usize = 20_000;
 
-fn is_near(value: f64, due: f64) -> bool {
-    (value - due).abs() <= due * TOLERANCE
+fn is_near(value: f64, expected: f64) -> bool {
+    (value - expected).abs() <= expected * TOLERANCE
 }
 
 fn share(count: usize, all: usize) -> f64 {
@@ -48,13 +48,13 @@
         (gaps.map(square).sum::<f64>() / 20_000.0).sqrt()
     };
     assert!(deviation(Pattern::Constant) < 0.01);
-    // The exponential distribution's deviation is its mean.
+    // The standard deviation of the exponential distribution equals its mean.
     assert!(is_near(deviation(Pattern::Poisson), 1.0));
 }
 
 #[test]
 fn keys_follow_their_law() {
-    // The count of keys, the exponent, and the share of the first and the second key.
+    // Number of keys, exponent, and expected fractions of the first and the second key.
     let cases = [
         (4, 0.0, 0.25, 0.25),
         (4, 1.0, 0.48, 0.24),
@@ -63,8 +63,8 @@
     ];
     for (count, exponent, first, second) in cases {
         let keys = Keys::new(count, exponent);
-        let mut random = StdRng::seed_from_u64(5);
-        let draws: Vec<usize> = (0..DRAWS).map(|_| keys.draw(&mut random)).collect();
+        let mut rng = StdRng::seed_from_u64(5);
+        let draws: Vec<usize> = (0..DRAWS).map(|_| keys.sample(&mut rng)).collect();
         assert!(draws.iter().all(|key| *key < count));
         let found = |key| share(draws.iter().filter(|draw| **draw == key).count(), DRAWS);
         assert!(is_near(found(0), first), "{exponent}: {}", found(0));
@@ -76,22 +76,28 @@
 fn a_plan_holds_all_classes_at_their_rates() {
     let config = Config {
         rates: [2000.0, 500.0, 100.0],
-        span: Duration::from_secs(10),
+        duration: Duration::from_secs(10),
         workers: 3,
         work: Work::Exponential(Duration::from_millis(10)),
         ..Config::default()
     };
-    let shots = plan::whole(&config);
-    assert!(shots.is_sorted_by_key(|shot| shot.due));
-    assert!(shots.iter().all(|shot| shot.due < config.span));
+    let requests = plan::all_requests(&config);
+    assert!(requests.is_sorted_by_key(|request| request.due));
+    assert!(requests.iter().all(|request| request.due < config.duration));
     for class in Class::ALL {
-        let count = shots.iter().filter(|shot| shot.class == class).count();
+        let count = requests
+            .iter()
+            .filter(|request| request.class == class)
+            .count();
         let rate = share(count, 10);
-        let due = config.rates[class.index()];
-        assert!((rate - due).abs() < due * 0.1, "{class:?}: {rate}");
+        let expected = config.rates[class.index()];
+        assert!(
+            (rate - expected).abs() < expected * 0.1,
+            "{class:?}: {rate}"
+        );
     }
-    let work: Duration = shots.iter().filter_map(|shot| shot.work).sum();
-    let mean = work.as_secs_f64() * 1000.0 / share(shots.len(), 1);
+    let work: Duration = requests.iter().filter_map(|request| request.work).sum();
+    let mean = work.as_secs_f64() * 1000.0 / share(requests.len(), 1);
     assert!(is_near(mean, 10.0), "{mean}");
 }
 
@@ -112,13 +118,13 @@
 #[test]
 fn options_are_read_and_refused() {
     assert_eq!("poisson".parse(), Ok(Pattern::Poisson));
-    assert_eq!("two".parse(), Ok(Spread::Two));
-    let span = Duration::from_millis(10);
-    assert_eq!("fixed:10".parse(), Ok(Work::Fixed(span)));
-    assert_eq!("exponential:10".parse(), Ok(Work::Exponential(span)));
-    assert_eq!("unsaid".parse(), Ok(Work::Unsaid));
+    assert_eq!("two".parse(), Ok(Policy::TwoChoices));
+    let duration = Duration::from_millis(10);
+    assert_eq!("fixed:10".parse(), Ok(Work::Fixed(duration)));
+    assert_eq!("exponential:10".parse(), Ok(Work::Exponential(duration)));
+    assert_eq!("unsaid".parse(), Ok(Work::Unspecified));
     assert!("often".parse::<Pattern>().is_err());
-    assert!("best".parse::<Spread>().is_err());
+    assert!("best".parse::<Policy>().is_err());
     for text in ["fixed:", "fixed:ten", "normal:10"] {
         assert!(text.parse::<Work>().is_err(), "{text}");
     }
