--- a/tools/load/src/bench.rs
+++ b/tools/load/src/bench.rs
@@ -35,7 +35,7 @@
     pub rates: Vec<f64>,
     /// Duration of each run.
     pub duration: Duration,
-    /// Number of rounds, each a direct run followed by a run through the VM.
+    /// Number of rounds at each rate; a round is a direct run followed by a run through the VM.
     pub rounds: usize,
     /// Number of sending threads.
     pub workers: usize,
@@ -93,10 +93,10 @@
     compio::time::sleep(duration).await;
     let after = testbed.usage(VM_NAME)?;
     let elapsed = clock::now().saturating_sub(start);
-    let share = after.since(&before).as_secs_f64() / elapsed.as_secs_f64();
+    let core_share = after.since(&before).as_secs_f64() / elapsed.as_secs_f64();
     println!(
         "idle: {:.2} % of a core, {:.1} MB resident\n",
-        share * 100.0,
+        core_share * 100.0,
         table::megabytes(after.resident_kb)
     );
     Ok(())
@@ -129,9 +129,9 @@
     let counts = results.overall.class(Class::Lookups);
     let [median, p99, p999, _] = table::quantiles(counts).map(table::millis);
     // Requests of the warm-up also use processor time, so they are added in proportion to its duration.
-    let share =
+    let duration_ratio =
         config.duration.as_secs_f64() / results.duration.as_secs_f64().max(f64::MIN_POSITIVE);
-    let sent = table::to_f64(counts.sent) * share;
+    let sent = table::to_f64(counts.sent) * duration_ratio;
     let cpu_per_request = cpu.as_secs_f64() / sent.max(1.0);
     let (cpu_per_request, requests_per_cpu_second) = match route {
         "through" => (
--- a/tools/load/src/bin/bramleypier-experiment.rs
+++ b/tools/load/src/bin/bramleypier-experiment.rs
@@ -11,7 +11,7 @@
     testbed::Error,
 };
 
-/// Experiments with bramleypier, for tests only.
+/// Measures fleets of bramleypier, for tests only.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 enum Command {
@@ -30,7 +30,7 @@
         /// Duration of each run
         #[bpaf(argument("SECONDS"), fallback(5.0))]
         seconds: f64,
-        /// Number of rounds, each a direct run and a run through the VM
+        /// Number of rounds at each rate; a round is a direct run and a run through the VM
         #[bpaf(argument("COUNT"), fallback(1))]
         rounds: usize,
         /// Number of sending threads
--- a/tools/load/src/call_log.rs
+++ b/tools/load/src/call_log.rs
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when it can't be created.
+    /// Fails when the file can't be created.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = BufWriter::new(File::create(path)?);
         Ok(Self { file })
--- a/tools/load/src/experiment/cell.rs
+++ b/tools/load/src/experiment/cell.rs
@@ -179,7 +179,7 @@
     let (results, ()) = (results?, injected?);
     let after = read_vms(&testbed).await?;
     let mut row = Row::new("bramleypier", cell, &results.total(), results.duration);
-    row.fleet_usage = Some(compare(&before, &after, &results, config));
+    row.fleet_usage = Some(compute_usage(&before, &after, &results, config));
     row.analysis = Some(analyse_logs(&testbed, config)?);
     Ok((row, testbed))
 }
@@ -213,7 +213,7 @@
 
 /// Reads the usage and counters of all running VMs.
 async fn read_vms(testbed: &Testbed) -> Result<IndexMap<String, Reading>, Error> {
-    let mut read_vms = IndexMap::new();
+    let mut readings = IndexMap::new();
     for vm in testbed.vms.iter().filter(|vm| testbed.fleet.runs(vm)) {
         let totals = testbed.totals(vm).await?;
         let reading = Reading {
@@ -222,13 +222,13 @@
             retried: testbed::metric_sum(&totals, "requests.retried"),
             refused: testbed::metric_sum(&totals, "requests.not_run"),
         };
-        read_vms.insert(vm.clone(), reading);
+        readings.insert(vm.clone(), reading);
     }
-    Ok(read_vms)
+    Ok(readings)
 }
 
 /// Computes the usage between two readings of the VMs that still run; that of a lost VM is unknown.
-fn compare(
+fn compute_usage(
     before: &IndexMap<String, Reading>,
     after: &IndexMap<String, Reading>,
     results: &RunResults,
@@ -247,9 +247,9 @@
         fleet_usage.retried += reading.retried - earlier.retried;
         fleet_usage.refused += reading.refused - earlier.refused;
     }
-    let share =
+    let duration_ratio =
         config.duration.as_secs_f64() / results.duration.as_secs_f64().max(f64::MIN_POSITIVE);
-    let count = table::to_f64(results.total().sent) * share;
+    let count = table::to_f64(results.total().sent) * duration_ratio;
     fleet_usage.max_core_share = max_cpu.as_secs_f64() / config.duration.as_secs_f64();
     fleet_usage.cpu_per_request = cpu.div_f64(count.max(1.0));
     fleet_usage
--- a/tools/load/src/ideal.rs
+++ b/tools/load/src/ideal.rs
@@ -17,9 +17,9 @@
 impl Queue {
     /// Creates a queue in front of `slots` slots.
     pub fn new(slots: usize) -> Self {
-        let slot_free_at = std::iter::repeat_n(Reverse(Duration::ZERO), slots.max(1));
+        let free_times = std::iter::repeat_n(Reverse(Duration::ZERO), slots.max(1));
         Self {
-            slot_free_at: slot_free_at.collect(),
+            slot_free_at: free_times.collect(),
         }
     }
 
@@ -42,12 +42,12 @@
     /// assert_eq!(queue.serve(Duration::ZERO, work, work), None);
     /// ```
     pub fn serve(&mut self, due: Duration, work: Duration, max_wait: Duration) -> Option<Duration> {
-        let Reverse(slot_free_at) = self.slot_free_at.peek().copied()?;
-        if slot_free_at > due + max_wait {
+        let Reverse(free_at) = self.slot_free_at.peek().copied()?;
+        if free_at > due + max_wait {
             return None;
         }
         self.slot_free_at.pop();
-        let finished = due.max(slot_free_at) + work;
+        let finished = due.max(free_at) + work;
         self.slot_free_at.push(Reverse(finished));
         Some(finished.saturating_sub(due))
     }
--- a/tools/load/src/tally.rs
+++ b/tools/load/src/tally.rs
@@ -60,13 +60,13 @@
     /// latencies.add(Duration::from_millis(5));
     /// assert!(latencies.quantile(0.5) >= Duration::from_millis(5));
     /// ```
-    pub fn quantile(&self, share: f64) -> Duration {
+    pub fn quantile(&self, quantile: f64) -> Duration {
         let histogram = self.histogram.as_ref();
         Duration::from_micros(histogram.map_or(0, |latencies| {
             if latencies.is_empty() {
                 return 0;
             }
-            latencies.value_at_quantile(share)
+            latencies.value_at_quantile(quantile)
         }))
     }
 
@@ -81,7 +81,7 @@
 pub struct Counts {
     /// Requests that were due.
     pub sent: u64,
-    /// Requests that ran and whose complete, intact and successful response was received.
+    /// Requests that ran and whose complete, intact and successful response was received in time.
     pub good: u64,
     /// Requests that ran, as their responses reported.
     pub ran: u64,
--- a/tools/load/src/testbed.rs
+++ b/tools/load/src/testbed.rs
@@ -142,13 +142,13 @@
             let arguments = ["--checks=false", "--work-ms=0", "--fixed"];
             let started = self.fleet.add_target(&name, DOMAINS[0], false, &arguments);
             self.plain_targets.push(parse_address(&started.await?)?);
-            // It is on no document; the list need not name it.
+            // No document names this target, so it doesn't need to stay in the platform's list.
             self.fleet.unlist(&name).await?;
         }
         Ok(())
     }
 
-    /// Returns how many requests all targets on documents run at a time.
+    /// Returns the number of requests that the targets of all documents can run at the same time.
     pub fn slots(&self) -> u32 {
         let documents = self.documents.iter();
         let targets = documents.flat_map(|document| document.targets.values());
@@ -224,7 +224,7 @@
     }
 }
 
-/// Returns the sum of a metric over all services.
+/// Returns the sum of a counter over all services.
 ///
 /// # Example
 ///
--- a/tools/load/src/worker.rs
+++ b/tools/load/src/worker.rs
@@ -107,7 +107,7 @@
 /// use bramleypier_load::{config::Config, worker};
 ///
 /// let config = Config {
-///     log: Some("run.jsonl".into()),
+///     log_file: Some("run.jsonl".into()),
 ///     ..Config::default()
 /// };
 /// let path = worker::log_path(&config, 1).unwrap();
@@ -291,9 +291,9 @@
             match futures_util::future::select(timer, events.next()).await {
                 Either::Left(_) => return Ok(Wakeup::SecondOver),
                 Either::Right((None, _)) => return Ok(Wakeup::Closed),
-                Either::Right((Some(event), timer_left)) => {
+                Either::Right((Some(event), pending_timer)) => {
                     self.handle(event)?;
-                    timer = timer_left;
+                    timer = pending_timer;
                 }
             }
         }
--- a/tools/load/tests/figures.rs
+++ b/tools/load/tests/figures.rs
@@ -58,13 +58,13 @@
     for part in &parts {
         merged.merge(part);
     }
-    for (share, expected) in [(0.5, 500), (0.99, 990), (0.999, 999), (1.0, 1000)] {
-        let found = whole.quantile(share);
+    for (quantile, expected) in [(0.5, 500), (0.99, 990), (0.999, 999), (1.0, 1000)] {
+        let found = whole.quantile(quantile);
         assert!(
             found >= ms(expected) && found <= ms(expected + expected / 500 + 1),
-            "{share}: {found:?}"
+            "{quantile}: {found:?}"
         );
-        assert_eq!(merged.quantile(share), found);
+        assert_eq!(merged.quantile(quantile), found);
     }
     assert_eq!(merged.count(), 1000);
     assert!(merged.max() >= ms(1000) && merged.max() < ms(1002));
@@ -72,14 +72,14 @@
 }
 
 #[test]
-fn a_long_latency_is_kept_and_not_cut() {
+fn a_long_latency_is_recorded_without_clamping() {
     let mut latencies = Latencies::default();
     latencies.add(Duration::from_mins(2));
     assert!(latencies.max() >= Duration::from_mins(2));
 }
 
 #[test]
-fn answers_are_counted_by_what_they_told() {
+fn results_are_counted_by_their_outcome() {
     // Result, and whether it counts as good, ran, not run, unknown, an error, unsound.
     let unsound = CallResult {
         sound: false,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_queue_serves_in_order_and_each_slot_one_at_a_time() {
+fn a_queue_serves_in_order_with_one_request_per_slot() {
     // Number of slots; due time, work time and expected latency of each request, in ms.
     // Requests that would wait longer than 12 ms are rejected.
     let cases = [
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn one_queue_is_never_worse_than_a_queue_for_each_key() {
+fn one_shared_queue_is_never_worse_than_separate_queues() {
     let request = |number: u64| PlannedRequest {
         due: ms(number * 4),
         number,
@@ -174,19 +174,22 @@
         max_wait: Duration::from_secs(1),
         warm_up: ms(0),
     };
-    let split = Parameters {
+    let separate = Parameters {
         queues: 2,
         slots: 2,
         ..single
     };
     let whole = ideal::simulate(&plan, &single, |_| 0);
-    let parts = ideal::simulate(&plan, &split, |request| request.key);
+    let parts = ideal::simulate(&plan, &separate, |request| request.key);
     assert!(whole.served.quantile(0.99) <= parts.served.quantile(0.99));
-    let warm = Parameters {
+    let with_warm_up = Parameters {
         warm_up: ms(400),
         ..single
     };
-    let counted = [whole.sent, ideal::simulate(&plan, &warm, |_| 0).sent];
+    let counted = [
+        whole.sent,
+        ideal::simulate(&plan, &with_warm_up, |_| 0).sent,
+    ];
     assert_eq!(counted, [500, 400]);
     let refusing = Parameters {
         max_wait: ms(0),
@@ -199,7 +202,7 @@
 }
 
 #[test]
-fn the_balancer_spreads_and_passes_over_the_last_address() {
+fn the_balancer_spreads_requests_and_avoids_the_previous_address() {
     let addresses: Vec<SocketAddr> = (1..=3)
         .map(|port| SocketAddr::from(([127, 0, 0, 1], port)))
         .collect();
@@ -225,13 +228,13 @@
         );
     }
     assert_eq!(Balancer::new(&[], Policy::RoundRobin, 1).choose(None), None);
-    let single = Balancer::new(&addresses[..1], Policy::TwoChoices, 1);
-    assert_eq!(single.choose(Some(addresses[0])), Some(addresses[0]));
+    let only_address = Balancer::new(&addresses[..1], Policy::TwoChoices, 1);
+    assert_eq!(only_address.choose(Some(addresses[0])), Some(addresses[0]));
 }
 
 #[test]
-fn failing_slices_and_gaps_are_told_from_the_lines() {
-    let told = |ms| {
+fn failing_time_and_gaps_are_computed_from_the_log() {
+    let outcome_at = |ms| {
         if (200..400).contains(&ms) {
             Told::NotRun
         } else {
@@ -240,7 +243,7 @@
     };
     let lines: Vec<Line> = (0..1000)
         .step_by(10)
-        .map(|sent| line("k", sent, told(sent)))
+        .map(|sent| line("k", sent, outcome_at(sent)))
         .collect();
     let analysis = analysis::analyse(&lines, &[], &[], 60, ms(0));
     assert_eq!(analysis.failing, ms(200));
@@ -254,7 +257,7 @@
     assert_eq!(
         analysis.findings.untrue.len(),
         20,
-        "what was told not to have run did"
+        "requests reported as not run that did run"
     );
     assert_eq!(analysis.failing, ms(100), "the warm-up doesn't count");
     assert!((analysis.imbalance - 2.0).abs() < f64::EPSILON);
@@ -273,7 +276,7 @@
 }
 
 #[test]
-fn lines_come_back_as_they_were_written() {
+fn log_lines_are_read_back_as_they_were_written() {
     let path = std::env::temp_dir().join(format!("bramleypier-lines-{}", std::process::id()));
     let lines = [line("a", 1, Told::Ran), line("b", 2, Told::Unknown)];
     let mut log = CallLog::create(&path).unwrap();
@@ -288,7 +291,7 @@
 }
 
 #[test]
-fn tables_and_plots_hold_every_run() {
+fn tables_and_plots_contain_every_run() {
     let row = |round, good| {
         let mut tally = Tally::default();
         for _ in 0..good {
@@ -326,7 +329,7 @@
 }
 
 #[test]
-fn processor_time_is_read_past_odd_names() {
+fn processor_time_is_parsed_despite_brackets_in_process_names() {
     for (stat, seconds) in [
         ("1 (a) S 1 1 1 0 -1 0 0 0 0 0 100 0 0 0", 1),
         ("1 (a ) b) R 1 1 1 0 -1 0 0 0 0 0 100 200 0 0", 3),
--- a/tools/load/tests/plan.rs
+++ b/tools/load/tests/plan.rs
@@ -11,11 +11,11 @@
 use rand::{SeedableRng, rngs::StdRng};
 
 /// Accepted relative deviation of a mean over many samples from its expected value.
-const TOLERANCE: f64 = 0.05;
-const DRAWS: usize = 20_000;
+const RELATIVE_TOLERANCE: f64 = 0.05;
+const SAMPLES: usize = 20_000;
 
 fn is_near(value: f64, expected: f64) -> bool {
-    (value - expected).abs() <= expected * TOLERANCE
+    (value - expected).abs() <= expected * RELATIVE_TOLERANCE
 }
 
 fn share(count: usize, all: usize) -> f64 {
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn arrivals_have_their_rate_and_order() {
+fn arrivals_are_ordered_and_match_their_rate() {
     for (pattern, rate) in [
         (Pattern::Constant, 100.0),
         (Pattern::Poisson, 100.0),
         (Pattern::Poisson, 20_000.0),
     ] {
-        let times: Vec<Duration> = Arrivals::new(pattern, rate, 7).take(DRAWS).collect();
+        let times: Vec<Duration> = Arrivals::new(pattern, rate, 7).take(SAMPLES).collect();
         assert!(times.is_sorted(), "{pattern:?}");
-        let mean = times[DRAWS - 1].as_secs_f64() / 20_000.0;
+        let mean = times[SAMPLES - 1].as_secs_f64() / 20_000.0;
         assert!(is_near(mean, 1.0 / rate), "{pattern:?} {rate}: {mean}");
-        let again: Vec<Duration> = Arrivals::new(pattern, rate, 7).take(DRAWS).collect();
-        assert_eq!(times, again, "the seed decides all");
+        let again: Vec<Duration> = Arrivals::new(pattern, rate, 7).take(SAMPLES).collect();
+        assert_eq!(times, again, "equal seeds must give equal arrivals");
     }
     assert!(Arrivals::new(Pattern::Poisson, 0.0, 7).next().is_none());
 }
@@ -42,7 +42,7 @@
 #[test]
 fn constant_gaps_are_equal_and_poisson_gaps_are_not() {
     let deviation = |pattern| {
-        let times: Vec<Duration> = Arrivals::new(pattern, 1000.0, 3).take(DRAWS).collect();
+        let times: Vec<Duration> = Arrivals::new(pattern, 1000.0, 3).take(SAMPLES).collect();
         let gaps = times.windows(2).map(|pair| pair[1].saturating_sub(pair[0]));
         let square = |gap: Duration| (gap.as_secs_f64() * 1000.0 - 1.0).powi(2);
         (gaps.map(square).sum::<f64>() / 20_000.0).sqrt()
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn keys_follow_their_law() {
+fn keys_follow_the_configured_distribution() {
     // Number of keys, exponent, and expected fractions of the first and the second key.
     let cases = [
         (4, 0.0, 0.25, 0.25),
@@ -64,16 +64,21 @@
     for (count, exponent, first, second) in cases {
         let keys = Keys::new(count, exponent);
         let mut rng = StdRng::seed_from_u64(5);
-        let draws: Vec<usize> = (0..DRAWS).map(|_| keys.sample(&mut rng)).collect();
-        assert!(draws.iter().all(|key| *key < count));
-        let found = |key| share(draws.iter().filter(|draw| **draw == key).count(), DRAWS);
+        let samples: Vec<usize> = (0..SAMPLES).map(|_| keys.sample(&mut rng)).collect();
+        assert!(samples.iter().all(|key| *key < count));
+        let found = |key| {
+            share(
+                samples.iter().filter(|sample| **sample == key).count(),
+                SAMPLES,
+            )
+        };
         assert!(is_near(found(0), first), "{exponent}: {}", found(0));
         assert!(is_near(found(1), second), "{exponent}: {}", found(1));
     }
 }
 
 #[test]
-fn a_plan_holds_all_classes_at_their_rates() {
+fn a_plan_contains_all_classes_at_their_rates() {
     let config = Config {
         rates: [2000.0, 500.0, 100.0],
         duration: Duration::from_secs(10),
@@ -102,7 +107,7 @@
 }
 
 #[test]
-fn workers_of_a_run_differ_and_runs_of_a_seed_do_not() {
+fn plans_differ_between_workers_and_repeat_for_a_seed() {
     let config = Config {
         workers: 2,
         ..Config::default()
@@ -116,7 +121,7 @@
 }
 
 #[test]
-fn options_are_read_and_refused() {
+fn option_values_are_parsed_and_validated() {
     assert_eq!("poisson".parse(), Ok(Pattern::Poisson));
     assert_eq!("two".parse(), Ok(Policy::TwoChoices));
     let duration = Duration::from_millis(10);
