--- a/tools/load/src/experiment/cell.rs
+++ b/tools/load/src/experiment/cell.rs
@@ -164,7 +164,7 @@
 ///
 /// # Errors
 ///
-/// Fails when load can't be sent, or logs can't be read.
+/// Fails when the load can't be sent, the fault can't be injected, or counters or logs can't be read.
 pub async fn run(
     mut testbed: Testbed,
     cell: &Cell,
--- a/tools/load/src/tally.rs
+++ b/tools/load/src/tally.rs
@@ -85,7 +85,7 @@
     pub good: u64,
     /// Requests that ran, as their responses reported.
     pub ran: u64,
-    /// Requests that didn't run, as their responses reported.
+    /// Requests that didn't run: their responses reported it, or they were never sent.
     pub not_run: u64,
     /// Requests whose outcome is unknown.
     pub unknown: u64,
