--- a/engine/src/caller/attempt.rs
+++ b/engine/src/caller/attempt.rs
@@ -21,10 +21,10 @@
 /// If a response up to this size is truncated, the request can be retried. The largest file of the
 /// known deployments is 0.54 MB.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
-/// The least remaining time with which a request is still sent.
+/// The minimum remaining time with which a request is sent.
 pub const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(5);
 
-/// The parts of a request that are sent in each attempt, whichever target it goes to.
+/// The parts of a request that are the same in each attempt, for any target.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
     /// The request's id.
@@ -92,13 +92,13 @@
                     .await
             }
             Err(error) => {
-                let ended = if error.is_refused() {
+                let kind = if error.is_refused() {
                     CompletionKind::ConnectRefused
                 } else {
                     CompletionKind::ConnectFailed
                 };
                 if error.unsent() {
-                    permit.finish(ended, None);
+                    permit.finish(kind, None);
                     return AttemptResult::Unsent(error);
                 }
                 if let client::Error::Timeout(..) = error {
@@ -130,19 +130,19 @@
             // Dropping the body closes the connection, so that no later request reads from it.
             drop(rest);
             permit.finish(CompletionKind::Lost, None);
-            let what = if foreign {
+            let cause = if foreign {
                 "another request's answer"
             } else {
                 "an unsigned answer"
             };
-            return AttemptResult::Lost(format!("status={} cause={what}", head.status.as_u16()));
+            return AttemptResult::Lost(format!("status={} cause={cause}", head.status.as_u16()));
         }
         if reply.refusal != Some(Refusal::NotOwner) {
             permit.report_rate(reply.rate);
         }
-        let passed = self.clock.now().saturating_sub(started);
+        let elapsed = self.clock.now().saturating_sub(started);
         let reading = body::read_up_to(rest, MAX_BUFFERED_RESPONSE_BYTES);
-        let timeout = remaining.saturating_sub(passed);
+        let timeout = remaining.saturating_sub(elapsed);
         let read = match self.clock.timeout(timeout, reading).await {
             Ok(Ok(read)) => read,
             Ok(Err(error)) => {
@@ -155,23 +155,23 @@
             }
         };
         if let Some(refusal) = reply.refusal {
-            let ended = match refusal {
+            let kind = match refusal {
                 Refusal::Busy => CompletionKind::Refused,
                 Refusal::NotOwner => CompletionKind::Misdirected,
             };
-            permit.finish(ended, reply.load);
+            permit.finish(kind, reply.load);
             return AttemptResult::Refused(refusal, head.status);
         }
         headers::strip(&mut head.headers);
         let took = self.clock.now().saturating_sub(started);
-        let ended = if head.status.is_server_error() {
+        let kind = if head.status.is_server_error() {
             CompletionKind::Failed
         } else {
             CompletionKind::Answered(took)
         };
         let body = match read {
             body::ReadBody::Whole(bytes) => {
-                permit.finish(ended, reply.load);
+                permit.finish(kind, reply.load);
                 Body::from(bytes)
             }
             body::ReadBody::Partial(chunks, rest) => {
--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -52,8 +52,8 @@
 ) -> (Result<Response<Body>, LocalResponse>, Trace) {
     let mut trace = Trace::default();
     let mut history = History::default();
-    // Requests that are refused count too: a key's load is what its callers ask for, even while
-    // its owner can answer only a few of them.
+    // Requests that are refused count too: a key's load is the rate of requests for it, even while
+    // its owner can serve only a few of them.
     if let Some(key) = routed.info.key.filter(|_| routed.keyed) {
         context.tally.count(&routed.service, key);
     }
@@ -86,10 +86,10 @@
     unsent: u32,
     /// How many targets responded that they don't own the key.
     not_owner: u32,
-    /// Owners that don't hold its key, with the fences at which they were asked.
+    /// Owners that don't hold its key, each with its fence when the request was sent.
     misdirected: Vec<(TargetId, Fence)>,
-    /// The interval at which the latest target ends requests while all its slots are in use.
-    turn: Duration,
+    /// The time between two completions at the latest target while all its slots are in use.
+    completion_interval: Duration,
     /// The local response if the request may have run.
     uncertain: Option<LocalResponse>,
     /// A target's 5xx response, which is forwarded if no attempt gets a better one.
@@ -107,7 +107,7 @@
         if let Some(response) = self.failed.take() {
             return Step::End(Ok(response));
         }
-        // If the request may have run, the caller must not be told that it has not.
+        // If the request may have run, the response must not say that it has not.
         Step::End(Err(self.uncertain.take().unwrap_or(local)))
     }
 }
@@ -122,8 +122,8 @@
     trace: &mut Trace,
     presence: &CallerPresence,
 ) -> Step {
-    let repeat = history.arrivals > 0;
-    let ask = DispatchRequest {
+    let retrying = history.arrivals > 0;
+    let request = DispatchRequest {
         ticket: 0,
         service: routed.service.clone(),
         key: routed.info.key.filter(|_| routed.keyed),
@@ -139,9 +139,9 @@
         },
         misdirected: history.misdirected.clone(),
         large: routed.route.kind == Kind::Download,
-        is_retry: repeat,
+        is_retry: retrying,
     };
-    let permit = match context.dispatcher.acquire(ask).await {
+    let permit = match context.dispatcher.acquire(request).await {
         Ok(permit) => permit,
         Err(refused) => {
             count_refusal(context, routed, refused.reason);
@@ -177,11 +177,11 @@
     let fence = permit.basis.fence;
     trace.targets.push(target.clone());
     trace.notes.push(format!("sent: {}", permit.basis));
-    history.turn = permit.basis.completion_interval;
+    history.completion_interval = permit.basis.completion_interval;
     let result = context.sender.send(outgoing, body, permit, remaining).await;
     if !matches!(result, AttemptResult::Unsent(_)) {
         history.arrivals += 1;
-        if repeat {
+        if retrying {
             context
                 .report
                 .count("repeats", &[("service", &routed.service)]);
@@ -200,13 +200,13 @@
 
 /// Counts a request that is refused without a target, and whether its service has cold targets, which
 /// get fewer requests.
-fn count_refusal(context: &Context, routed: &RoutedRequest, why: RefusalReason) {
+fn count_refusal(context: &Context, routed: &RoutedRequest, reason: RefusalReason) {
     let fleet = context.shared_fleet.get();
     let cold = fleet.has_cold_target(context.clock.now(), &routed.service);
     let cold = if cold { "yes" } else { "no" };
     let tags = [
         ("service", routed.service.as_str()),
-        ("reason", why.name()),
+        ("reason", reason.name()),
         ("cold", cold),
     ];
     context.report.count("refused", &tags);
@@ -219,8 +219,8 @@
     };
     let fleet = context.shared_fleet.get();
     let record = fleet.records.get(&routed.service);
-    let part = record.and_then(|it| it.record.find(key));
-    if part.is_some_and(|part| part.fence == fence) {
+    let range = record.and_then(|it| it.record.find(key));
+    if range.is_some_and(|range| range.fence == fence) {
         "owner-refuses"
     } else {
         "old-owner"
@@ -299,7 +299,7 @@
         }
     };
     if history.reached.len() >= max_attempts || !payload.is_left() {
-        let retry_after = history.turn.max(MIN_RETRY_AFTER);
+        let retry_after = history.completion_interval.max(MIN_RETRY_AFTER);
         return history.give_up(LocalResponse::not_run(
             "every allowed target refused it",
             retry_after,
--- a/engine/src/caller/body.rs
+++ b/engine/src/caller/body.rs
@@ -53,7 +53,7 @@
     Bytes::from(chunks.concat())
 }
 
-/// A body that yields the chunks already read, then streams the rest; may keep a target's permit until its end.
+/// A body that yields the chunks already read, then streams the rest; it may hold a target's permit until it ends.
 pub struct Streamed {
     chunks: std::collections::VecDeque<Bytes>,
     rest: Incoming,
@@ -97,7 +97,7 @@
         !exceeded.get()
     }
 
-    /// Keeps a target's permit until the body has ended; `took` is the time until the response could be forwarded.
+    /// Holds a target's permit until the body has ended; `took` is the time until the response could be forwarded.
     pub fn with_permit(mut self, permit: Permit, took: std::time::Duration) -> Self {
         self.permit = Some((permit, took));
         self
@@ -105,12 +105,12 @@
 
     fn finish_permit(&mut self, ok: bool) {
         if let Some((permit, took)) = self.permit.take() {
-            let ended = if ok {
+            let kind = if ok {
                 CompletionKind::Answered(took)
             } else {
                 CompletionKind::Lost
             };
-            permit.finish(ended, None);
+            permit.finish(kind, None);
         }
     }
 }
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -71,9 +71,9 @@
     pub(super) version: u64,
     /// When the request arrived.
     pub(super) arrived: Duration,
-    /// Until when a response meets the goal of its route.
+    /// When its route's goal ends.
     pub(super) goal_deadline: Duration,
-    /// Until when its caller waits.
+    /// When its caller stops waiting, or the route's timeout ends.
     pub(super) deadline: Duration,
 }
 
--- a/engine/src/caller/mod.rs
+++ b/engine/src/caller/mod.rs
@@ -25,9 +25,9 @@
 /// Fields of a caller's request that the caller protocol defines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestInfo {
-    /// The request's id; each attempt of a caller has another.
+    /// The request's id; each attempt of a caller has a different one.
     pub id: String,
-    /// How much longer the caller waits; none if it doesn't say.
+    /// How much longer the caller waits; `None` if it doesn't state that.
     pub remaining: Option<Duration>,
     /// The key that decides which target owns the request.
     pub key: Option<RequestKey>,
--- a/engine/src/caller/payload.rs
+++ b/engine/src/caller/payload.rs
@@ -25,12 +25,12 @@
 pub(super) enum Payload {
     /// The whole body; it can be sent in each attempt.
     Whole(Bytes),
-    /// A streamed body, which can be sent once. The flag tells whether it has exceeded the limit.
+    /// A streamed body, which can be sent once. The flag says whether it has exceeded the limit.
     Streamed(Option<Body>, Rc<Cell<bool>>),
 }
 
 impl Payload {
-    /// Returns the body for an attempt; none if a streamed body has been sent already.
+    /// Returns the body for an attempt; `None` if a streamed body has been sent already.
     pub(super) fn take(&mut self) -> Option<Body> {
         match self {
             Self::Whole(bytes) => Some(Body::from(bytes.clone())),
--- a/engine/src/caller/startup.rs
+++ b/engine/src/caller/startup.rs
@@ -78,7 +78,7 @@
         let _slot = WaitSlot::take(&self.waiting);
         let left = self.deadline.saturating_sub(now);
         let left = remaining.map_or(left, |it| it.min(left));
-        // A timeout yields none, and the request is refused.
+        // A timeout yields `None`, and the request is refused.
         clock
             .timeout(left, first_config(shared_fleet))
             .await
--- a/engine/src/catalogue/mod.rs
+++ b/engine/src/catalogue/mod.rs
@@ -112,7 +112,7 @@
     /// How long a target stays cold.
     #[serde(rename = "span")]
     pub duration: Duration,
-    /// How many requests a second a cold target can handle; well above that rate it fails.
+    /// How many requests per second a cold target can handle; well above that rate it fails.
     pub rate: f64,
 }
 
@@ -130,7 +130,7 @@
     /// How long a key is slow on its new owner if it moved without a handover.
     #[serde(rename = "warm")]
     pub key_warmup: Duration,
-    /// The limits of its targets while they are cold; none if they have no limit.
+    /// The limits of its targets while they are cold; `None` if they have no limit.
     pub warmup: Option<Warmup>,
 }
 
--- a/engine/src/fleet/change_log.rs
+++ b/engine/src/fleet/change_log.rs
@@ -1,4 +1,4 @@
-//! Keeps the changes that a VM has applied lately, so that other VMs get only the changes that they lack.
+//! Keeps the changes that a VM has recently applied, so that other VMs can get only the changes that they lack.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns up to which revision, by prefix, a receiver that has applied the relay is up to date.
+    /// Returns the revision, by prefix, up to which a receiver that has applied the relay is up to date.
     ///
     /// # Example
     ///
--- a/engine/src/fleet/entries.rs
+++ b/engine/src/fleet/entries.rs
@@ -45,9 +45,9 @@
             return self.apply_record(service, value, *revision);
         }
         if let Some(vm) = key.strip_prefix(&keys.vm("")).zip(Vm::decode(value)) {
-            let note = format!("event=vm-up vm={} start={}", vm.0, vm.1.start);
+            let log_line = format!("event=vm-up vm={} start={}", vm.0, vm.1.start);
             self.vms.insert(vm.0.to_owned(), vm.1);
-            return vec![note];
+            return vec![log_line];
         }
         Vec::new()
     }
@@ -74,13 +74,13 @@
         if config.version <= known {
             return Vec::new();
         }
-        let note = format!(
+        let log_line = format!(
             "event=config-in-force version={} before={known} revision={revision} routes={}",
             config.version,
             config.routes.len()
         );
         self.config = Some(Rc::new(config));
-        vec![note]
+        vec![log_line]
     }
 
     fn apply_target<C>(&mut self, now: Duration, item: &Item, catalogue: &C) -> Vec<String>
@@ -94,7 +94,7 @@
         } = item;
         match catalogue.target(key, value) {
             Ok(target) => {
-                let note = format!(
+                let log_line = format!(
                     "event=target-announced target={} born={} service={} address={} leaving={} \
                      cold_ms={} revision={revision}",
                     target.id,
@@ -106,7 +106,7 @@
                 );
                 self.set_cold(now, &target);
                 self.targets.insert(target.id.clone(), target);
-                vec![note]
+                vec![log_line]
             }
             Err(error) => {
                 let id = key.rsplit('/').next().unwrap_or_default();
@@ -125,14 +125,14 @@
                 return vec![format!("event=record-unreadable service={service} {error}")];
             }
         };
-        let note = format!(
+        let log_line = format!(
             "event=owners-in-force service={service} term={} revision={revision} ranges={}",
             record.term,
             record.ranges.len()
         );
         let recorded = StoredRecord { revision, record };
         self.records.insert(service.to_owned(), recorded);
-        vec![note]
+        vec![log_line]
     }
 
     /// Applies the removal of an entry; returns log lines.
--- a/engine/src/fleet/evacuation.rs
+++ b/engine/src/fleet/evacuation.rs
@@ -30,12 +30,12 @@
         revision: Revision,
     ) -> Vec<String> {
         let targets = self.targets.values().filter(|it| it.domain == domain);
-        let note = format!(
+        let log_line = format!(
             "event=domain-evacuated domain={domain} targets={} revision={revision}",
             targets.count()
         );
         self.evacuated.entry(domain).or_insert(now);
-        vec![note]
+        vec![log_line]
     }
 
     /// Ends the evacuation of a failure domain; returns log lines.
@@ -51,7 +51,7 @@
             Some((it.id.clone(), now + warmup.duration))
         });
         let cold: Vec<_> = cold.collect();
-        let note = format!(
+        let log_line = format!(
             "event=domain-taken-back domain={domain} after_ms={} cold={}",
             now.saturating_sub(since).as_millis(),
             cold.len()
@@ -60,6 +60,6 @@
             let known = self.cold.entry(id).or_default();
             *known = until.max(*known);
         }
-        vec![note]
+        vec![log_line]
     }
 }
--- a/engine/src/fleet/mod.rs
+++ b/engine/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 /// Targets announce themselves again within some 2 s of the store's return.
 pub const REMOVAL_GRACE: Duration = Duration::from_millis(2500);
 
-/// How many keys are remembered, removed ones included: so many targets start and end within hours.
+/// The maximum number of keys whose state is kept, removed keys included: so many targets start and end within hours.
 const MAX_KNOWN_KEYS: usize = 20_000;
 
 /// An owners record with its revision in the store.
@@ -64,9 +64,9 @@
     pub config_followed: bool,
     /// The announced targets.
     pub targets: IndexMap<TargetId, Target>,
-    /// The evacuated failure domains, whose targets get no requests, and since when that is known.
+    /// The evacuated failure domains, whose targets get no requests, and when this VM learned of the evacuation.
     pub evacuated: IndexMap<DomainId, Duration>,
-    /// Until when targets are cold or may be cold.
+    /// The targets that are or may be cold, and until when.
     pub cold: IndexMap<TargetId, Duration>,
     /// The owners records by service.
     pub records: IndexMap<ServiceId, StoredRecord>,
@@ -81,7 +81,7 @@
     /// All removals after this revision are in `known`. Earlier ones may be missing: they were dropped to limit
     /// memory, or happened before a listing.
     removals_since: Revision,
-    /// Up to which revision of the store each prefix has been followed.
+    /// The revision of the store up to which each prefix has been followed.
     followed: IndexMap<String, Revision>,
     /// The changes that were applied here, kept for other VMs.
     change_log: ChangeLog,
--- a/engine/src/fleet/relaying.rs
+++ b/engine/src/fleet/relaying.rs
@@ -11,8 +11,10 @@
 };
 
 impl Fleet {
-    /// Returns what another VM lacks, which has read this VM's change log up to `position` and followed the store
-    /// up to the revisions `followed`, by prefix.
+    /// Returns the state that another VM lacks.
+    ///
+    /// That VM has read this VM's change log up to `position` and followed the store up to the revisions `followed`,
+    /// by prefix.
     ///
     /// # Example
     ///
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Returns what has changed since the given revisions, by prefix.
+    /// Returns the changes since the given revisions, by prefix.
     ///
     /// All VMs contact a new manager at the same time, and its link can't carry the whole state for each of them.
     fn changes_since(&self, followed: &IndexMap<String, Revision>) -> Vec<Change> {
@@ -92,7 +94,7 @@
             .collect()
     }
 
-    /// Returns up to which revision all changes of each prefix have been applied.
+    /// Returns the revision up to which all changes of each prefix have been applied.
     ///
     /// A delayed removal has not been applied yet, so the returned revisions stay below it.
     fn applied_revisions(&self) -> IndexMap<String, Revision> {
@@ -105,7 +107,7 @@
         self.followed.iter().map(applied).collect()
     }
 
-    /// Returns up to which revision each prefix has been followed, in the store itself or by relays.
+    /// Returns the revision up to which each prefix has been followed, in the store itself or by relays.
     ///
     /// # Example
     ///
@@ -114,7 +116,7 @@
         &self.followed
     }
 
-    /// Records up to which revision a prefix has been followed; a lower revision changes nothing.
+    /// Records the revision up to which a prefix has been followed; a lower revision changes nothing.
     ///
     /// # Example
     ///
--- a/engine/src/follow.rs
+++ b/engine/src/follow.rs
@@ -21,7 +21,7 @@
 const ALL_KEYS: &str = "";
 /// How long a watch waits: each one that ends without changes is charged, and longer ones save little.
 const WATCH_WAIT: Duration = Duration::from_secs(30);
-/// How long a watch waits after a failed call or a break: it shows whether watches are answered.
+/// How long the first watch after a failed call or a pause waits: it only tests whether watches are answered.
 const PROBE_WAIT: Duration = Duration::from_millis(50);
 /// The initial delay before the next call when a call has failed while the store health check succeeds.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -29,7 +29,7 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(800);
 /// How long the manager waits after a watch, so that the next response, which is charged, has several changes.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
-/// The same for any other VM, which watches the store only until it reaches the manager: hundreds may do so
+/// The same delay for any other VM, which watches the store only until it reaches the manager: hundreds may do so
 /// at the same time.
 const DIRECT_BATCH_DELAY: Duration = Duration::from_millis(300);
 /// How long a VM that knows the manager waits for its response before it calls the store.
--- a/engine/src/health.rs
+++ b/engine/src/health.rs
@@ -88,7 +88,7 @@
         self.failures.get()
     }
 
-    /// Records that a call sent at this time was answered, whichever task made it.
+    /// Records that a call sent at this time, by any task, was answered.
     ///
     /// # Example
     ///
@@ -132,7 +132,7 @@
 
     async fn changed(&self) {
         let signal = self.change.borrow().1.clone();
-        // The signal is the error of a dropped sender.
+        // The sender is dropped without a message, so the result is always an error.
         let _ = signal.await;
     }
 }
--- a/engine/src/owner/balance.rs
+++ b/engine/src/owner/balance.rs
@@ -1,9 +1,9 @@
 //! Plans which keys move to which target, so that no target is overloaded.
 //!
-//! Load patterns that it answers:
+//! It handles these load patterns:
 //!
 //! - *Hot keys lie close together and change*: the narrowest run of keys that carries the needed load
-//!   moves, since the cost of a move is the share of keys that change owner.
+//!   moves, since the cost of a move is the fraction of keys that change owner.
 //! - *One key has more requests than a slow target can serve*: it moves to the target on which it causes
 //!   the lowest utilisation, usually the fastest; then other keys of that target move away.
 //! - *A target joins*: it gets some load at once and the rest as other targets become busy.
@@ -34,13 +34,13 @@
 const REQUIRED_RATIO: f64 = 0.8;
 /// Utilisations that differ by less count as equal; then the run found first is taken.
 const EQUAL_WITHIN: f64 = 0.01;
-/// The most moves begun at once: requests for the keys of each move wait for a moment.
+/// The maximum number of moves begun at once: requests for the keys of each move wait for a moment.
 const MAX_MOVES: usize = 5;
 /// The utilisation up to which a target without load is filled, as a ratio to the mean.
 const IDLE_FILL_RATIO: f64 = 0.5;
-/// The least ratio of the wanted load that a run of keys must carry, so that a narrower one is found.
+/// The minimum ratio of the wanted load that a run of keys must carry, so that a narrower one is found.
 const MIN_RUN_RATIO: f64 = 0.5;
-/// The largest ratio of the wanted load that a run of keys may carry.
+/// The maximum ratio of the wanted load that a run of keys may carry.
 const MAX_RUN_RATIO: f64 = 1.25;
 
 /// A move of a run of keys to another owner.
@@ -59,13 +59,13 @@
 pub struct Candidate {
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// How many requests a second it can serve.
+    /// How many requests per second it can serve.
     pub capacity: f64,
 }
 
 /// Splits ranges without an owner among candidates in proportion to capacity, the least loaded first.
 ///
-/// Ranges without measured load are split evenly by width; owners of neighbouring keys get no preference.
+/// Ranges without measured load are split by width; owners of neighbouring keys get no preference.
 ///
 /// # Example
 ///
@@ -126,7 +126,7 @@
     weights
 }
 
-/// Returns the weight of a range: its share of all load, plus a little for its width, since its keys may get load.
+/// Returns the weight of a range: its fraction of all load, plus a little for its width, since its keys may get load.
 fn weight_of(from: RequestKey, to: RequestKey, keys: u64, total: f64, load: &Load) -> f64 {
     const WIDTH_WEIGHT: f64 = 0.2;
     let width = (to - from + 1) as f64 / keys.max(1) as f64;
@@ -258,7 +258,7 @@
     cooling_down: &'a [Move],
 }
 
-/// A run of keys with its rate in requests a second.
+/// A run of keys with its rate in requests per second.
 #[derive(Clone, Copy)]
 struct Run {
     from: RequestKey,
@@ -295,7 +295,7 @@
         }
     }
 
-    /// Returns whether some of a range moves in this plan already or is in its cooldown.
+    /// Returns whether any key of a range already moves in this plan or is in its cooldown.
     fn is_excluded(&self, from: RequestKey, to: RequestKey) -> bool {
         let mut excluded = self.moves.iter().chain(self.cooling_down);
         excluded.any(|it| it.from <= to && from <= it.to)
@@ -308,11 +308,12 @@
 
     /// Adds one move; returns whether there was one worth making.
     fn add_move(&mut self) -> bool {
-        let order = |a: &usize, b: &usize| self.utilisation(*a).total_cmp(&self.utilisation(*b));
-        let Some(busiest) = (0..self.candidates.len()).max_by(order) else {
+        let by_utilisation =
+            |a: &usize, b: &usize| self.utilisation(*a).total_cmp(&self.utilisation(*b));
+        let Some(busiest) = (0..self.candidates.len()).max_by(by_utilisation) else {
             return false;
         };
-        let Some(idlest) = (0..self.candidates.len()).min_by(order) else {
+        let Some(idlest) = (0..self.candidates.len()).min_by(by_utilisation) else {
             return false;
         };
         let utilisation = self.utilisation(busiest);
@@ -390,7 +391,7 @@
         Some((run, idlest))
     }
 
-    /// Returns the narrowest run of a candidate's keys that carries about `want` requests a second.
+    /// Returns the narrowest run of a candidate's keys that carries about `want` requests per second.
     fn narrowest_run(&self, owner: usize, want: f64) -> Option<Run> {
         let incarnation = &self.candidates[owner].incarnation;
         let own = self
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -22,9 +22,9 @@
 const BID_STEP: Duration = Duration::from_millis(40);
 /// The longest delay of a bid.
 const MAX_BID_DELAY: Duration = Duration::from_millis(600);
-/// How long a target has to answer a grant.
+/// The timeout of a grant.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a target has to answer a release: it finishes the requests for those keys first.
+/// The timeout of a release: the target finishes the requests for those keys first.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long after a target has closed a connection a refused connection proves that its process ended.
 ///
@@ -33,7 +33,7 @@
 /// How long after its decision a grant may be sent: if the process was frozen in between, its lease may
 /// have expired. A VM that is slowed down eight times takes some 0.3 s to begin sixty calls.
 const MAX_DECISION_AGE: Duration = Duration::from_millis(400);
-/// The most bytes of a response to a grant or release.
+/// The maximum size of a response to a grant or release.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 /// Returns the targets of one service; those in an evacuated failure domain count as draining.
@@ -46,7 +46,8 @@
     targets.collect()
 }
 
-/// Returns until when targets of a service are in warm-up; none if the service has no warm-up limit.
+/// Returns the targets of a service that are cold, that is in warm-up, and until when; none if the service has no
+/// warm-up limit.
 pub(super) fn warming_targets(fleet: &Fleet, service: &str) -> IndexMap<TargetId, Duration> {
     let config = fleet.config.as_ref();
     let configured = config.and_then(|it| it.services.get(service));
@@ -65,7 +66,7 @@
 
 /// Returns how long this VM waits before it bids: VMs with more CPU first, then by a hash of the process start.
 ///
-/// The manager answers all other VMs and renews all grants; with too little CPU it fails to renew its lease.
+/// The manager responds to all other VMs and renews all grants; with too little CPU it fails to renew its lease.
 pub(super) fn bid_delay(fleet: &Fleet, own: &Vm) -> Duration {
     let priority = |vm: &Vm| {
         let hash = xxhash_rust::xxh3::xxh3_64(vm.start.as_bytes());
@@ -77,9 +78,9 @@
     BID_STEP.saturating_mul(steps).min(MAX_BID_DELAY)
 }
 
-/// Takes a lease and writes the manager's entry under it; returns none if there is an entry already.
-pub(super) async fn bid(context: &Context, span: Duration) -> Result<Option<Lease>, Error> {
-    let lease = context.store.lease(span).await?;
+/// Takes a lease and writes the manager's entry under it; returns `None` if there is an entry already.
+pub(super) async fn bid(context: &Context, duration: Duration) -> Result<Option<Lease>, Error> {
+    let lease = context.store.lease(duration).await?;
     let key = context.keys.manager();
     let transaction = Transaction {
         expected: [(key.clone(), 0)].into_iter().collect(),
@@ -197,7 +198,7 @@
     }
 }
 
-/// Returns the rate limits that targets of a list ask for, in requests a second.
+/// Returns the rate limits that targets of a list ask for, in requests per second.
 pub(super) fn rate_limits(
     rates: &IndexMap<TargetHash, Rate>,
     targets: &[Target],
--- a/engine/src/owner/events.rs
+++ b/engine/src/owner/events.rs
@@ -5,7 +5,7 @@
 use super::record::{Fence, Incarnation, Record, RequestKey};
 use crate::catalogue::Target;
 
-/// The durations that ownership of a service works by.
+/// The durations of the manager's lease and of grants, and the intervals that follow from them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// How long the manager's lease lasts.
@@ -23,7 +23,7 @@
 /// A grant or release to be sent to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnershipCommand {
-    /// The incarnation of the target that it is sent to.
+    /// The incarnation of the target that the command is sent to.
     pub owner: Incarnation,
     /// The first key.
     pub from: RequestKey,
@@ -33,16 +33,16 @@
     pub fence: Fence,
     /// How long a grant lasts; zero for a release.
     pub grant_duration: Duration,
-    /// When the manager decided to send it.
+    /// When the manager decided to send the command.
     pub decided_at: Duration,
-    /// For a grant: what the previous owner returned at its release.
+    /// For a grant: the data that the previous owner returned at its release.
     pub handover: Option<String>,
 }
 
 /// The outcome of a call to a target; the log shows the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The target did it; a release may return a handover for the next owner.
+    /// The target carried out the command; a release may return a handover for the next owner.
     Done(Option<String>),
     /// The target has seen a higher fence.
     Fenced,
@@ -50,7 +50,7 @@
     Gone,
     /// Nothing was sent.
     Unsent,
-    /// No response came in time; the call may have arrived before, but can't arrive any more.
+    /// No response arrived in time; the call may have arrived before, but can't arrive any more.
     Silent,
 }
 
@@ -65,7 +65,7 @@
     ReleaseEnded(RequestKey, CallOutcome),
     /// The last commit took effect.
     Committed,
-    /// The last commit failed and did not take effect; it has to be made again.
+    /// The last commit failed and did not take effect; it must be retried.
     CommitFailed,
     /// The manager's lease lasts until this time of this VM's clock.
     LeaseExtended(Duration),
--- a/engine/src/owner/load.rs
+++ b/engine/src/owner/load.rs
@@ -6,10 +6,10 @@
 
 /// The half-lives of a key's slow and fast count, in seconds.
 ///
-/// The slow count is steady for keys with two requests a second; the fast one shows within half a second that
+/// The slow count is steady for keys with two requests per second; the fast one shows within half a second that
 /// a key has become hot.
 const HALF_LIVES_S: [f64; 2] = [3.0, 0.6];
-/// The least fast count that is used: below it, chance alone makes keys look hot.
+/// The minimum fast count that is used: below it, chance alone makes keys look hot.
 const MIN_FAST_COUNT: f64 = 6.0;
 /// The shortest time over which a rate is computed.
 const MIN_SPAN: Duration = Duration::from_millis(200);
@@ -24,7 +24,7 @@
 }
 
 impl Counts {
-    /// Returns the rate in requests a second; `spans` are the seconds that each count covers.
+    /// Returns the rate in requests per second; `spans` are the seconds that each count covers.
     fn rate(self, spans: [f64; 2]) -> f64 {
         let slow = self.slow / spans[0];
         if self.fast < MIN_FAST_COUNT {
@@ -113,7 +113,7 @@
         self.counts.values().map(|counts| counts.slow).sum()
     }
 
-    /// Returns the rate of a range, in requests a second.
+    /// Returns the rate of a range, in requests per second.
     ///
     /// # Example
     ///
@@ -125,7 +125,7 @@
         range.map(|(_, counts)| counts.rate(spans)).sum::<f64>() + 0.0
     }
 
-    /// Returns the same load with each key's rate limited to `max_rate` requests a second.
+    /// Returns the same load with each key's rate limited to `max_rate` requests per second.
     ///
     /// Requests for one key beyond what any target can serve are refused whichever target owns the key, so they
     /// must not influence which target owns other keys.
@@ -155,7 +155,7 @@
         capped
     }
 
-    /// Returns the keys of a range that have load, with their rates in requests a second, in key order.
+    /// Returns the keys of a range that have load, with their rates in requests per second, in key order.
     ///
     /// # Example
     ///
--- a/engine/src/owner/manager/lease.rs
+++ b/engine/src/owner/manager/lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{BID_PAUSE, Manager, Message};
+use super::{Manager, Message, RETRY_DELAY};
 use crate::{
     fleet::Vm,
     owner::{calls, ownership::Event},
@@ -11,8 +11,8 @@
 
 /// How many renewals are sent within the duration of a lease.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// The longest time between two renewals: they show the manager that it receives changes from the store, and the
-/// other VMs rely on the manager for these.
+/// The maximum time between two renewals: their responses show that the manager reaches the store, and the other VMs
+/// rely on the manager for changes of the store.
 const MAX_RENEW_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a manager that resigns waits for its last writes.
 const RESIGN_TIMEOUT: Duration = Duration::from_millis(600);
@@ -33,12 +33,12 @@
         }
         self.bidding = true;
         self.timing = self.context.lease_limits.timing(fleet.vms.len());
-        let span = self.timing.lease;
-        self.bid_at = Some(now + BID_PAUSE);
+        let duration = self.timing.lease;
+        self.bid_at = Some(now + RETRY_DELAY);
         let (context, sender) = (self.context.clone(), self.sender.clone());
         compio::runtime::spawn(async move {
             let sent = context.clock.now();
-            let result = calls::bid(&context, span).await;
+            let result = calls::bid(&context, duration).await;
             // The receiver exists as long as the process, so sending can't fail.
             let _ = sender.unbounded_send(Message::BidEnded(result, sent));
         })
@@ -55,7 +55,7 @@
         if now < self.cleanup_at || !fleet.manager.as_ref().is_some_and(is_stale) {
             return;
         }
-        self.cleanup_at = now + BID_PAUSE;
+        self.cleanup_at = now + RETRY_DELAY;
         let context = self.context.clone();
         compio::runtime::spawn(async move {
             let outcome = match calls::remove_stale_entry(&context).await {
@@ -73,7 +73,7 @@
         (self.timing.lease / RENEWALS_PER_LEASE).min(MAX_RENEW_INTERVAL)
     }
 
-    /// Forgets the lease: this VM isn't the manager any more.
+    /// Drops the lease: this VM isn't the manager any more.
     pub(super) fn drop_lease(&mut self) {
         self.lease = None;
         self.context.is_manager.set(false);
@@ -124,12 +124,12 @@
     /// Handles the end of a renewal, which was sent at `sent`.
     pub(super) fn renewal_ended(&mut self, result: Result<Duration, Error>, sent: Duration) {
         match result {
-            Ok(span) => {
+            Ok(duration) => {
                 self.context.store_health.record_answer(sent);
                 let Some((_, until)) = &mut self.lease else {
                     return;
                 };
-                *until = (*until).max(sent + span);
+                *until = (*until).max(sent + duration);
                 self.extend_grants();
             }
             Err(Error::NoLease(_)) => {
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -35,8 +35,8 @@
 
 /// The time between two checks for due work.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause after a failed bid, and after a failed read of a record.
-const BID_PAUSE: Duration = Duration::from_millis(700);
+/// The delay after a failed bid or a failed read of a record, and between two ticks while there is no work.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// A message to the manager's task.
 #[derive(Debug)]
@@ -66,7 +66,7 @@
     RenewalEnded(Result<Duration, Error>, Duration),
 }
 
-/// What the manager's task works with.
+/// The dependencies of the manager's task.
 #[derive(Clone)]
 pub struct Context {
     /// This VM, with the start of this process.
@@ -103,7 +103,7 @@
     }
 }
 
-/// A service that this VM manages.
+/// A service whose key ownership this VM manages.
 struct ManagedService {
     ownership: ServiceOwnership,
     /// The process start of the previous manager, until it is known to have stopped.
@@ -181,8 +181,8 @@
         loop {
             let clock = self.context.clock.clone();
             let idle = self.services.is_empty() && self.bid_at.is_none() && self.lease.is_none();
-            let span = if idle { BID_PAUSE } else { TICK_INTERVAL };
-            let wait = Box::pin(clock.sleep(span));
+            let interval = if idle { RETRY_DELAY } else { TICK_INTERVAL };
+            let wait = Box::pin(clock.sleep(interval));
             let input = future::select(messages.next(), changes.next());
             match future::select(input, wait).await {
                 Either::Left((Either::Left((None, _)), _)) => return,
@@ -194,7 +194,7 @@
                 }
                 Either::Right(_) => self.tick(),
             }
-            // Not after each message: every VM sends several a second.
+            // Not after every message: each VM sends several per second.
             if self.now() >= self.ticked_at + TICK_INTERVAL {
                 self.tick();
             }
--- a/engine/src/owner/manager/records.rs
+++ b/engine/src/owner/manager/records.rs
@@ -1,6 +1,6 @@
 //! The records of services: read at a takeover, written by compare-and-swap, and passed on to other VMs.
 
-use super::{BID_PAUSE, ManagedService, Manager, Message};
+use super::{ManagedService, Manager, Message, RETRY_DELAY};
 use crate::{
     owner::{
         ownership::{Event, ServiceOwnership},
@@ -33,7 +33,7 @@
                 let key = context.keys.record(&name);
                 let result = context.store.get(&key).await;
                 if result.is_err() {
-                    context.clock.sleep(BID_PAUSE).await;
+                    context.clock.sleep(RETRY_DELAY).await;
                 }
                 let _ = sender.unbounded_send(Message::RecordRead(name, result));
             })
@@ -193,9 +193,9 @@
             revision,
         });
         let now = self.now();
-        let notes = context
+        let log_lines = context
             .shared_fleet
             .update(|fleet| fleet.on_change(now, &change, &context.keys, &*context.catalogue));
-        context.report.lines(&notes);
+        context.report.lines(&log_lines);
     }
 }
--- a/engine/src/owner/manager/updates.rs
+++ b/engine/src/owner/manager/updates.rs
@@ -10,7 +10,7 @@
 };
 
 impl Manager {
-    /// Adds what a VM counted and measured.
+    /// Adds the requests that a VM counted and the service times that it measured.
     pub(super) fn add_load(
         &mut self,
         counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Passes what all VMs have counted since the last tick to a service.
+    /// Passes the requests that all VMs have counted since the last tick to a service.
     pub(super) fn forward_load(&mut self, service: &str) {
         let Some(counts) = self.counts.swap_remove(service) else {
             self.handle_event(service, Event::Tick);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells all services which targets have closed connections since the last check.
+    /// Notifies all services of the targets that have closed connections since the last check.
     pub(super) fn forward_closed_connections(&mut self, now: Duration) {
         let closed = self
             .context
--- a/engine/src/owner/ownership/call_outcomes.rs
+++ b/engine/src/owner/ownership/call_outcomes.rs
@@ -1,8 +1,8 @@
-//! What the outcome of a grant or release says about its range and about its owner.
+//! Applies the outcomes of grants and releases to the ranges and their owners.
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::{CallOutcome, Effect, RETRY_PAUSE, ServiceOwnership};
+use super::{CallOutcome, Effect, RETRY_DELAY, ServiceOwnership};
 use crate::owner::{range_state::Phase, record::RequestKey};
 
 /// After how many grants in a row without a response only releases are sent.
@@ -12,8 +12,8 @@
 
 /// How long an incarnation that lost ranges by not responding or by its end gets no others.
 ///
-/// An unresponsive target stays announced for a while, and requests for each range given to it would wait in
-/// vain; a target that restarts is another incarnation and may own ranges at once.
+/// An unresponsive target stays announced for a while, and requests for its ranges would wait without a response;
+/// a target that restarts is another incarnation and may own ranges at once.
 const AVOID_TIME: Duration = Duration::from_secs(10);
 
 impl ServiceOwnership {
@@ -23,14 +23,15 @@
         now: Duration,
         from: RequestKey,
         outcome: &CallOutcome,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
-        let (usual, renew_interval) = (self.timing.grant_duration, self.timing.renew_interval);
+        let (grant_duration, renew_interval) =
+            (self.timing.grant_duration, self.timing.renew_interval);
         let Some(state) = self.states.get_mut(&from) else {
             return;
         };
         state.in_flight = false;
-        state.next_call = now + RETRY_PAUSE;
+        state.next_call = now + RETRY_DELAY;
         if *outcome != CallOutcome::Unsent {
             state.unsent = 0;
         }
@@ -41,14 +42,14 @@
                 state.unanswered = 0;
                 state.handover = None;
                 // An owner that was unresponsive got a shorter grant, so the next one is due earlier.
-                let shorter = usual.saturating_sub(state.grant_duration);
+                let shorter = grant_duration.saturating_sub(state.grant_duration);
                 state.next_call = now + renew_interval.saturating_sub(shorter);
             }
             CallOutcome::Fenced => {
                 self.stopped = true;
-                out.push(Effect::Deposed);
+                effects.push(Effect::Deposed);
             }
-            CallOutcome::Gone => self.process_ended(now, from, out),
+            CallOutcome::Gone => self.process_ended(now, from, effects),
             CallOutcome::Unsent => state.unsent += 1,
             CallOutcome::Silent => {
                 state.extend_expiry(now);
@@ -56,7 +57,7 @@
                 state.unsent = 0;
                 if state.unanswered >= MAX_UNANSWERED && state.phase == Phase::Owned {
                     state.phase = Phase::Releasing(None);
-                    out.push(Effect::Log(format!("event=grant-silent from={from}")));
+                    effects.push(Effect::Log(format!("event=grant-silent from={from}")));
                 }
             }
         }
@@ -68,13 +69,13 @@
         now: Duration,
         from: RequestKey,
         outcome: CallOutcome,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(state) = self.states.get_mut(&from) else {
             return;
         };
         state.in_flight = false;
-        state.next_call = now + RETRY_PAUSE;
+        state.next_call = now + RETRY_DELAY;
         match outcome {
             CallOutcome::Done(handover) => {
                 let to = match &state.phase {
@@ -87,7 +88,7 @@
                 state.unanswered = 0;
                 state.unsent = 0;
             }
-            CallOutcome::Gone => self.process_ended(now, from, out),
+            CallOutcome::Gone => self.process_ended(now, from, effects),
             // A release doesn't extend a grant; the grant expires meanwhile.
             CallOutcome::Fenced => {}
             CallOutcome::Unsent => state.unsent += 1,
@@ -109,7 +110,7 @@
     }
 
     /// Ends the ownership of all ranges of an owner whose process has ended; `from` is in one of them.
-    fn process_ended(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
+    fn process_ended(&mut self, now: Duration, from: RequestKey, effects: &mut Vec<Effect>) {
         let owner = self.record.find(from).and_then(|range| range.owner.clone());
         let ranges = self
             .record
@@ -123,15 +124,15 @@
         });
         let lost: Vec<RequestKey> = idle.map(|range| range.from).collect();
         for from in lost {
-            self.end_owner(now, from, out);
+            self.end_owner(now, from, effects);
         }
     }
 
     /// Frees a range whose owner has ended, unless an earlier manager could grant it to the owner's next
     /// incarnation.
-    fn end_owner(&mut self, now: Duration, from: RequestKey, out: &mut Vec<Effect>) {
+    fn end_owner(&mut self, now: Duration, from: RequestKey, effects: &mut Vec<Effect>) {
         if self.predecessors.have_stopped(now) {
-            return self.free_range(now, from, "its process ended", out);
+            return self.free_range(now, from, "its process ended", effects);
         }
         let Some(state) = self.states.get_mut(&from) else {
             return;
@@ -141,7 +142,7 @@
         state.expires_at = Some(now);
         if state.phase == Phase::Owned {
             state.phase = Phase::Releasing(None);
-            out.push(Effect::Log(format!(
+            effects.push(Effect::Log(format!(
                 "event=range-waits from={from} cause=\"an earlier manager may still grant\""
             )));
         }
@@ -153,7 +154,7 @@
         now: Duration,
         from: RequestKey,
         cause: &str,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
         let Some(state) = self.states.get_mut(&from) else {
             return;
@@ -167,7 +168,7 @@
         state.handover = None;
         let owner = self.record.find(from).and_then(|range| range.owner.clone());
         if let Some(owner) = owner {
-            out.push(Effect::Log(format!(
+            effects.push(Effect::Log(format!(
                 "event=range-lost from={from} owner={} cause=\"{cause}\"",
                 owner.id
             )));
--- a/engine/src/owner/ownership/commit.rs
+++ b/engine/src/owner/ownership/commit.rs
@@ -4,14 +4,14 @@
 
 use indexmap::IndexMap;
 
-use super::{Effect, RETRY_PAUSE, ServiceOwnership};
+use super::{Effect, RETRY_DELAY, ServiceOwnership};
 use crate::owner::{
     balance::{self, Candidate, Move},
     range_state::{Phase, RangeState, worst_case_duration},
     record::{Fence, Incarnation, KeyRange, Record, RequestKey},
 };
 
-/// The longest pause between two attempts of a commit: each call to a store that is down costs some time.
+/// The longest delay between two attempts of a commit: each call to an unavailable store takes some time.
 const MAX_COMMIT_BACKOFF: Duration = Duration::from_millis(1200);
 
 /// How long the first assignment waits for more targets to be announced.
@@ -40,7 +40,7 @@
     /// Applies the commit that has succeeded.
     pub(super) fn committed(&mut self, now: Duration) {
         self.commit_retry_at = None;
-        self.commit_backoff = RETRY_PAUSE;
+        self.commit_backoff = RETRY_DELAY;
         let Some(pending) = self.pending.take() else {
             return;
         };
@@ -95,10 +95,10 @@
     }
 
     /// Commits owners for free ranges, or retries a failed commit.
-    pub(super) fn assign_free(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    pub(super) fn assign_free(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if let Some(retry_at) = self.commit_retry_at {
             if let Some(pending) = self.pending.as_ref().filter(|_| now >= retry_at) {
-                out.push(Effect::Commit(pending.record.clone()));
+                effects.push(Effect::Commit(pending.record.clone()));
                 self.commit_retry_at = None;
             }
             return;
@@ -110,7 +110,7 @@
         }
         if !first && !self.record.settled && self.predecessors.have_stopped(now) {
             let next = self.next_commit(now, Vec::new());
-            out.push(Effect::Commit(next.record.clone()));
+            effects.push(Effect::Commit(next.record.clone()));
             self.pending = Some(next);
             return;
         }
@@ -143,7 +143,7 @@
             &self.load,
         ));
         let next = self.next_commit(now, moves);
-        out.push(Effect::Commit(next.record.clone()));
+        effects.push(Effect::Commit(next.record.clone()));
         self.pending = Some(next);
     }
 
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -50,8 +50,8 @@
 const MIN_PROBE_DURATION: Duration = Duration::from_millis(200);
 /// The remaining ratio of the lease below which grants get the longer duration: two renewals are late then.
 const OUTAGE_LEASE_RATIO: f64 = 0.4;
-/// The pause before a call without a response is retried.
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+/// The delay before a call without a response is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// How long after its decision a grant may arrive: it is sent within 0.4 s and times out after 0.4 s.
 const MAX_GRANT_DELAY: Duration = Duration::from_millis(800);
 
@@ -98,9 +98,9 @@
     states: IndexMap<RequestKey, RangeState>,
     /// The targets that are announced now.
     targets: IndexMap<TargetId, Target>,
-    /// Until when incarnations that failed get no ranges.
+    /// Incarnations that failed, and until when they get no ranges.
     avoided: IndexMap<Incarnation, Duration>,
-    /// Until when targets are in warm-up.
+    /// The targets in warm-up, and until when.
     warming: IndexMap<TargetId, Duration>,
     load: Load,
     /// The time that one request takes at each target, in seconds, as measured by all VMs.
@@ -148,7 +148,7 @@
             record: Record::default(),
             pending: Some(pending),
             commit_retry_at: None,
-            commit_backoff: RETRY_PAUSE,
+            commit_backoff: RETRY_DELAY,
             lease_until: now,
             predecessors: earlier_managers,
             states: IndexMap::new(),
@@ -204,7 +204,7 @@
         self.rate_limits = rates;
     }
 
-    /// Sets until when targets are in warm-up; such a target owns keys only if all targets are in warm-up.
+    /// Sets which targets are in warm-up, and until when; such a target owns keys only if all targets are in warm-up.
     ///
     /// # Example
     ///
@@ -213,7 +213,7 @@
         self.warming = warming;
     }
 
-    /// Stops for good and returns the record that says so, if it can be written now.
+    /// Stops for good, and returns the record that states this if it can be written now.
     ///
     /// After this no grant is sent, and the next manager need not wait for this one.
     ///
@@ -237,11 +237,13 @@
     ///
     /// See [`ServiceOwnership`].
     pub fn handle(&mut self, now: Duration, event: Event) -> Vec<Effect> {
-        let mut out = Vec::new();
+        let mut effects = Vec::new();
         match event {
             Event::Targets(targets) => self.set_targets(targets),
-            Event::GrantEnded(from, outcome) => self.grant_ended(now, from, &outcome, &mut out),
-            Event::ReleaseEnded(from, outcome) => self.release_ended(now, from, outcome, &mut out),
+            Event::GrantEnded(from, outcome) => self.grant_ended(now, from, &outcome, &mut effects),
+            Event::ReleaseEnded(from, outcome) => {
+                self.release_ended(now, from, outcome, &mut effects)
+            }
             Event::Committed => self.committed(now),
             Event::CommitFailed => self.commit_failed(now),
             Event::LeaseExtended(until) => self.lease_until = until,
@@ -251,13 +253,13 @@
             Event::Tick => {}
         }
         if !self.stopped {
-            self.free_expired(now, &mut out);
-            self.release_unsuitable(now, &mut out);
-            self.balance(now, &mut out);
-            self.assign_free(now, &mut out);
-            self.send_due_calls(now, &mut out);
+            self.free_expired(now, &mut effects);
+            self.release_unsuitable(now, &mut effects);
+            self.balance(now, &mut effects);
+            self.assign_free(now, &mut effects);
+            self.send_due_calls(now, &mut effects);
         }
-        out
+        effects
     }
 
     /// Replaces the announced targets.
@@ -266,7 +268,7 @@
         self.targets = by_id.collect();
     }
 
-    /// Returns when the last grant of a range has surely expired; none if none was sent.
+    /// Returns when the last grant of a range has surely expired; `None` if none was sent.
     fn expiry(&self, state: &RangeState) -> Option<Duration> {
         let until = state.expires_at?;
         if state.confirmed || !state.inherited {
@@ -276,7 +278,7 @@
     }
 
     /// Frees ranges whose grants have expired.
-    fn free_expired(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    fn free_expired(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let expired: Vec<RequestKey> = self
             .states
             .iter()
@@ -289,7 +291,12 @@
             .map(|(from, _)| *from)
             .collect();
         for from in expired {
-            self.free_range(now, from, "no response before its last grant expired", out);
+            self.free_range(
+                now,
+                from,
+                "no response before its last grant expired",
+                effects,
+            );
         }
     }
 
@@ -319,7 +326,7 @@
     }
 
     /// Begins the release of all ranges of unsuitable owners.
-    fn release_unsuitable(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    fn release_unsuitable(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let unsuitable_owners = self.unsuitable_owners(now);
         for range in &self.record.ranges {
             let Some(state) = self.states.get_mut(&range.from) else {
@@ -334,7 +341,7 @@
             if unsuitable_owners.contains(owner) {
                 state.phase = Phase::Releasing(None);
                 state.next_call = now;
-                out.push(Effect::Log(format!(
+                effects.push(Effect::Log(format!(
                     "event=release-begun from={} to={} owner={} announced={}",
                     range.from,
                     range.to,
@@ -345,10 +352,10 @@
         }
     }
 
-    /// Returns how long a grant that is sent now lasts; none if it may not be sent.
+    /// Returns how long a grant that is sent now lasts; `None` if it may not be sent.
     ///
-    /// While the store is down nobody can replace the manager, and if the manager fails too, keys are served only
-    /// until their grants expire: so grants are longer then.
+    /// While the store is down no VM can replace the manager, and if the manager fails too, keys are served only until
+    /// their grants expire. Grants are therefore longer then.
     fn next_grant_duration(&self, now: Duration) -> Option<Duration> {
         if now + self.timing.lease.mul_f64(OUTAGE_LEASE_RATIO) < self.lease_until {
             return Some(self.timing.grant_duration);
@@ -360,7 +367,7 @@
     }
 
     /// Sends the calls that are due: grants for owned ranges, releases for ranges in [`Phase::Releasing`].
-    fn send_due_calls(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    fn send_due_calls(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let grant_duration = self.next_grant_duration(now);
         for range in &self.record.ranges {
             let (Some(state), Some(owner)) = (self.states.get_mut(&range.from), &range.owner)
@@ -383,7 +390,7 @@
                 .and_then(|grant_duration| limit_grant_duration(now, state, grant_duration));
             if grant_duration.is_none() && state.phase == Phase::Owned && state.is_unresponsive() {
                 state.phase = Phase::Releasing(None);
-                out.push(Effect::Log(format!(
+                effects.push(Effect::Log(format!(
                     "event=grant-silent from={}",
                     range.from
                 )));
@@ -393,11 +400,11 @@
                     state.in_flight = true;
                     state.grant_duration = grant_duration;
                     let command = command(range.fence, grant_duration, state.handover.clone());
-                    out.push(Effect::Grant(command));
+                    effects.push(Effect::Grant(command));
                 }
                 (Phase::Releasing(_), _) => {
                     state.in_flight = true;
-                    out.push(Effect::Release(command(
+                    effects.push(Effect::Release(command(
                         range.fence + 1,
                         Duration::ZERO,
                         None,
--- a/engine/src/owner/ownership/moves.rs
+++ b/engine/src/owner/ownership/moves.rs
@@ -1,4 +1,4 @@
-//! Which keys move to balance the load, and when.
+//! Decides which keys move to balance the load, and when.
 
 #![allow(
     clippy::cast_precision_loss,
@@ -19,7 +19,7 @@
     placement::rates,
 };
 
-/// The least time between two rounds of moves: a move takes some 100 ms, and the counts that show its effect come
+/// The minimum time between two rounds of moves: a move takes some 100 ms, and the counts that show its effect come
 /// every 40 ms.
 const BALANCE_INTERVAL: Duration = Duration::from_millis(400);
 
@@ -33,13 +33,13 @@
 /// just moved stayed for 3 s on a target that could serve a seventh of its requests.
 const GROWTH_FACTOR: f64 = 2.0;
 
-/// The least growth that ends a cooldown early, in requests a second: smaller rates are not known quickly enough.
+/// The minimum growth that ends a cooldown early, in requests per second: smaller rates are not known quickly enough.
 const MIN_GROWTH: f64 = 8.0;
 
-/// The least time between two redistributions: requests for all keys wait for a moment each time.
+/// The minimum time between two redistributions: requests for all keys wait for a moment each time.
 const REDISTRIBUTION_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The ratio of its capacity that a cold target counts for.
+/// The fraction of its capacity with which a cold target is counted.
 const COLD_CAPACITY_RATIO: f64 = 0.5;
 
 /// The time that one request is assumed to take, in seconds, while nothing was measured.
@@ -50,7 +50,7 @@
 pub(super) struct Cooldown {
     keys: Move,
     until: Duration,
-    /// The rate of the keys when they moved, in requests a second.
+    /// The rate of the keys when they moved, in requests per second.
     rate: f64,
 }
 
@@ -122,7 +122,7 @@
     ///
     /// The range of an unresponsive owner is free only once its grant has expired, seconds later. Other keys move
     /// meanwhile: otherwise almost all requests for a hot key on a slow target would time out.
-    pub(super) fn balance(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    pub(super) fn balance(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let is_idle = |state: &RangeState| state.phase == Phase::Owned || state.is_unresponsive();
         let due = now >= self.balanced_at + BALANCE_INTERVAL;
         if !self.states.values().all(is_idle) || !due || self.pending.is_some() {
@@ -142,24 +142,30 @@
             let moves = redistribution::plan(&self.record, &candidates, &load);
             if !moves.is_empty() {
                 self.redistributed_at = now;
-                out.push(Effect::Log(format!(
+                effects.push(Effect::Log(format!(
                     "event=dealt-anew moves={}",
                     moves.len()
                 )));
                 for it in moves {
-                    self.begin_move(now, it, Duration::ZERO, out);
+                    self.begin_move(now, it, Duration::ZERO, effects);
                 }
                 return;
             }
         }
         let cooling_down: Vec<Move> = self.cooldowns.iter().map(|it| it.keys.clone()).collect();
         for it in balance::plan(&self.record, &candidates, &load, &cooling_down) {
-            self.begin_move(now, it, COOLDOWN, out);
+            self.begin_move(now, it, COOLDOWN, effects);
         }
     }
 
     /// Begins a move: splits off the range and asks its owner to release it.
-    fn begin_move(&mut self, now: Duration, it: Move, cooldown: Duration, out: &mut Vec<Effect>) {
+    fn begin_move(
+        &mut self,
+        now: Duration,
+        it: Move,
+        cooldown: Duration,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(from) = self.record.find(it.from).map(|range| range.from) else {
             return;
         };
@@ -182,7 +188,7 @@
                 .or_insert_with(|| whole.clone());
         }
         let rate = self.load.rate(it.from, it.to);
-        out.push(Effect::Log(format!(
+        effects.push(Effect::Log(format!(
             "event=move-begun from={} to={} owner={} load={rate:.1}",
             it.from, it.to, it.owner.id,
         )));
--- a/engine/src/owner/ownership/predecessors.rs
+++ b/engine/src/owner/ownership/predecessors.rs
@@ -1,4 +1,4 @@
-//! What managers of earlier terms may still do: send grants, and have grants that are still valid.
+//! Until when managers of earlier terms may still send grants, and until when such grants may be valid.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 impl Predecessors {
-    /// Computes both times from the record that the previous manager left.
+    /// Computes both times from the record of the previous manager.
     pub(super) fn from_record(record: &Record, timing: Timing, now: Duration) -> Self {
         let first = record.term == 0;
         let settled = first || record.settled;
@@ -51,12 +51,12 @@
             .min(last + worst_case_duration(self.outage_duration));
     }
 
-    /// Returns whether all of them have stopped sending grants.
+    /// Returns whether all managers of earlier terms have stopped sending grants.
     pub(super) fn have_stopped(&self, now: Duration) -> bool {
         now >= self.sends_until
     }
 
-    /// Returns when the last of their grants has expired.
+    /// Returns when the last grant of these managers has expired.
     pub(super) fn latest_expiry(&self) -> Duration {
         self.grants_until
     }
--- a/engine/src/owner/range_state.rs
+++ b/engine/src/owner/range_state.rs
@@ -1,4 +1,4 @@
-//! The state of one range beside its record: what its owner was sent, and what it has confirmed.
+//! The state of one range that its record doesn't contain: the calls sent to its owner, and their outcomes.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 /// The delay that is added to a grant's duration before its range counts as free, for scheduling at the target.
 const SCHEDULING_MARGIN: Duration = Duration::from_millis(100);
 
-/// Returns how long a grant may last at most by this VM's clock.
+/// Returns the longest time for which a grant may last by this VM's clock.
 pub(super) fn worst_case_duration(grant_duration: Duration) -> Duration {
     grant_duration.mul_f64(MAX_CLOCK_DRIFT) + SCHEDULING_MARGIN
 }
 
-/// Returns the longest grant duration that surely ends within a span; the inverse of [`worst_case_duration`].
-pub(super) fn longest_grant_within(span: Duration) -> Duration {
-    span.saturating_sub(SCHEDULING_MARGIN)
+/// Returns the longest grant duration that surely ends within a time; the inverse of [`worst_case_duration`].
+pub(super) fn longest_grant_within(time: Duration) -> Duration {
+    time.saturating_sub(SCHEDULING_MARGIN)
         .div_f64(MAX_CLOCK_DRIFT)
 }
 
@@ -41,7 +41,7 @@
     pub(super) confirmed: bool,
     /// Whether an earlier manager may have granted the range to its owner.
     pub(super) inherited: bool,
-    /// When the last grant that may have arrived has surely expired; none if none was sent.
+    /// When the last grant that may have arrived has surely expired; `None` if none was sent.
     pub(super) expires_at: Option<Duration>,
     /// The duration of the grant that was sent last.
     pub(super) grant_duration: Duration,
@@ -51,7 +51,7 @@
     pub(super) unanswered: u32,
     /// How many calls in a row could not be sent.
     pub(super) unsent: u32,
-    /// What the previous owner returned for the next one.
+    /// The data that the previous owner returned for the next one.
     pub(super) handover: Option<String>,
 }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Moves the expiry: the grant that was sent last may have arrived until now.
+    /// Extends the expiry: the grant that was sent last may have arrived as late as now.
     pub(super) fn extend_expiry(&mut self, now: Duration) {
         self.expires_at = self
             .expires_at
--- a/engine/src/owner/record.rs
+++ b/engine/src/owner/record.rs
@@ -10,7 +10,7 @@
 use super::packed::Packed;
 use crate::catalogue::{StartTime, Target, TargetId};
 
-/// The number of a key, by which requests and ranges refer to it.
+/// The number that identifies a key in requests and ranges.
 pub type RequestKey = u64;
 /// A fencing token; a target refuses a grant below one that it has seen.
 pub type Fence = u64;
@@ -87,7 +87,7 @@
     pub to: RequestKey,
     /// The fence of the owner's grant.
     pub fence: Fence,
-    /// The owner; none while nobody may be granted the range.
+    /// The owner; `None` while no target may be granted the range.
     pub owner: Option<Incarnation>,
 }
 
@@ -114,7 +114,7 @@
     pub term: Term,
     /// The process start of that manager, which identifies it.
     pub manager: String,
-    /// Whether that manager has stopped for good and renews no grant any more.
+    /// Whether that manager has stopped for good and renews no more grants.
     pub resigned: bool,
     /// How many fences this term has used.
     pub counter: u64,
--- a/engine/src/owner/redistribution.rs
+++ b/engine/src/owner/redistribution.rs
@@ -27,9 +27,9 @@
 const MIN_EXCESS_RATIO: f64 = 0.25;
 /// Ratio of a candidate's load to its fair share above which the rest counts as excess.
 const MAX_IMBALANCE: f64 = 1.4;
-/// The least mean utilisation at which a redistribution is worth its cost.
+/// The minimum mean utilisation at which a redistribution is worth its cost.
 const MIN_UTILISATION: f64 = 0.15;
-/// The ratio of the weight that is spread evenly over all keys, since any key may become hot.
+/// The fraction of the weight that is spread evenly over all keys, since any key may become hot.
 const WIDTH_WEIGHT: f64 = 0.15;
 
 /// Plans a redistribution, or returns nothing while the load is spread well enough.
@@ -82,7 +82,7 @@
     moves
 }
 
-/// Returns the load that exceeds the fair shares of its owners, in requests a second.
+/// Returns the load that exceeds the fair shares of its owners, in requests per second.
 fn excess(record: &Record, candidates: &[Candidate], load: &Load) -> f64 {
     let mut rates: HashMap<&Incarnation, f64> = HashMap::new();
     for range in &record.ranges {
@@ -177,7 +177,7 @@
     bounds
 }
 
-/// Adds moves for those pieces of a run that other targets own.
+/// Adds moves for the pieces of a run that other targets own.
 fn push_changes(
     record: &Record,
     from: RequestKey,
--- a/engine/src/owner/service_times.rs
+++ b/engine/src/owner/service_times.rs
@@ -1,7 +1,7 @@
 //! The service time of each target: how long one request takes there, as all VMs measured it recently.
 //!
 //! Load pattern: two in five targets of a service become twelve times slower at the same moment. A target with
-//! two slots then answers three requests a second, so an average over sixty requests would show it as only twice
+//! two slots then answers three requests per second, so an average over sixty requests would show it as only twice
 //! as slow after three seconds, and hot keys would stay there. The average therefore drops old values early when
 //! new ones differ much.
 
@@ -11,8 +11,8 @@
 
 /// The time in which a measurement loses half its weight.
 ///
-/// The mean of a target that serves 17 requests a second then rests on some hundred of them and is exact to 5 %;
-/// with one second instead of four, the scatter alone moved a third more keys.
+/// The mean of a target that serves 17 requests per second is then computed from some hundred of them and is exact
+/// to 5 %; with one second instead of four, the scatter alone moved a third more keys.
 const HALF_LIFE: Duration = Duration::from_secs(4);
 /// The factor, up or down, by which an outlier differs from the mean; two outliers in a row halve the weight
 /// of all older measurements.
--- a/engine/src/peer/admin.rs
+++ b/engine/src/peer/admin.rs
@@ -16,7 +16,7 @@
 
 /// The path of a VM's status.
 pub const STATUS_PATH: &str = "/status";
-/// The path of a VM's timeline; the query may be a stamp from which events are returned.
+/// The path of a VM's timeline; the query may be a stamp, and earlier events are then left out.
 pub const TIMELINE_PATH: &str = "/timeline";
 
 /// A summary of one service's owners record, as a VM knows it.
@@ -56,7 +56,7 @@
     pub targets: usize,
     /// The number of draining targets.
     pub leaving: usize,
-    /// Evacuated failure domains, with the time since that became known, in milliseconds.
+    /// Evacuated failure domains, with the time since this VM learned of the evacuation, in milliseconds.
     pub evacuated: IndexMap<DomainId, u64>,
     /// Targets that are cold or may be cold, with the remaining time, in milliseconds.
     pub cold: IndexMap<TargetId, u64>,
@@ -70,13 +70,13 @@
     /// Builds the status from this VM's view of the fleet.
     fn new(context: &Context, fleet: &Fleet) -> Self {
         let services = fleet.records.iter().map(|(name, recorded)| {
-            let parts = &recorded.record.ranges;
-            let owned = RecordSummary {
+            let ranges = &recorded.record.ranges;
+            let summary = RecordSummary {
                 term: recorded.record.term,
-                ranges: parts.len(),
-                owned: parts.iter().filter(|part| part.owner.is_some()).count(),
+                ranges: ranges.len(),
+                owned: ranges.iter().filter(|range| range.owner.is_some()).count(),
             };
-            (name.clone(), owned)
+            (name.clone(), summary)
         });
         let now = context.clock.now();
         let millis = |time: Duration| u64::try_from(time.as_millis()).unwrap_or(u64::MAX);
--- a/engine/src/peer/fleet_load.rs
+++ b/engine/src/peer/fleet_load.rs
@@ -1,4 +1,4 @@
-//! Keeps the in-flight and queued requests of all VMs at the manager, and assigns quotas of each target's free
+//! Keeps, on the manager, the in-flight and queued requests of all VMs, and assigns quotas of each target's free
 //! capacity.
 //!
 //! Load pattern: many VMs queue requests for the same busy target. Each VM sends the manager its load with every sync
@@ -30,7 +30,7 @@
 struct VmReport {
     in_flight: Vec<(TargetHash, u32)>,
     queues: Vec<TargetQueue>,
-    /// Requests that it may have sent since, by the quotas that it got.
+    /// Requests that it may have sent since its report, by the quotas that it got.
     granted: Vec<(TargetHash, u32)>,
     received_at: Duration,
     /// When the report stops counting.
@@ -39,21 +39,21 @@
 
 impl VmReport {
     /// Records a quota that the VM gets: these requests leave its queue.
-    fn record_quota(&mut self, share: &Quota) {
-        let count = share.within_goal + share.past_goal;
+    fn record_quota(&mut self, quota: &Quota) {
+        let count = quota.within_goal + quota.past_goal;
         if count > 0 {
-            self.granted.push((share.target, count));
+            self.granted.push((quota.target, count));
         }
         let queues = self.queues.iter_mut();
-        for queue in queues.filter(|queue| queue.target == share.target) {
-            queue.first.retain(|it| !share.demoted.contains(&it.ticket));
-            let sent = queue.first.len().min(share.within_goal as usize);
+        for queue in queues.filter(|queue| queue.target == quota.target) {
+            queue.first.retain(|it| !quota.demoted.contains(&it.ticket));
+            let sent = queue.first.len().min(quota.within_goal as usize);
             queue.first.drain(..sent);
-            let demoted = u32::try_from(share.demoted.len()).unwrap_or(u32::MAX);
+            let demoted = u32::try_from(quota.demoted.len()).unwrap_or(u32::MAX);
             queue.within_goal = queue
                 .within_goal
-                .saturating_sub(share.within_goal + demoted);
-            queue.past_goal = queue.past_goal.saturating_sub(share.past_goal);
+                .saturating_sub(quota.within_goal + demoted);
+            queue.past_goal = queue.past_goal.saturating_sub(quota.past_goal);
         }
     }
 }
@@ -86,14 +86,16 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetLoad {
     reports: HashMap<String, VmReport>,
-    /// The rate limits that targets have requested from any VM.
+    /// The rate limits that targets have reported to any VM.
     rates: Rates,
     /// The token buckets of the targets with a rate limit.
     buckets: IndexMap<TargetHash, TokenBucket>,
 }
 
 impl FleetLoad {
-    /// Records the load of the VM with the process start `start`; `interval` is the time until its next report.
+    /// Records the load that a VM reports.
+    ///
+    /// `start` identifies the VM's process, and `interval` is the time until its next report.
     ///
     /// # Example
     ///
@@ -117,7 +119,7 @@
         self.reports.insert(start.to_owned(), report);
     }
 
-    /// Merges the rate limits that targets have requested from a VM.
+    /// Merges the rate limits that targets have reported to a VM.
     ///
     /// # Example
     ///
@@ -137,7 +139,7 @@
         let _ = self.rates.expire(now);
     }
 
-    /// Returns the rate limits that targets have requested from any VM, with their ages.
+    /// Returns the rate limits that targets have reported to any VM, with their ages.
     ///
     /// # Example
     ///
@@ -146,7 +148,7 @@
         self.rates.reports(now)
     }
 
-    /// Returns the targets that have requested a rate limit, with the rates.
+    /// Returns the targets that ask for a rate limit, with the limits.
     ///
     /// # Example
     ///
@@ -179,7 +181,7 @@
         sums.into_iter().collect()
     }
 
-    /// Assigns this VM its quota of each target with queued requests, and records what it got.
+    /// Assigns the VM with the process `start` its quota of each target with queued requests, and records the quotas.
     ///
     /// # Example
     ///
@@ -246,12 +248,12 @@
         for (target, rate) in rates.active() {
             let bucket = self.buckets.entry(target);
             let bucket = bucket.or_insert_with(|| TokenBucket::new(now));
-            let most = bucket.available(now, rate);
+            let tokens = bucket.available(now, rate);
             let wait = bucket.wait_time(rate);
             capacities.insert(
                 target,
                 RateCapacity {
-                    available: most,
+                    available: tokens,
                     wait,
                 },
             );
--- a/engine/src/peer/mod.rs
+++ b/engine/src/peer/mod.rs
@@ -37,7 +37,7 @@
 pub const SYNC_PATH: &str = "/peer";
 /// The timeout of a sync exchange: the network latency between VMs is a few milliseconds.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
-/// The maximum size of a message.
+/// The maximum size of an encoded sync request or response.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 quick_error! {
@@ -73,7 +73,7 @@
     /// How far the sender has read the receiver's change log.
     #[serde(rename = "place")]
     pub position: LogPosition,
-    /// Up to which revision the sender has followed the store, by prefix; empty once it reads the change log.
+    /// The revision up to which the sender has followed the store, by prefix; empty once it reads the change log.
     pub followed: IndexMap<String, Revision>,
     /// The number of requests by service and key since the last message.
     #[serde(rename = "counts")]
@@ -81,7 +81,7 @@
     /// By target since the last message: the sum of service times without queueing, in seconds, and their number.
     #[serde(rename = "times")]
     pub service_times: Vec<(TargetHash, f64, u32)>,
-    /// The rate limits that targets have requested from the sender, or from other VMs as far as it knows.
+    /// The rate limits that targets have reported to the sender, or to other VMs as far as it knows.
     pub rates: Vec<RateReport>,
     /// The minimum time until the sender's next message.
     #[serde(rename = "pause")]
@@ -103,7 +103,7 @@
     /// How many requests the VM may send to each target with queued requests.
     #[serde(rename = "shares")]
     pub quotas: Vec<Quota>,
-    /// The rate limits that targets have requested from any VM.
+    /// The rate limits that targets have reported to any VM.
     pub rates: Vec<RateReport>,
     /// The state that the VM lacks, as far as the responder knows it; it may be old.
     pub relay: Relay,
--- a/engine/src/peer/sync.rs
+++ b/engine/src/peer/sync.rs
@@ -189,7 +189,7 @@
         self.report.lines(&log_lines);
     }
 
-    /// Decides by the manager's response whether this VM relies on the manager, and returns the decision.
+    /// Decides from the manager's response whether this VM relies on the manager, and returns the decision.
     fn accept_response(&self, response: &SyncResponse, vm: &Vm, interval: Duration) -> bool {
         let relied = self.manager_health.is_healthy();
         let max_interval = if relied {
@@ -251,7 +251,7 @@
     }
 }
 
-/// Exchanges with the manager until the process ends.
+/// Runs the sync exchanges with the manager until the process ends.
 pub async fn run(context: Context) {
     let mut position = LogPosition::default();
     let mut valid_at = Duration::ZERO;
@@ -294,7 +294,7 @@
             sync_with_next_peer(&context, &mut peers).await;
         }
         if let Some(response) = &response {
-            // The manager's own sync requests need no exchange.
+            // The manager handles its own sync requests without an exchange, so its lag doesn't lengthen the interval.
             lag = if context.is_manager.get() {
                 Duration::ZERO
             } else {
@@ -330,7 +330,7 @@
     positions: HashMap<SocketAddr, LogPosition>,
 }
 
-/// Gets the state of one other VM, while neither the store nor the manager answers this one.
+/// Gets the state of one other VM, while neither the store nor the manager answers this VM.
 async fn sync_with_next_peer(context: &Context, peers: &mut PeerRotation) {
     let fleet = context.shared_fleet.get();
     let known = fleet.vms.values().map(|vm| vm.address);
@@ -354,7 +354,7 @@
         stamp: context.report.stamp(),
         ..SyncRequest::default()
     };
-    // Only the relay is used: quotas and counts of a VM that isn't the manager mean nothing.
+    // Only the relay is used: quotas and counts from a VM that isn't the manager are meaningless.
     exchange(context, &vm, &message, position).await;
 }
 
--- a/engine/src/peer/sync_interval.rs
+++ b/engine/src/peer/sync_interval.rs
@@ -10,8 +10,8 @@
 
 /// The time between two exchanges while requests are in flight.
 ///
-/// At the known loads a target gets a request every 40 to 60 ms; with older counts several VMs would take
-/// the same free slot.
+/// At known loads, a target gets a request every 40 to 60 ms; with older counts, several VMs would use the same
+/// free slot.
 const BUSY_INTERVAL: Duration = Duration::from_millis(40);
 /// The time between two exchanges while no requests are in flight.
 const IDLE_INTERVAL: Duration = Duration::from_millis(150);
@@ -25,8 +25,8 @@
 const LAG_FACTOR: u32 = 16;
 /// The lag that doesn't change the interval: timers fire some milliseconds late.
 const LAG_ALLOWANCE: Duration = Duration::from_millis(5);
-/// The maximum interval, however far the manager lags: it delays the news that a target is draining, and such
-/// a target must get no new requests 2 s after its announcement.
+/// The maximum interval for any lag: the interval delays the notice that a target is draining, and such a target
+/// must get no new requests 2 s after its announcement.
 const MAX_INTERVAL: Duration = Duration::from_secs(1);
 /// The inverse weight of a new measurement in the mean lag: one late wake-up is no trend.
 const MEAN_DIVISOR: u32 = 4;
@@ -66,9 +66,9 @@
     /// See [`Lag`].
     pub fn add(&mut self, requested: Duration, actual: Duration) -> bool {
         let was_long = self.is_long();
-        let late = actual.saturating_sub(requested);
-        if late < SUSPENDED_LAG {
-            self.mean = (self.mean * (MEAN_DIVISOR - 1) + late) / MEAN_DIVISOR;
+        let delay = actual.saturating_sub(requested);
+        if delay < SUSPENDED_LAG {
+            self.mean = (self.mean * (MEAN_DIVISOR - 1) + delay) / MEAN_DIVISOR;
         }
         was_long != self.is_long()
     }
@@ -114,7 +114,7 @@
     let interval = if busy { BUSY_INTERVAL } else { IDLE_INTERVAL };
     let vms = u32::try_from(vms).unwrap_or(u32::MAX).max(BASELINE_VMS);
     let interval = (interval * vms / BASELINE_VMS).min(MAX_BASE_INTERVAL);
-    // Otherwise the own calls of a manager with little processor time would queue behind the requests of all VMs.
+    // Otherwise, on a manager with little processor time, its own calls would queue behind the requests of all VMs.
     let excess = lag.saturating_sub(LAG_ALLOWANCE);
     (interval + excess * LAG_FACTOR).min(MAX_INTERVAL)
 }
--- a/engine/src/placement/budget.rs
+++ b/engine/src/placement/budget.rs
@@ -9,9 +9,9 @@
 
 use std::{collections::VecDeque, fmt, time::Duration};
 
-/// The fraction of its allowance that a VM uses, since VMs disagree for a while on how many of them there are.
+/// The fraction of its part of the budget that a VM uses: VMs may disagree for a while on how many VMs there are.
 const USED_FRACTION: f64 = 0.8;
-/// The fraction that a process uses in its first window, in which an earlier process of its VM may have used some.
+/// The fraction that a process uses in its first window, in which an earlier process of its VM may have sent retries.
 const NEW_PROCESS_FRACTION: f64 = 0.15;
 /// The number of slices in the window.
 const SLICES: u32 = 10;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Counts a caller's request.
+    /// Counts a caller's request, which earns a fraction of a retry.
     ///
     /// # Example
     ///
@@ -148,7 +148,7 @@
         let slices = self.slices.iter().filter(in_window);
         let requests: u32 = slices.map(|it| it.requests).sum();
         let earned = f64::from(requests) * allowance.ratio;
-        // A VM that knows of no VM, not even of itself, can't tell its part of the slack.
+        // A VM that knows no VM, not even itself, can't compute its part of the slack.
         let slack = if vms == 0 {
             0.0
         } else {
--- a/engine/src/placement/completion.rs
+++ b/engine/src/placement/completion.rs
@@ -10,15 +10,15 @@
 /// The way in which a request to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionKind {
-    /// The target answered successfully, after this time.
+    /// The target responded successfully, after this time.
     Answered(Duration),
-    /// The target answered with its own failure.
+    /// The target responded with a server error.
     Failed,
     /// The target refused the request and didn't run it.
     Refused,
     /// The target doesn't own the request's key, or isn't the intended target, and didn't run the request.
     Misdirected,
-    /// The connection broke, or the answer couldn't be used.
+    /// The connection broke, or the response couldn't be used.
     Lost,
     /// No connection could be established.
     ConnectFailed,
@@ -37,7 +37,7 @@
     pub sent_at: Duration,
     /// The estimated number of requests at the target when this one was sent.
     pub depth: f64,
-    /// The load that the target reported with its answer.
+    /// The load that the target reported with its response.
     pub load: Option<LoadReport>,
     /// The request's key and the fence of its owner, if the service has owners.
     pub ownership: Option<(RequestKey, Fence)>,
--- a/engine/src/placement/dispatch/admission.rs
+++ b/engine/src/placement/dispatch/admission.rs
@@ -2,15 +2,15 @@
 //!
 //! Each of these load patterns is handled by one rule:
 //!
-//! - *A target falls behind*, or its queue takes longer than the caller's remaining time: a request that can't be
-//!   answered before its deadline is refused at once. An idle target that seems that slow gets single probes, since it
-//!   may have become fast again.
+//! - *A target falls behind*, or its queue takes longer than the caller's remaining time: a request that can't get
+//!   a response before its deadline is refused at once. An idle target that seems that slow gets single probes, since
+//!   it may have become fast again.
 //! - *Several VMs have requests queued for a target*: a request is only sent with a quota of the target's free capacity
 //!   (see [`crate::placement::quota`]).
 //! - *An overloaded target limits the requests per second that it takes from all VMs*: a request is only sent with a
 //!   quota, and the manager assigns no more than the rate. While it assigns none, a few VMs send at an interval.
 //! - *The queue for a target takes longer than a goal*: a request that arrives then can't meet its goal, and requests
-//!   past their goal go behind all others. A queue that lasts for as long as a goal is no passing burst. From then on
+//!   past their goal go behind all others. A queue that lasts for as long as a goal is not a short burst. From then on
 //!   requests past their goal are refused at once, since the others take all slots.
 
 use std::time::Duration;
@@ -26,9 +26,9 @@
 pub(super) enum Decision {
     /// Send it, and use up this quota if one is needed.
     Send(Basis, Option<QuotaKind>),
-    /// Let it wait in the queue, for a target if it needs free capacity there.
+    /// Queue it, for one target if it needs free capacity there.
     Queue(Option<QueueKey>),
-    /// Refuse it, with the time to retry after.
+    /// Refuse it, with the time after which the caller may retry.
     Refuse(RefusalReason, Duration, Basis),
 }
 
@@ -72,22 +72,22 @@
     New,
     /// It is queued.
     Waiting,
-    /// It is queued, and too many others go first for it to meet its goal.
+    /// It is queued, and too many others are sent first for it to meet its goal.
     Demoted,
 }
 
 impl Candidate<'_> {
     /// Decides for one request.
     pub(super) fn decide(&self, now: Duration, request: &DispatchRequest) -> Decision {
-        let left = request.deadline.saturating_sub(now);
+        let remaining = request.deadline.saturating_sub(now);
         let basis = self.basis(now, request);
-        if basis.expected > left {
-            // With little time left even a fast target can't answer before the deadline, so a probe would show nothing.
-            let ample_time = left * 2 >= request.deadline.saturating_sub(request.received_at);
+        if basis.expected > remaining {
+            // With little time left even a fast target can't respond before the deadline, so a probe shows nothing.
+            let ample_time = remaining * 2 >= request.deadline.saturating_sub(request.received_at);
             if ample_time && self.state.needs_probe(now) {
                 return Decision::Send(basis, None);
             }
-            let excess = basis.expected.saturating_sub(left);
+            let excess = basis.expected.saturating_sub(remaining);
             return Decision::Refuse(RefusalReason::Late, excess.max(MIN_RETRY_AFTER), basis);
         }
         let within_goal = basis.expected <= request.goal.saturating_sub(now);
@@ -165,7 +165,7 @@
     ) -> Decision {
         let Some(quota) = self.state.quota().filter(|quota| quota.busy) else {
             let limit = f64::from(self.state.max_in_flight(now, self.typical_time));
-            // Just after a queue has drained as many requests may arrive again, and each VM sees the same free
+            // Just after a queue has drained, as many requests may arrive again, and each VM sees the same free
             // capacity.
             let may_send = self.state.queued_since().is_none() && self.state.rate().is_none();
             return if may_send && basis.depth + 1.0 <= limit {
@@ -197,10 +197,10 @@
             return Decision::Send(basis, Some(QuotaKind::PastGoal));
         }
         let drain_time = self.drain_time(&basis);
-        let left = request.deadline.saturating_sub(now);
+        let remaining = request.deadline.saturating_sub(now);
         let past_goal_time = basis.completion_interval * quota.map_or(0, |quota| quota.others_past);
-        if self.queue_state == QueueState::New && drain_time + past_goal_time > left {
-            let excess = (drain_time + past_goal_time).saturating_sub(left);
+        if self.queue_state == QueueState::New && drain_time + past_goal_time > remaining {
+            let excess = (drain_time + past_goal_time).saturating_sub(remaining);
             return Decision::Refuse(RefusalReason::Late, excess.max(MIN_RETRY_AFTER), basis);
         }
         let goal = request.goal.saturating_sub(request.received_at);
@@ -219,7 +219,7 @@
         self.enqueue(false)
     }
 
-    /// Returns the expected response time if all requests that are queued now go first.
+    /// Returns the expected response time if all requests that are queued now are sent first.
     fn drain_time(&self, basis: &Basis) -> Duration {
         let others_queued = self.state.quota().map_or(0, |quota| quota.others_within);
         basis.expected + basis.completion_interval * (others_queued + self.queued_here)
--- a/engine/src/placement/dispatch/choose.rs
+++ b/engine/src/placement/dispatch/choose.rs
@@ -63,9 +63,9 @@
             );
         }
         match (request.key, self.view.records.get(&request.service)) {
-            (Some(point), Some(record)) => {
+            (Some(key), Some(record)) => {
                 let record = record.clone();
-                self.choose_owner(now, request, queue_state, point, &record)
+                self.choose_owner(now, request, queue_state, key, &record)
             }
             (Some(_), None) => self.wait_for_owner(now, request),
             (None, _) => self.choose_any(now, request, queue_state),
@@ -78,13 +78,13 @@
         now: Duration,
         request: &DispatchRequest,
         queue_state: QueueState,
-        point: RequestKey,
+        key: RequestKey,
         record: &Record,
     ) -> Decision {
-        let Some(range) = record.find(point) else {
+        let Some(range) = record.find(key) else {
             return self.wait_for_owner(now, request);
         };
-        match self.refused_keys.state(now, &request.service, range, point) {
+        match self.refused_keys.state(now, &request.service, range, key) {
             // A move ends within a few hundred milliseconds; the replacement of a lost owner doesn't.
             refused_keys::KeyState::Moving if now < request.goal.min(request.deadline) => {
                 return Decision::Queue(None);
@@ -95,7 +95,7 @@
             refused_keys::KeyState::Open => {}
         }
         if request.refused_by(range) {
-            // The owner may accept requests by now, which another request will find out. Sending this one again would
+            // The owner may accept requests by now, and the next request will show that. Sending this one again would
             // be a retry, perhaps to a target of another service.
             return Decision::Refuse(
                 RefusalReason::Moved,
@@ -103,9 +103,9 @@
                 self.owner_basis(request),
             );
         }
-        let state = range.owner.as_ref().and_then(|life| {
-            let state = self.target_states.get(&life.id);
-            state.filter(|it| life.is_announced_by(&it.target))
+        let state = range.owner.as_ref().and_then(|incarnation| {
+            let state = self.target_states.get(&incarnation.id);
+            state.filter(|it| incarnation.is_announced_by(&it.target))
         });
         let Some(state) = state else {
             return self.wait_for_owner(now, request);
@@ -142,7 +142,7 @@
         let record = self.view.records.get(&request.service);
         let range = record
             .zip(request.key)
-            .and_then(|(record, point)| record.find(point));
+            .and_then(|(record, key)| record.find(key));
         let owner = range.and_then(|range| range.owner.as_ref());
         Basis {
             target: owner.map_or_else(|| "none".to_owned(), |it| it.id.clone()),
@@ -178,10 +178,10 @@
     }
 
     /// Returns the targets that are compared for a request: mostly those in this failure domain, since traffic between
-    /// failure domains costs money. For a large answer these are all targets.
+    /// failure domains costs money. For a large response these are all targets.
     ///
-    /// Cold targets to which this VM may send are always among them: at most two other VMs may, so what isn't sent from
-    /// here is hardly sent at all.
+    /// Cold targets to which this VM may send are always among them: at most two other VMs may send to such a target,
+    /// so without this VM it would get few requests.
     fn sample<'a>(&mut self, request: &DispatchRequest, targets: &'a [Target]) -> Vec<&'a Target> {
         if request.large {
             return targets.iter().collect();
@@ -216,8 +216,8 @@
             let Some(state) = self.target_states.get(&target.id) else {
                 continue;
             };
-            let open = state.is_available(now) && state.allows_rate(now);
-            if !open || request.tried.contains(&target.id) {
+            let available = state.is_available(now) && state.allows_rate(now);
+            if !available || request.tried.contains(&target.id) {
                 continue;
             }
             let jitter = 1.0 + self.random.random_range(-JITTER..JITTER);
@@ -259,7 +259,7 @@
         })
     }
 
-    /// Recomputes the median service time of each service's targets, unless that was done just now.
+    /// Recomputes the median service time of each service's targets, unless the known ones are recent.
     pub(super) fn refresh_medians(&mut self, now: Duration) {
         if now < self.medians_due {
             return;
@@ -289,7 +289,7 @@
 /// Targets of a later tier are only used when none of an earlier tier is available.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 enum Tier {
-    /// In this failure domain and able to answer within the goal; for large answers only.
+    /// In this failure domain and able to respond within the goal; for large responses only.
     Local,
     /// Has free capacity.
     Available,
--- a/engine/src/placement/dispatch/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! It handles these load patterns:
 //!
-//! - *More requests arrive than targets can process*: a request that probably can't be answered in time is refused at
+//! - *More requests arrive than targets can process*: a request that probably gets no response in time is refused at
 //!   once, with the time until a slot is likely to be free, so that the others are served.
 //! - *A target's queue is almost full*: the target may close connections instead of refusing requests, and the outcome
 //!   of a request on a closed connection is unknown. Requests are queued here instead, by priority and age.
 //! - *Keys are moving to another owner*: requests for them wait briefly for the new owner.
-//! - *A target that fails fast looks idle*: successful answers count, not speed. A target that fails often only gets
+//! - *A target that fails fast looks idle*: successful responses count, not speed. A target that fails often only gets
 //!   single requests until it recovers.
 
 mod admission;
@@ -39,7 +39,7 @@
     fleet::VmId,
 };
 
-/// The time to retry after when no target can be named: no owner or target is reachable, or the queue is full.
+/// How long a caller is asked to wait when no owner or target is reachable, or the queue is full.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// The maximum number of requests that are queued on one VM.
 const MAX_QUEUED: usize = 512;
@@ -52,7 +52,7 @@
     charged: bool,
     /// The queue it is in, if it waits for free capacity at a target.
     queue: Option<QueueKey>,
-    /// Whether too many others go first for it to meet its goal.
+    /// Whether too many others are sent first for it to meet its goal.
     demoted: bool,
 }
 
@@ -225,22 +225,22 @@
 
     /// Records whether a key's owner holds it, unless a newer owner is known than the one that was asked.
     fn record_ownership(&mut self, now: Duration, target: &str, completion: &Completion) {
-        let Some((point, fence)) = completion.ownership else {
+        let Some((key, fence)) = completion.ownership else {
             return;
         };
         let Some(service) = self.target_states.get(target).map(|it| &it.target.service) else {
             return;
         };
-        let range = self.view.records.get(service).and_then(|it| it.find(point));
+        let range = self.view.records.get(service).and_then(|it| it.find(key));
         let Some(range) = range.filter(|range| range.fence == fence) else {
             return;
         };
         match completion.kind {
             CompletionKind::Misdirected => {
-                self.refused_keys.record_refusal(now, service, range, point);
+                self.refused_keys.record_refusal(now, service, range, key);
             }
             CompletionKind::Answered(_) | CompletionKind::Failed | CompletionKind::Refused => {
-                self.refused_keys.record_accepted(service, range, point);
+                self.refused_keys.record_accepted(service, range, key);
             }
             // These say nothing about the key.
             CompletionKind::Lost
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Takes over a new view of the fleet, and keeps the state of targets whose incarnation is the same.
+    /// Applies a new view of the fleet, and keeps the state of targets whose incarnation is the same.
     fn apply_view(&mut self, now: Duration, view: Rc<FleetView>) {
         let mut target_states = IndexMap::new();
         self.warmup_targets.clear();
@@ -282,7 +282,7 @@
         self.vm_count.record(now, view.vms.len());
         self.view = view;
         let records = &self.view.records;
-        let find = |service: &str, point| records.get(service)?.find(point);
+        let find = |service: &str, key| records.get(service)?.find(key);
         self.refused_keys.retain(find);
     }
 
@@ -397,11 +397,11 @@
                 };
                 state.record_sent(now);
                 let record = self.view.records.get(&it.request.service);
-                if let Some((record, point)) = record.zip(basis.key)
-                    && let Some(range) = record.find(point)
+                if let Some((record, key)) = record.zip(basis.key)
+                    && let Some(range) = record.find(key)
                 {
                     self.refused_keys
-                        .record_sent(now, &it.request.service, range, point);
+                        .record_sent(now, &it.request.service, range, key);
                 }
                 if let Some(kind) = quota {
                     state.consume_quota(kind == QuotaKind::WithinGoal);
--- a/engine/src/placement/dispatch/queues.rs
+++ b/engine/src/placement/dispatch/queues.rs
@@ -1,4 +1,4 @@
-//! The requests queued for targets: what the manager is sent about them, and which of them it demotes.
+//! The requests queued for targets: how they are reported to the manager, and which of them it demotes.
 
 use std::time::Duration;
 
@@ -76,8 +76,8 @@
     }
 }
 
-/// Returns how many others can go before a queued request that gets a quota with the next sync exchange, so that it
-/// still meets its goal; `None` if it can't.
+/// Returns how many others can be sent before a queued request that gets a quota with the next sync exchange, so that
+/// it still meets its goal; `None` if it can't.
 fn max_ahead(
     now: Duration,
     request: &DispatchRequest,
@@ -85,10 +85,10 @@
     typical_time: Option<f64>,
 ) -> Option<u32> {
     let expected = Duration::from_secs_f64(state.expected_time(now, typical_time));
-    let left = request
+    let remaining = request
         .goal
         .checked_sub(now + state.sync_interval() + expected)?;
-    let ahead = left.as_millis()
+    let ahead = remaining.as_millis()
         / state
             .completion_interval(now, typical_time)
             .as_millis()
--- a/engine/src/placement/dispatch/rate_limits.rs
+++ b/engine/src/placement/dispatch/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that targets ask for: where they were reported, and what this VM may send without a quota.
+//! Applies the rate limits that targets ask for: what this VM may send to such a target without a quota.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
         std::mem::take(&mut self.log_lines)
     }
 
-    /// Records the rate limit that a target's answer asks for, or that it asks for none.
+    /// Records the rate limit that a target's response asks for, or that it asks for none.
     pub(super) fn record_rate(&mut self, now: Duration, target: &str, rate: Option<Rate>) {
         if self.rates.record(now, catalogue::hash(target), rate) {
             self.apply_rate(target, rate, "answer");
--- a/engine/src/placement/message.rs
+++ b/engine/src/placement/message.rs
@@ -38,15 +38,15 @@
     pub priority: u32,
     /// When the request was received.
     pub received_at: Duration,
-    /// When the route's goal ends; a later answer is worth less.
+    /// When the route's goal ends; a later response is worth less.
     pub goal: Duration,
-    /// When the request times out; a later answer is worth nothing.
+    /// When the request times out; a later response is useless.
     pub deadline: Duration,
     /// Targets that the request was already sent to.
     pub tried: Vec<TargetId>,
-    /// Owners that answered that they don't hold the key, with the fences at which they were asked.
+    /// Owners that refused the request because they don't hold the key, each with its fence when the request was sent.
     pub misdirected: Vec<(TargetId, Fence)>,
-    /// Whether a large answer is expected.
+    /// Whether a large response is expected.
     pub large: bool,
     /// Whether this is a retry, which is charged to the retry budget.
     pub is_retry: bool,
@@ -58,8 +58,8 @@
         let Some(owner) = &range.owner else {
             return false;
         };
-        let mut asked = self.misdirected.iter();
-        asked.any(|(id, fence)| *id == owner.id && *fence == range.fence)
+        let mut refusals = self.misdirected.iter();
+        refusals.any(|(id, fence)| *id == owner.id && *fence == range.fence)
     }
 }
 
@@ -75,7 +75,7 @@
         /// How the request ended.
         completion: Completion,
     },
-    /// A target's answer asks for a rate limit, or for none.
+    /// A target's response asks for a rate limit, or for none.
     Rate(TargetId, Option<Rate>),
     /// The caller of a queued request has left.
     Cancelled(Ticket),
@@ -124,7 +124,7 @@
     pub vms: Vec<VmId>,
     /// Services all of whose targets are in evacuated failure domains.
     pub evacuated: HashSet<ServiceId>,
-    /// Until when targets are, or may be, cold.
+    /// The targets that are or may be cold, and until when.
     pub cold: IndexMap<TargetId, Duration>,
     /// The warm-up limits of cold targets, by service.
     pub warmups: IndexMap<ServiceId, Warmup>,
@@ -212,9 +212,9 @@
     NoOwner,
     /// The key's owner has refused the request, although it may hold the key by now.
     Moved,
-    /// No answer is expected before the deadline.
+    /// No response is expected before the deadline.
     Late,
-    /// No answer is expected within the route's goal, and queued requests of others can still meet theirs.
+    /// No response is expected within the route's goal, and other queued requests can still meet theirs.
     Goal,
     /// The target that could serve the request is rate-limited, and other VMs send to it.
     Rate,
@@ -225,7 +225,7 @@
 }
 
 impl RefusalReason {
-    /// Returns the name of the reason in logs and in answers to callers.
+    /// Returns the name of the reason in logs and in responses to callers.
     ///
     /// # Example
     ///
--- a/engine/src/placement/quota.rs
+++ b/engine/src/placement/quota.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: one key gets a third of all requests, several times what its owner can process, and each VM has some
 //! of them queued. All VMs learn at the same moment that the target's queue has become short, and all send. The queue
-//! overflows, connections are closed, and the requests that get in are answered late. VMs therefore report their queued
+//! overflows, connections are closed, and the accepted requests get late responses. VMs therefore report their queued
 //! requests to the manager, which assigns each VM a quota. The quotas add up to the free capacity and go to the
 //! requests with the highest priority, the oldest first.
 //!
@@ -35,7 +35,7 @@
     /// How long the request has waited, in milliseconds.
     #[serde(rename = "age")]
     pub age_ms: u32,
-    /// How many others can go first without the request missing its goal.
+    /// How many others can be sent first without the request missing its goal.
     #[serde(rename = "reach")]
     pub max_ahead: u32,
 }
@@ -72,13 +72,13 @@
     /// How many other requests it may send.
     #[serde(rename = "late")]
     pub past_goal: u32,
-    /// How many requests of other VMs are queued that meet their goals if all go by priority and age.
+    /// How many queued requests of other VMs meet their goals if all are sent by priority and age.
     #[serde(rename = "line")]
     pub others_within: u32,
     /// How many other requests they have queued.
     #[serde(rename = "behind")]
     pub others_past: u32,
-    /// The VM's requests that can no longer meet their goals, since too many others go first.
+    /// The VM's requests that can no longer meet their goals, since too many others are sent first.
     #[serde(rename = "beyond")]
     pub demoted: Vec<Ticket>,
     /// Whether any VM has a request queued that can still meet its goal.
@@ -116,7 +116,7 @@
 /// ```
 pub fn allot(own: &TargetQueue, others: &[(&TargetQueue, u32)], in_flight: u32) -> Quota {
     let others_within: u32 = others.iter().map(|(queue, _)| queue.within_goal).sum();
-    let order = by_rank(own, others);
+    let ranked = by_rank(own, others);
     let mut quota = Quota {
         target: own.target,
         busy: others_within + own.within_goal > 0,
@@ -125,7 +125,7 @@
     };
     let free = own.limit.saturating_sub(in_flight);
     let mut queued_ahead = 0;
-    for (it, is_own) in order {
+    for (it, is_own) in ranked {
         if queued_ahead > it.max_ahead {
             if is_own {
                 quota.demoted.push(it.ticket);
@@ -206,7 +206,7 @@
             (QueuedRequest { age_ms: age, ..*it }, false)
         })
     });
-    let mut order: Vec<(QueuedRequest, bool)> = own.chain(others).collect();
-    order.sort_by_key(|(it, is_own)| (it.priority, Reverse(it.age_ms), *is_own));
-    order
+    let mut ranked: Vec<(QueuedRequest, bool)> = own.chain(others).collect();
+    ranked.sort_by_key(|(it, is_own)| (it.priority, Reverse(it.age_ms), *is_own));
+    ranked
 }
--- a/engine/src/placement/rates.rs
+++ b/engine/src/placement/rates.rs
@@ -1,8 +1,8 @@
 //! The rate limits that overloaded targets ask for.
 //!
-//! A target names its rate in its answers for as long as the limit applies, and the limit is for all VMs together. Each
-//! VM therefore passes the rates that it receives on to the other VMs through the manager, each report with its age.
-//! The newest report counts.
+//! A target states its rate limit in its responses for as long as the limit applies, and the limit is for all VMs
+//! together. Each VM therefore passes the limits that it receives to the other VMs through the manager, each with its
+//! age. The newest report counts.
 
 use std::time::Duration;
 
@@ -12,8 +12,8 @@
 use super::warmup::SenderPlan;
 use crate::{catalogue::TargetHash, target::Rate};
 
-/// How much newer than the known report another one must be: a report that has gone to another VM and back looks
-/// slightly younger.
+/// How much newer than the known report another one must be: a report that returns from another VM looks slightly
+/// newer.
 const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(100);
 /// How long a report is valid. A rate-limited target still gets requests, so it repeats its report before that.
 const RATE_VALIDITY: Duration = Duration::from_mins(1);
@@ -23,7 +23,7 @@
 const MIN_RATE: Rate = 0.25;
 /// How many VMs send at an interval of their own; if one of them fails, the other continues.
 const SENDERS: u32 = 2;
-/// The fraction of the rate that these VMs use: in any period each may send one request more than its interval says,
+/// The fraction of the rate that these VMs use: in any period each may send one request more than its interval allows,
 /// and VMs with a different list of VMs may send too.
 const SENDERS_FRACTION: f64 = 0.75;
 
@@ -153,7 +153,7 @@
         changed
     }
 
-    /// Drops reports that are no longer valid; returns the targets whose limits end by that.
+    /// Drops reports that are no longer valid; returns the targets whose limits end as a result.
     ///
     /// # Example
     ///
--- a/engine/src/placement/refused_keys.rs
+++ b/engine/src/placement/refused_keys.rs
@@ -1,7 +1,7 @@
 //! Keys that their owners refuse, and when to send requests for them again.
 //!
-//! Load pattern: an owner releases a key, or it ends and a target of another service gets its address. Until the next
-//! owner is known, each request for its keys would be sent there and refused.
+//! Load pattern: an owner releases a key, or its process ends and a target of another service gets its address. Until
+//! the next owner is known, each request for its keys would be sent there and refused.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -19,7 +19,7 @@
 /// How soon an owner refuses a key that it doesn't hold: a refusal needs no slot, and targets are a few milliseconds
 /// away.
 const REFUSAL_TIME: Duration = Duration::from_millis(100);
-/// How many refusals in a row make the whole range count as refused: a single key may have been taken out of the range.
+/// How many refusals in a row make the whole range count as refused: a single key may have been moved out of the range.
 const MIN_REFUSALS: u32 = 2;
 /// How long after its first refusal a range that is still refused counts as lost.
 ///
@@ -32,7 +32,7 @@
 /// The time during which no request is sent after a refusal.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// When the first refusal came.
+    /// When the first refusal was received.
     started_at: Duration,
     /// When the next request may be sent.
     until: Duration,
@@ -64,7 +64,7 @@
     whole: Option<Backoff>,
 }
 
-/// The state of a key that its owner has refused.
+/// Whether a request for a key may be sent to its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyState {
     /// A request may be sent.
--- a/engine/src/placement/target_state.rs
+++ b/engine/src/placement/target_state.rs
@@ -36,33 +36,33 @@
 const REFILL_INTERVALS: f64 = 1.5;
 /// How long it takes until a queued request gets a quota, in sync intervals.
 const QUOTA_INTERVALS: f64 = 2.0;
-/// How long that may take, in service times: with one request in the target's own queue, its slots stay busy meanwhile.
+/// The maximum of that time, in service times: one request in the target's own queue keeps its slots busy meanwhile.
 const QUOTA_SERVICE_TIMES: f64 = 1.5;
 /// How many requests of all VMs the target's own queue may hold, as far as this VM knows.
 ///
-/// Targets queue some 8 and may close connections when full. VMs learn of each other's requests late, so the end
-/// of the queue is left empty.
+/// Targets queue some 8 and may close connections when full. VMs learn of each other's requests late, so part
+/// of the queue is left unused.
 pub const MAX_TARGET_QUEUE: f64 = 5.0;
 /// The minimum time without queued requests after which a target's queue counts as drained: a few sync exchanges, in
 /// which the queue may be empty by chance.
 const MIN_QUEUE_GAP: Duration = Duration::from_millis(250);
 /// The minimum service time that is assumed for a service without measurements.
 pub(super) const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(80);
-/// How much slower a target that has just started is assumed to be: a factor of two that wears off.
+/// The factor by which service times of a cold target are assumed to be longer; the real one starts at two and falls.
 const COLD_FACTOR: f64 = 1.7;
 /// The first backoff after a target couldn't be reached.
 const MIN_BACKOFF: Duration = Duration::from_millis(400);
-/// The longest backoff; a target that is back earlier gets no requests for this long.
+/// The longest backoff; a target that recovers earlier still gets no requests until it ends.
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 /// The failure rate above which a target only gets single probes.
 const MAX_FAILURE_RATE: f64 = 0.35;
-/// After how many typical times a request counts as overdue: one in a hundred takes five.
+/// After how many typical times a request counts as overdue: one request in a hundred takes five.
 const OVERDUE_FACTOR: f64 = 4.0;
 /// The time between two probes of a target that fails, or that seems too slow.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// The weight of a new result in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// The half-life of the failure rate without new answers, in seconds.
+/// The half-life of the failure rate without new responses, in seconds.
 const FAILURE_HALF_LIFE_SECS: f64 = 3.0;
 
 /// The state of one target as this VM knows it.
@@ -76,13 +76,13 @@
     sent_times: Vec<Duration>,
     /// Other VMs' requests by the last load report, at the time of that report.
     reported_others: f64,
-    /// The moving average of these numbers.
+    /// The moving average of other VMs' requests over all load reports.
     mean_others: f64,
     /// When the last load report arrived.
     reported_at: Option<Duration>,
     /// Other VMs' in-flight requests by the last sync response, and when it arrived.
     synced: Option<(u32, Duration)>,
-    /// The time from that response to the next.
+    /// The time from that sync response to the next.
     sync_interval: Duration,
     /// What may be sent until the next sync response, while requests are queued for this target.
     quota: Option<Quota>,
@@ -105,7 +105,7 @@
     backoff: Duration,
     /// When this VM last sent a request.
     last_sent_at: Duration,
-    /// Whether another target answers at the address.
+    /// Whether another target uses the address.
     address_reused: bool,
     /// The limit on this VM's requests while the target is cold.
     warmup_limiter: SendLimiter,
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Returns whether the manager assigns quotas for the target: it has responded lately, and quotas arrive in time.
+    /// Returns whether the manager assigns quotas for the target: it has responded recently, and quotas arrive in time.
     ///
     /// A quota arrives two sync exchanges after the request is queued. If requests take less time than that, a slot
     /// would be idle after each request, so a VM that sees free capacity sends at once. Requests to the owner of a key
@@ -329,7 +329,7 @@
 
     /// Returns how much longer than typical the oldest request has taken, in seconds.
     ///
-    /// This shows that a target has become slow before its first answer.
+    /// This shows that a target has become slow before its first response.
     fn overdue(&self, now: Duration, typical_time: f64) -> f64 {
         let oldest = self.sent_times.iter().min();
         let elapsed = oldest.map_or(0.0, |at| now.saturating_sub(*at).as_secs_f64());
@@ -352,9 +352,9 @@
         self.failure_rate(now) > MAX_FAILURE_RATE && now < self.last_sent_at + PROBE_INTERVAL
     }
 
-    /// Returns whether a single request should probe the target's speed, though no answer is expected in time.
+    /// Returns whether a single request should probe the target's speed, though no response is expected in time.
     ///
-    /// An idle target may seem slow because of outdated answers, and only another answer can correct that.
+    /// An idle target may seem slow because of outdated measurements, and only another response can correct that.
     pub fn needs_probe(&self, now: Duration) -> bool {
         let idle = self.own_in_flight == 0 && self.depth(now) < f64::from(self.slots());
         let has_queue = self.quota.as_ref().is_some_and(|it| it.busy);
@@ -407,7 +407,7 @@
         }
     }
 
-    /// Records a load report in an answer.
+    /// Records a load report in a response.
     fn record_load(&mut self, now: Duration, load: LoadReport) {
         let all = f64::from(load.running + load.waiting);
         self.reported_others = (all - f64::from(self.own_in_flight)).max(0.0);
@@ -415,7 +415,7 @@
         self.reported_at = Some(now);
     }
 
-    /// Records the service time of an answer to a request that was sent while `depth` others were there.
+    /// Records the service time of a request that was sent while `depth` others were at the target.
     fn record_service_time(&mut self, now: Duration, took: Duration, depth: f64) {
         self.measured_at = now;
         let slots = self.target.slots.max(1) as f64;
@@ -427,12 +427,12 @@
         *mean += (sample - *mean) * AVERAGE_WEIGHT;
     }
 
-    /// Records an abandoned request, which would have taken even longer.
+    /// Records an abandoned request, whose response would have taken longer than `waited`.
     fn record_abandoned(&mut self, now: Duration, waited: Duration, depth: f64) {
         let slots = self.target.slots.max(1) as f64;
         let queued = ((depth + 1.0 - slots).max(0.0) / slots).min(4.0);
-        let least = waited.as_secs_f64() / (1.0 + queued);
-        if self.service_time.is_some_and(|time| least > time) {
+        let min_time = waited.as_secs_f64() / (1.0 + queued);
+        if self.service_time.is_some_and(|time| min_time > time) {
             self.record_service_time(now, waited, depth);
         }
     }
--- a/engine/src/placement/task.rs
+++ b/engine/src/placement/task.rs
@@ -54,9 +54,9 @@
 }
 
 impl Permit {
-    /// Reports the rate limit that the target's answer asks for; `None` if it asks for none.
+    /// Reports the rate limit that the target's response asks for; `None` if it asks for none.
     pub fn report_rate(&self, rate: Option<Rate>) {
-        // Most targets never ask for a limit, and a message for each of their answers would be wasted.
+        // Most targets never ask for a limit, and a message for each of their responses would be wasted.
         if rate.is_none() && self.basis.rate.is_none() {
             return;
         }
@@ -80,7 +80,7 @@
                     sent_at: self.sent_at,
                     depth: self.basis.depth,
                     load,
-                    ownership: self.basis.key.map(|point| (point, self.basis.fence)),
+                    ownership: self.basis.key.map(|key| (key, self.basis.fence)),
                 },
             });
         }
--- a/engine/src/placement/warmup.rs
+++ b/engine/src/placement/warmup.rs
@@ -1,8 +1,8 @@
 //! Decides which VMs may send to a cold target, and how often.
 //!
 //! Load pattern: a target has just started, or a whole failure domain has come back, and each target can only process a
-//! few requests per second for some seconds. Above that it fails and starts again, cold. To sixty VMs it looks idle,
-//! and one request per second from each of them is ten times too many.
+//! few requests per second for some seconds. Above that rate it fails and restarts, cold again. To sixty VMs
+//! it looks idle, and one request per second from each of them is ten times too many.
 //!
 //! Therefore only a few VMs send to it, chosen by a hash of their names and the target's id, each with its part of the
 //! rate. That needs no messages, and it works without a manager, for VMs that can't reach the manager, and for any
@@ -71,7 +71,7 @@
     /// ```
     pub fn of(warmup: Warmup, burst: BurstAllowance) -> Option<Self> {
         let limit = (warmup.rate * burst.factor + burst.slack) / MAX_VIEWS;
-        // In any one second each sender may send one request more than its rate says.
+        // In any one second, each sender may send one request more than its rate allows.
         let spare = limit - warmup.rate;
         let senders = (1..=MAX_SENDERS)
             .rev()
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -121,7 +121,7 @@
     shared_fleet: SharedFleet,
     keys: Rc<StoreKeys>,
     vm: Vm,
-    /// Whether the store answers.
+    /// Whether the store answers this VM.
     store_health: Health,
     /// Whether the sync exchange with the manager works.
     manager_health: Health,
--- a/engine/src/report/events.rs
+++ b/engine/src/report/events.rs
@@ -56,7 +56,7 @@
 }
 
 impl Events {
-    /// Adds an event with the current time; `request` tells whether a request has completed.
+    /// Adds an event with the current time; `request` says whether it is a completed request.
     ///
     /// # Example
     ///
--- a/engine/src/report/metrics.rs
+++ b/engine/src/report/metrics.rs
@@ -14,7 +14,7 @@
 const MAX_LATENCY_MS: u64 = 120_000;
 /// The significant decimal digits of a latency.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The number of metrics kept; names contain routes, which operators can change at any rate.
+/// The number of metrics kept; names contain routes, which operators can replace at any time.
 const MAX_METRICS: usize = 2_000;
 
 #[derive(Debug)]
--- a/engine/src/report/mod.rs
+++ b/engine/src/report/mod.rs
@@ -44,7 +44,7 @@
 }
 
 impl Report {
-    /// Creates a report that counts; it logs nothing until [`Report::start_log`].
+    /// Creates a report that collects metrics; it logs nothing until [`Report::start_log`].
     ///
     /// # Example
     ///
@@ -190,8 +190,8 @@
     /// report.time("answer", Duration::from_millis(5), &[]);
     /// assert!(report.text().contains("bramleypier.answer_ms_p99 5"));
     /// ```
-    pub fn time(&self, name: &str, span: Duration, tags: &[(&str, &str)]) {
-        let mut metric = self.client.time_with_tags(name, span);
+    pub fn time(&self, name: &str, duration: Duration, tags: &[(&str, &str)]) {
+        let mut metric = self.client.time_with_tags(name, duration);
         for (key, value) in tags {
             metric = metric.with_tag(key, value);
         }
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -74,7 +74,7 @@
 /// The number of VMs above which the manager's lease and the interval of their sync requests grow in
 /// proportion to the number.
 ///
-/// At this number and the shortest interval, 600 sync requests a second reach the manager. With more VMs, it
+/// At this number and the shortest interval, 600 sync requests per second reach the manager. With more VMs, it
 /// would take longer to renew all grants than the base lease lasts.
 pub(crate) const BASELINE_VMS: u32 = 24;
 
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -44,7 +44,7 @@
     pub request_id: Option<String>,
     /// The load that the target reports.
     pub load: Option<LoadReport>,
-    /// The rate limit that the target requests; none if it accepts any rate.
+    /// The rate limit that the target asks for; `None` if it accepts any rate.
     pub rate: Option<Rate>,
 }
 
@@ -63,7 +63,7 @@
 
 /// The protocol that targets use; an adapter implements it for one platform.
 pub trait TargetProtocol {
-    /// Returns the last key; the first is 0.
+    /// Returns the last key of the key space; the first is 0.
     fn last_key(&self) -> RequestKey;
 
     /// Sets the headers of a request to a target; `remaining` is the time in which it must respond.
@@ -73,10 +73,10 @@
     fn read(&self, status: StatusCode, headers: &HeaderMap) -> Reply;
 
     /// Builds the call that grants a range of keys.
-    fn grant(&self, order: &OwnershipCommand) -> Call;
+    fn grant(&self, command: &OwnershipCommand) -> Call;
 
     /// Builds the call that releases a range of keys.
-    fn release(&self, order: &OwnershipCommand) -> Call;
+    fn release(&self, command: &OwnershipCommand) -> Call;
 
     /// Reads the result of a grant or release from its response.
     fn call_result(&self, status: StatusCode, headers: &HeaderMap) -> CallOutcome;
