--- a/engine/src/caller/attempts.rs
+++ b/engine/src/caller/attempts.rs
@@ -96,6 +96,7 @@
     failed: Option<Response<Body>>,
 }
 
+/// What follows an attempt: another one, or the end of the request.
 enum Step {
     Again,
     End(Result<Response<Body>, LocalResponse>),
@@ -128,7 +129,7 @@
         service: routed.service.clone(),
         key: routed.info.key.filter(|_| routed.keyed),
         priority: routed.route.priority,
-        received_at: routed.arrived,
+        received_at: routed.received_at,
         goal: routed.goal_deadline,
         deadline: routed.deadline,
         // Only the owner can serve a key, so a retry may go to the same target.
--- a/engine/src/caller/forward.rs
+++ b/engine/src/caller/forward.rs
@@ -69,8 +69,8 @@
     pub(super) keyed: bool,
     /// The configuration's version.
     pub(super) version: u64,
-    /// When the request arrived.
-    pub(super) arrived: Duration,
+    /// When the request was received.
+    pub(super) received_at: Duration,
     /// When its route's goal ends.
     pub(super) goal_deadline: Duration,
     /// When its caller stops waiting, or the route's timeout ends.
@@ -79,7 +79,7 @@
 
 /// Handles one request, from its arrival to its response.
 pub async fn handle(context: Context, request: Request<Incoming>) -> Response<Body> {
-    let arrived = context.clock.now();
+    let received_at = context.clock.now();
     let info = context
         .callers
         .read(request.method(), request.uri(), request.headers());
@@ -94,19 +94,19 @@
             &context,
             &info,
             None,
-            arrived,
+            received_at,
             &Trace::default(),
             Err(local),
         );
     };
-    let routed = match find_route(&context, &info, &config, &request, arrived) {
+    let routed = match find_route(&context, &info, &config, &request, received_at) {
         Ok(routed) => routed,
         Err(local) => {
             return finish(
                 &context,
                 &info,
                 None,
-                arrived,
+                received_at,
                 &Trace::default(),
                 Err(local),
             );
@@ -116,7 +116,7 @@
     drop(config);
     if routed.route.kind.is_idempotent() {
         let (result, trace) = run(&context, &routed, request, limit).await;
-        return finish(&context, &info, Some(&routed), arrived, &trace, result);
+        return finish(&context, &info, Some(&routed), received_at, &trace, result);
     }
     // A request that can't be retried runs in a task of its own, which continues when its caller disconnects.
     let (sender, receiver) = oneshot::channel();
@@ -129,7 +129,7 @@
                 &context,
                 &info,
                 Some(&routed),
-                arrived,
+                received_at,
                 &Trace::default(),
                 Err(local),
             );
@@ -150,7 +150,7 @@
             &task_context,
             &task_request.info,
             Some(&task_request),
-            arrived,
+            received_at,
             &trace,
             result,
         );
@@ -169,7 +169,7 @@
             &context,
             &info,
             Some(&routed),
-            arrived,
+            received_at,
             &Trace::default(),
             Err(lost()),
         ),
@@ -191,7 +191,7 @@
     info: &RequestInfo,
     config: &Rc<Config>,
     request: &Request<Incoming>,
-    arrived: Duration,
+    received_at: Duration,
 ) -> Result<RoutedRequest, LocalResponse> {
     let host = request
         .headers()
@@ -219,9 +219,9 @@
         service,
         keyed,
         version: config.version,
-        arrived,
-        goal_deadline: (arrived + route.goal).saturating_sub(elapsed),
-        deadline: arrived + timeout,
+        received_at,
+        goal_deadline: (received_at + route.goal).saturating_sub(elapsed),
+        deadline: received_at + timeout,
     })
 }
 
@@ -264,11 +264,11 @@
     context: &Context,
     info: &RequestInfo,
     routed: Option<&RoutedRequest>,
-    arrived: Duration,
+    received_at: Duration,
     trace: &Trace,
     result: Result<Response<Body>, LocalResponse>,
 ) -> Response<Body> {
-    let took = context.clock.now().saturating_sub(arrived);
+    let took = context.clock.now().saturating_sub(received_at);
     let (outcome, cause, response) = match result {
         Ok(response) => ("answered", String::new(), response),
         Err(local) => {
--- a/engine/src/caller/serve.rs
+++ b/engine/src/caller/serve.rs
@@ -45,9 +45,9 @@
     state: ServingState,
 ) {
     let (shared_fleet, clock) = (context.shared_fleet.clone(), context.clock.clone());
-    let bounds = move || {
+    let limits = move || {
         let fleet = shared_fleet.get();
-        bounds(
+        connection_limits(
             fleet
                 .config
                 .as_ref()
@@ -65,10 +65,10 @@
             response
         }
     };
-    server::serve_with(listener, control, clock, bounds, handler).await;
+    server::serve_with(listener, control, clock, limits, handler).await;
 }
 
-fn bounds(limits: CallerLimits) -> ConnectionLimits {
+fn connection_limits(limits: CallerLimits) -> ConnectionLimits {
     ConnectionLimits {
         head_bytes: limits.head_bytes,
         head_time: limits.head_time,
--- a/engine/src/catalogue/mod.rs
+++ b/engine/src/catalogue/mod.rs
@@ -127,7 +127,7 @@
     pub max_connections: usize,
     /// Whether each key has one owner among the targets.
     pub keyed: bool,
-    /// How long a key is slow on its new owner if it moved without a handover.
+    /// How long requests for a key are slow after the key moved to a new owner without a handover.
     #[serde(rename = "warm")]
     pub key_warmup: Duration,
     /// The limits of its targets while they are cold; `None` if they have no limit.
--- a/engine/src/fleet/evacuation.rs
+++ b/engine/src/fleet/evacuation.rs
@@ -42,7 +42,7 @@
     ///
     /// Its targets may be cold before they announce it, so they count as cold from now on.
     pub(super) fn end_evacuation(&mut self, now: Duration, domain: &str) -> Vec<String> {
-        // A VM that missed the start of the evacuation treats the targets as cold all the same.
+        // A VM that missed the start of the evacuation also treats the targets as cold.
         let since = self.evacuated.shift_remove(domain).unwrap_or(now);
         let warmups = self.warmups();
         let targets = self.targets.values().filter(|it| it.domain == domain);
--- a/engine/src/owner/balance.rs
+++ b/engine/src/owner/balance.rs
@@ -22,8 +22,8 @@
     record::{Incarnation, KeyRange, Record, RequestKey},
 };
 
-/// Targets up to this utilisation keep their keys, since few requests queue there.
-const CALM_UTILISATION: f64 = 0.5;
+/// Targets up to this utilisation keep their keys, since they queue few requests.
+const LOW_UTILISATION: f64 = 0.5;
 /// Ratio of a target's utilisation to the mean above which keys move away.
 ///
 /// Rates over some seconds scatter by 10 to 20 %; below 1.25 that scatter alone would move keys.
@@ -33,7 +33,7 @@
 /// Capacities are known to within some 15 %; at 0.9 a hot key moved back and forth among fast targets.
 const REQUIRED_RATIO: f64 = 0.8;
 /// Utilisations that differ by less count as equal; then the run found first is taken.
-const EQUAL_WITHIN: f64 = 0.01;
+const UTILISATION_TOLERANCE: f64 = 0.01;
 /// The maximum number of moves begun at once: requests for the keys of each move wait for a moment.
 const MAX_MOVES: usize = 5;
 /// The utilisation up to which a target without load is filled, as a ratio to the mean.
@@ -317,7 +317,7 @@
             return false;
         };
         let utilisation = self.utilisation(busiest);
-        let overloaded = utilisation > CALM_UTILISATION && utilisation > self.mean * MAX_IMBALANCE;
+        let overloaded = utilisation > LOW_UTILISATION && utilisation > self.mean * MAX_IMBALANCE;
         let idle = self.rates[idlest] < 0.2 && self.mean > 0.0;
         let chosen = if overloaded {
             self.relieve(busiest)
@@ -347,17 +347,17 @@
         for to in (0..self.candidates.len()).filter(|to| *to != busiest) {
             // After a move of this rate both have the same utilisation.
             let (from, into) = (&self.candidates[busiest], &self.candidates[to]);
-            let want = (self.rates[busiest] * into.capacity - self.rates[to] * from.capacity)
+            let wanted = (self.rates[busiest] * into.capacity - self.rates[to] * from.capacity)
                 / (from.capacity + into.capacity);
-            if want <= 0.0 {
+            if wanted <= 0.0 {
                 continue;
             }
-            let runs = [self.narrowest_run(busiest, want), hottest_key];
+            let runs = [self.narrowest_run(busiest, wanted), hottest_key];
             for run in runs.into_iter().flatten() {
                 let kept = (self.rates[busiest] - run.rate) / from.capacity;
                 let added = (self.rates[to] + run.rate) / into.capacity;
                 let after = kept.max(added);
-                if best.is_none_or(|(_, _, least)| after < least - EQUAL_WITHIN) {
+                if best.is_none_or(|(_, _, least)| after < least - UTILISATION_TOLERANCE) {
                     best = Some((run, to, after));
                 }
             }
@@ -386,31 +386,31 @@
 
     /// Returns a run of the busiest candidate's keys for one without load.
     fn fill_idle(&self, busiest: usize, idlest: usize) -> Option<(Run, usize)> {
-        let want = self.mean * self.candidates[idlest].capacity * IDLE_FILL_RATIO;
-        let run = self.narrowest_run(busiest, want)?;
+        let wanted = self.mean * self.candidates[idlest].capacity * IDLE_FILL_RATIO;
+        let run = self.narrowest_run(busiest, wanted)?;
         Some((run, idlest))
     }
 
-    /// Returns the narrowest run of a candidate's keys that carries about `want` requests per second.
-    fn narrowest_run(&self, owner: usize, want: f64) -> Option<Run> {
+    /// Returns the narrowest run of a candidate's keys that carries about `wanted` requests per second.
+    fn narrowest_run(&self, owner: usize, wanted: f64) -> Option<Run> {
         let incarnation = &self.candidates[owner].incarnation;
         let own = self
             .record
             .ranges
             .iter()
             .filter(|range| range.owner.as_ref() == Some(incarnation));
-        let runs = own.filter_map(|range| self.narrowest_run_in(range, want));
+        let runs = own.filter_map(|range| self.narrowest_run_in(range, wanted));
         runs.min_by_key(|run| run.to - run.from)
     }
 
     /// Returns the narrowest such run within one range, by a sliding window over its keys.
-    fn narrowest_run_in(&self, range: &KeyRange, want: f64) -> Option<Run> {
+    fn narrowest_run_in(&self, range: &KeyRange, wanted: f64) -> Option<Run> {
         let keys = self.load.key_rates(range.from, range.to);
         let (mut start, mut rate) = (0, 0.0);
         let mut best: Option<Run> = None;
         for (end, (last, key_rate)) in keys.iter().enumerate() {
             rate += key_rate;
-            while start < end && (rate - keys[start].1 >= want || rate > want * MAX_RUN_RATIO) {
+            while start < end && (rate - keys[start].1 >= wanted || rate > wanted * MAX_RUN_RATIO) {
                 rate -= keys[start].1;
                 start += 1;
             }
@@ -419,7 +419,7 @@
                 to: *last,
                 rate,
             };
-            let fits = rate >= want * MIN_RUN_RATIO && rate <= want * MAX_RUN_RATIO;
+            let fits = rate >= wanted * MIN_RUN_RATIO && rate <= wanted * MAX_RUN_RATIO;
             let excluded = self.is_excluded(run.from, run.to);
             let narrower = best.is_none_or(|least| run.to - run.from < least.to - least.from);
             if fits && !excluded && narrower {
--- a/engine/src/owner/calls.rs
+++ b/engine/src/owner/calls.rs
@@ -28,7 +28,7 @@
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long after a target has closed a connection a refused connection proves that its process ended.
 ///
-/// The manager calls within 50 ms of the end; the rest allows for retransmitted packets.
+/// The manager calls the target within 50 ms of the close; the rest allows for retransmitted packets.
 const MAX_CLOSE_AGE: Duration = Duration::from_secs(1);
 /// How long after its decision a grant may be sent: if the process was frozen in between, its lease may
 /// have expired. A VM that is slowed down eight times takes some 0.3 s to begin sixty calls.
@@ -64,9 +64,10 @@
     cold.map(|(id, until)| (id.clone(), *until)).collect()
 }
 
-/// Returns how long this VM waits before it bids: VMs with more CPU first, then by a hash of the process start.
+/// Returns how long this VM waits before it bids: VMs bid in the order of their capacity, the highest first, then by a
+/// hash of the process start.
 ///
-/// The manager responds to all other VMs and renews all grants; with too little CPU it fails to renew its lease.
+/// The manager responds to all other VMs and renews all grants; with too little capacity it fails to renew its lease.
 pub(super) fn bid_delay(fleet: &Fleet, own: &Vm) -> Duration {
     let priority = |vm: &Vm| {
         let hash = xxhash_rust::xxh3::xxh3_64(vm.start.as_bytes());
--- a/engine/src/owner/load.rs
+++ b/engine/src/owner/load.rs
@@ -8,13 +8,13 @@
 ///
 /// The slow count is steady for keys with two requests per second; the fast one shows within half a second that
 /// a key has become hot.
-const HALF_LIVES_S: [f64; 2] = [3.0, 0.6];
-/// The minimum fast count that is used: below it, chance alone makes keys look hot.
+const HALF_LIVES_SECS: [f64; 2] = [3.0, 0.6];
+/// The minimum fast count that is used, in requests: below it, chance alone makes keys look hot.
 const MIN_FAST_COUNT: f64 = 6.0;
 /// The shortest time over which a rate is computed.
 const MIN_SPAN: Duration = Duration::from_millis(200);
-/// Keys with a lower slow count are dropped, in requests.
-const DROP_BELOW: f64 = 0.02;
+/// The minimum slow count, in requests; keys with a lower one are dropped.
+const MIN_SLOW_COUNT: f64 = 0.02;
 
 /// The decaying counts of one key, in requests.
 #[derive(Clone, Copy, Debug, Default)]
@@ -72,11 +72,11 @@
         let elapsed = now.saturating_sub(self.decayed_at).as_secs_f64();
         if elapsed > 0.0 {
             self.decayed_at = now;
-            let decay = HALF_LIVES_S.map(|half| (-elapsed / half).exp2());
+            let decay = HALF_LIVES_SECS.map(|half| (-elapsed / half).exp2());
             self.counts.retain(|_, counts| {
                 counts.slow *= decay[0];
                 counts.fast *= decay[1];
-                counts.slow > DROP_BELOW
+                counts.slow > MIN_SLOW_COUNT
             });
         }
         for (key, count) in counts {
@@ -93,7 +93,7 @@
             self.decayed_at.saturating_sub(first_at)
         });
         let elapsed = elapsed.max(MIN_SPAN).as_secs_f64();
-        HALF_LIVES_S.map(|half| half / std::f64::consts::LN_2 * (1.0 - (-elapsed / half).exp2()))
+        HALF_LIVES_SECS.map(|half| half / std::f64::consts::LN_2 * (1.0 - (-elapsed / half).exp2()))
     }
 
     /// Returns how many requests were counted, less those that have decayed.
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -189,7 +189,7 @@
                 Either::Left((Either::Left((Some(message), _)), _)) => self.handle(message),
                 Either::Left((Either::Right(_), _)) => {
                     self.fleet_changed();
-                    // The manager may have ended: a late bid would leave the lease to a VM with less CPU.
+                    // The manager may have ended: a late bid would leave the lease to a VM with less capacity.
                     self.tick();
                 }
                 Either::Right(_) => self.tick(),
--- a/engine/src/owner/ownership/call_outcomes.rs
+++ b/engine/src/owner/ownership/call_outcomes.rs
@@ -5,9 +5,9 @@
 use super::{CallOutcome, Effect, RETRY_DELAY, ServiceOwnership};
 use crate::owner::{range_state::Phase, record::RequestKey};
 
-/// After how many grants in a row without a response only releases are sent.
+/// The number of consecutive grants without a response after which only releases are sent.
 ///
-/// With three responses in ten lost, six lost in a row happen once in 1,400 times.
+/// With three in ten responses lost, six consecutive losses happen once in 1,400 times.
 const MAX_UNANSWERED: u32 = 6;
 
 /// How long an incarnation that lost ranges by not responding or by its end gets no others.
@@ -98,8 +98,8 @@
 
     /// Makes the grants to an owner at an address due at once, to learn whether its process still runs.
     ///
-    /// The keys of a target that has ended are then without an owner for some 0.1 s instead of up to a whole renewal
-    /// interval.
+    /// Otherwise the keys of a target that has ended would have no owner for up to a whole renewal interval, instead of
+    /// some 0.1 s.
     pub(super) fn connection_closed(&mut self, now: Duration, address: SocketAddr) {
         for range in &self.record.ranges {
             let owned = range.owner.as_ref().is_some_and(|it| it.address == address);
--- a/engine/src/owner/ownership/mod.rs
+++ b/engine/src/owner/ownership/mod.rs
@@ -14,7 +14,7 @@
 //!   [`Timing::latest_expiry`] after the end of the lease. A successor waits for them, unless every manager
 //!   before it is known to have stopped. The end of the previous manager alone says nothing about managers
 //!   for which that one had not waited itself ([`Record::settled`]).
-//! - The next incarnation of a target knows no fence, and an earlier manager could grant to it. So the end of an
+//! - The next incarnation of a target has seen no fence, and an earlier manager could grant to it. So the end of an
 //!   incarnation frees its ranges only once all earlier managers have stopped, or once the next incarnation has
 //!   seen a higher fence.
 //! - A grant without a response may have arrived until the moment at which its connection was reset.
@@ -242,7 +242,7 @@
             Event::Targets(targets) => self.set_targets(targets),
             Event::GrantEnded(from, outcome) => self.grant_ended(now, from, &outcome, &mut effects),
             Event::ReleaseEnded(from, outcome) => {
-                self.release_ended(now, from, outcome, &mut effects)
+                self.release_ended(now, from, outcome, &mut effects);
             }
             Event::Committed => self.committed(now),
             Event::CommitFailed => self.commit_failed(now),
--- a/engine/src/owner/ownership/moves.rs
+++ b/engine/src/owner/ownership/moves.rs
@@ -43,7 +43,7 @@
 const COLD_CAPACITY_RATIO: f64 = 0.5;
 
 /// The time that one request is assumed to take, in seconds, while nothing was measured.
-const DEFAULT_SERVICE_TIME_S: f64 = 0.1;
+const DEFAULT_SERVICE_TIME_SECS: f64 = 0.1;
 
 /// Keys that moved recently and stay where they are for a while.
 #[derive(Debug)]
@@ -68,7 +68,7 @@
     /// Targets that are avoided, unresponsive or in warm-up are returned only if there is no other.
     pub(super) fn candidates(&self, now: Duration) -> Vec<Candidate> {
         let default = median(self.service_times.values().copied().collect())
-            .unwrap_or(DEFAULT_SERVICE_TIME_S);
+            .unwrap_or(DEFAULT_SERVICE_TIME_SECS);
         let ready = self.targets.values().filter(|it| !it.leaving);
         let candidates = ready.map(|it| {
             let time = self.service_times.get(&it.id).copied().unwrap_or(default);
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Returns the owners whose last call could not be sent or got no response.
+    /// Returns the owners to which the last call could not be sent or got no response.
     ///
     /// Such an owner stays announced for a while, and has little load.
     fn unresponsive_owners(&self) -> HashSet<&Incarnation> {
--- a/engine/src/owner/range_state.rs
+++ b/engine/src/owner/range_state.rs
@@ -47,9 +47,9 @@
     pub(super) grant_duration: Duration,
     /// When the next call to the owner is due.
     pub(super) next_call: Duration,
-    /// How many calls in a row got no response.
+    /// The number of consecutive calls that got no response.
     pub(super) unanswered: u32,
-    /// How many calls in a row could not be sent.
+    /// The number of consecutive calls that could not be sent.
     pub(super) unsent: u32,
     /// The data that the previous owner returned for the next one.
     pub(super) handover: Option<String>,
@@ -94,7 +94,7 @@
             .max(Some(now + worst_case_duration(self.grant_duration)));
     }
 
-    /// Returns whether the owner's last call could not be sent or got no response.
+    /// Returns whether the last call to the owner could not be sent or got no response.
     pub(super) fn is_unresponsive(&self) -> bool {
         self.unanswered > 0 || self.unsent > 0
     }
--- a/engine/src/placement/dispatch/admission.rs
+++ b/engine/src/placement/dispatch/admission.rs
@@ -10,8 +10,8 @@
 //! - *An overloaded target limits the requests per second that it takes from all VMs*: a request is only sent with a
 //!   quota, and the manager assigns no more than the rate. While it assigns none, a few VMs send at an interval.
 //! - *The queue for a target takes longer than a goal*: a request that arrives then can't meet its goal, and requests
-//!   past their goal go behind all others. A queue that lasts for as long as a goal is not a short burst. From then on
-//!   requests past their goal are refused at once, since the others take all slots.
+//!   past their goal are sent after all others. A queue that lasts for as long as a goal is not a short burst. From
+//!   then on requests past their goal are refused at once, since the others take all slots.
 
 use std::time::Duration;
 
--- a/engine/src/placement/dispatch/mod.rs
+++ b/engine/src/placement/dispatch/mod.rs
@@ -223,7 +223,7 @@
         snapshot
     }
 
-    /// Records whether a key's owner holds it, unless a newer owner is known than the one that was asked.
+    /// Records whether a key's owner holds it, unless a newer owner is known than the one that got the request.
     fn record_ownership(&mut self, now: Duration, target: &str, completion: &Completion) {
         let Some((key, fence)) = completion.ownership else {
             return;
--- a/engine/src/placement/dispatch/rate_limits.rs
+++ b/engine/src/placement/dispatch/rate_limits.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Applies and logs the rate limit of a target; `by` says who reported it.
+    /// Applies and logs the rate limit of a target; `by` is the source of the report.
     fn apply_rate(&mut self, target: &str, rate: Option<Rate>, by: &str) {
         let limit = self.rate_limit(&self.view, target, rate);
         if let Some(state) = self.target_states.get_mut(target) {
--- a/engine/src/placement/mod.rs
+++ b/engine/src/placement/mod.rs
@@ -1,9 +1,9 @@
 //! Decides which target each request goes to, when it is sent, and which requests are refused.
 //!
-//! - [`dispatch`] decides, without any I/O; [`task`] runs it and answers through channels.
+//! - [`dispatch`] decides, without any I/O; [`task`] runs it and responds through channels.
 //! - [`quota`] divides the free capacity of busy targets among VMs.
 //! - [`budget`] limits retries; [`vm_count`] counts the VMs that share this budget.
-//! - [`refused_keys`] says when to ask an owner again that has refused a key.
+//! - [`refused_keys`] decides when requests for a key that its owner has refused may be sent again.
 //! - [`warmup`] limits the requests to cold targets.
 //! - [`rates`] holds the rate limits that overloaded targets ask for; [`bucket`] counts the requests that they allow.
 
--- a/engine/src/placement/rates.rs
+++ b/engine/src/placement/rates.rs
@@ -19,7 +19,7 @@
 const RATE_VALIDITY: Duration = Duration::from_mins(1);
 /// How long the end of a limit is passed on to other VMs.
 const LIFTED_VALIDITY: Duration = Duration::from_secs(10);
-/// The minimum rate: how often a target that accepts nothing is asked whether it accepts requests again.
+/// The minimum rate: a target that accepts nothing still gets requests, which show when it accepts them again.
 const MIN_RATE: Rate = 0.25;
 /// How many VMs send at an interval of their own; if one of them fails, the other continues.
 const SENDERS: u32 = 2;
--- a/engine/src/placement/refused_keys.rs
+++ b/engine/src/placement/refused_keys.rs
@@ -19,7 +19,7 @@
 /// How soon an owner refuses a key that it doesn't hold: a refusal needs no slot, and targets are a few milliseconds
 /// away.
 const REFUSAL_TIME: Duration = Duration::from_millis(100);
-/// How many refusals in a row make the whole range count as refused: a single key may have been moved out of the range.
+/// How many consecutive refusals make the whole range count as refused: a single key may have left the range.
 const MIN_REFUSALS: u32 = 2;
 /// How long after its first refusal a range that is still refused counts as lost.
 ///
@@ -58,7 +58,7 @@
     fence: Fence,
     /// The backoffs for single keys.
     keys: HashMap<RequestKey, Backoff>,
-    /// The number of refusals in a row.
+    /// The number of consecutive refusals.
     count: u32,
     /// The backoff for all keys of the range.
     whole: Option<Backoff>,
--- a/engine/src/placement/task.rs
+++ b/engine/src/placement/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns the dispatcher and answers requests for targets through channels.
+//! The task that owns the dispatcher and responds to requests for targets through channels.
 
 use std::{cell::Cell, collections::HashMap, rc::Rc, time::Duration};
 
@@ -20,7 +20,7 @@
 };
 
 /// How often queued requests are checked while no event arrives: deadlines pass, and load reports lose weight with age.
-const TICK: Duration = Duration::from_millis(10);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A message to the dispatcher's task.
 enum Message {
@@ -135,7 +135,7 @@
         let (sender, receiver) = oneshot::channel();
         let closed = Refused {
             reason: RefusalReason::NoTarget,
-            retry_after: TICK,
+            retry_after: TICK_INTERVAL,
             basis: Basis::default(),
         };
         let mut guard = CancelOnDrop {
@@ -199,7 +199,7 @@
         let message = if dispatcher.queue_len() == 0 {
             messages.next().await
         } else {
-            match future::select(messages.next(), Box::pin(clock.sleep(TICK))).await {
+            match future::select(messages.next(), Box::pin(clock.sleep(TICK_INTERVAL))).await {
                 Either::Left((message, _)) => message,
                 Either::Right(_) => Some(Message::Event(Event::Tick)),
             }
--- a/engine/src/process/mod.rs
+++ b/engine/src/process/mod.rs
@@ -174,7 +174,7 @@
             self.vm.name, self.vm.start, self.vm.domain, self.settings.callers, self.settings.store
         ));
         let callers = Control::default();
-        self.follow();
+        self.start_follower();
         let dispatcher = self.start_dispatcher();
         let manager = self.start_manager();
         let entry = registration::start(registration::Context {
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    fn follow(&self) {
+    fn start_follower(&self) {
         spawn(follow::run(follow::Context {
             store: self.adapter.store.clone(),
             catalogue: self.adapter.catalogue.clone(),
--- a/engine/src/process/signals.rs
+++ b/engine/src/process/signals.rs
@@ -9,7 +9,7 @@
 use crate::{report::Report, settings::Settings};
 
 /// How often the settings file is read again.
-const RELOAD_PERIOD: Duration = Duration::from_secs(1);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(1);
 /// The signal that requests a stop.
 const SIGTERM: i32 = 15;
 /// The signal that a terminal sends on Ctrl-C.
@@ -33,7 +33,7 @@
     loop {
         let signal = Box::pin(compio::signal::unix::signal(SIGHUP));
         let requested = matches!(
-            future::select(signal, Box::pin(clock.sleep(RELOAD_PERIOD))).await,
+            future::select(signal, Box::pin(clock.sleep(RELOAD_INTERVAL))).await,
             Either::Left(_)
         );
         let read = reload();
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -38,7 +38,7 @@
     pub retry_budget: RetryAllowance,
     /// By how much the requests of all VMs together may exceed a cold target's rate.
     pub burst_allowance: BurstAllowance,
-    /// The CPU capacity that the VM has for the manager's work, in thousandths of a core.
+    /// The VM's capacity as the manager, in thousandths of a core.
     pub capacity_millicores: u32,
     /// The platform's limits for leases and grants.
     pub lease_limits: LeaseLimits,
--- a/engine/src/store/mod.rs
+++ b/engine/src/store/mod.rs
@@ -111,7 +111,7 @@
 pub enum Read {
     /// The current state.
     Fresh,
-    /// A state that may be seconds old; such a read costs a tenth.
+    /// A state that may be seconds old; such a read costs a tenth of a fresh one.
     Stale,
 }
 
@@ -122,7 +122,7 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease with which the key ends; `None` for a key without one.
+    /// The lease with whose end the key is removed; `None` for a key without a lease.
     pub lease: Option<LeaseId>,
 }
 
