--- a/engine/src/owner/events.rs
+++ b/engine/src/owner/events.rs
@@ -57,7 +57,7 @@
 /// An input of the ownership state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// These targets are announced now.
+    /// The targets that are announced now.
     Targets(Vec<Target>),
     /// The call of a grant for the range that begins at this key ended.
     GrantEnded(RequestKey, CallOutcome),
--- a/engine/src/owner/manager/mod.rs
+++ b/engine/src/owner/manager/mod.rs
@@ -41,7 +41,7 @@
 /// A message to the manager's task.
 #[derive(Debug)]
 pub enum Message {
-    /// What a VM counted since its last sync request.
+    /// The requests and service times that a VM counted since its last sync request.
     Load {
         /// Requests by service and key.
         counts: Vec<(ServiceId, Vec<(RequestKey, u32)>)>,
@@ -144,7 +144,7 @@
     ticked_at: Duration,
     /// Counts of requests by service and key since the last tick.
     counts: IndexMap<ServiceId, Vec<(RequestKey, u32)>>,
-    /// Where to answer once the manager has resigned, if the process stops.
+    /// The channel to answer on once the manager has resigned, if the process stops.
     stopping: Option<oneshot::Sender<()>>,
 }
 
--- a/engine/src/owner/ownership/predecessors.rs
+++ b/engine/src/owner/ownership/predecessors.rs
@@ -1,11 +1,11 @@
-//! Until when managers of earlier terms may still send grants, and until when such grants may be valid.
+//! Computes how long managers of earlier terms may still send grants, and how long such grants may be valid.
 
 use std::time::Duration;
 
 use super::{MAX_GRANT_DELAY, Timing};
 use crate::owner::{range_state::worst_case_duration, record::Record};
 
-/// Until when managers of earlier terms may send grants, and until when those grants may be valid.
+/// The times until which managers of earlier terms may send grants, and until which those grants may be valid.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Predecessors {
     sends_until: Duration,
--- a/engine/src/peer/sync_interval.rs
+++ b/engine/src/peer/sync_interval.rs
@@ -18,7 +18,7 @@
 /// The maximum interval before the manager's lag is added: counts of requests are used for 250 ms.
 const MAX_BASE_INTERVAL: Duration = Duration::from_millis(150);
 
-/// By how many milliseconds the interval grows for each millisecond that the manager lags.
+/// The number of milliseconds by which the interval grows for each millisecond of the manager's lag.
 ///
 /// High enough that a manager which can process one sync request a second from each VM lags by less than the
 /// connect timeout of its calls to the store.
--- a/engine/src/placement/message.rs
+++ b/engine/src/placement/message.rs
@@ -100,7 +100,7 @@
     pub rates: Vec<RateReport>,
 }
 
-/// What this VM reports to the manager for the other VMs.
+/// The load and rate limits that this VM reports to the manager for the other VMs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// In-flight requests by target.
--- a/engine/src/placement/quota.rs
+++ b/engine/src/placement/quota.rs
@@ -60,7 +60,7 @@
     pub past_goal: u32,
 }
 
-/// What a VM may send to a busy target until the next sync exchange.
+/// The requests that a VM may send to a busy target until the next sync exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Quota {
@@ -144,7 +144,7 @@
     quota
 }
 
-/// What may be sent to a rate-limited target.
+/// The requests that may be sent to a rate-limited target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RateCapacity {
     /// How many requests may be sent now.
--- a/engine/src/placement/rates.rs
+++ b/engine/src/placement/rates.rs
@@ -87,7 +87,7 @@
     pub age: Duration,
 }
 
-/// What a target last reported, and when.
+/// The rate limit that a target last reported, and when.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     rate: Option<Rate>,
--- a/engine/src/placement/refused_keys.rs
+++ b/engine/src/placement/refused_keys.rs
@@ -16,8 +16,8 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest such time; an owner that regains its grant at the same fence gets no requests for this long.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
-/// How soon an owner refuses a key that it doesn't hold: a refusal needs no slot, and targets are a few milliseconds
-/// away.
+/// The time in which an owner refuses a key that it doesn't hold: a refusal needs no slot, and targets are a few
+/// milliseconds away.
 const REFUSAL_TIME: Duration = Duration::from_millis(100);
 /// How many consecutive refusals make the whole range count as refused: a single key may have left the range.
 const MIN_REFUSALS: u32 = 2;
@@ -52,7 +52,7 @@
     }
 }
 
-/// What the owner of a range refuses at one fence.
+/// The keys of a range that its owner refuses at one fence.
 #[derive(Clone, Debug)]
 struct RefusedRange {
     fence: Fence,
--- a/engine/src/placement/target_state.rs
+++ b/engine/src/placement/target_state.rs
@@ -56,7 +56,7 @@
 const MAX_BACKOFF: Duration = Duration::from_millis(1600);
 /// The failure rate above which a target only gets single probes.
 const MAX_FAILURE_RATE: f64 = 0.35;
-/// After how many typical times a request counts as overdue: one request in a hundred takes five.
+/// The factor on the typical time after which a request is overdue: one request in a hundred takes five times as long.
 const OVERDUE_FACTOR: f64 = 4.0;
 /// The time between two probes of a target that fails, or that seems too slow.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
@@ -84,9 +84,9 @@
     synced: Option<(u32, Duration)>,
     /// The time from that sync response to the next.
     sync_interval: Duration,
-    /// What may be sent until the next sync response, while requests are queued for this target.
+    /// The requests that may be sent until the next sync response, while requests are queued for this target.
     quota: Option<Quota>,
-    /// Since when requests have been queued for the target, apart from short gaps.
+    /// The time since which requests have been queued for the target, apart from short gaps.
     queued_since: Option<Duration>,
     /// When requests were last queued for it.
     queued_at: Duration,
@@ -99,7 +99,7 @@
     /// The failure rate at `failures_at`, from 0 to 1.
     failure_rate: f64,
     failures_at: Duration,
-    /// Until when no requests are sent, since the target could not be reached.
+    /// The time until which no requests are sent, since the target could not be reached.
     backoff_until: Duration,
     /// The length of the next backoff.
     backoff: Duration,
--- a/engine/src/process/lifecycle.rs
+++ b/engine/src/process/lifecycle.rs
@@ -37,7 +37,7 @@
 /// Each response closes its connection, and the readiness check fails.
 pub(super) enum Draining {}
 
-/// What a process opens and shuts down in order.
+/// The resources that a process opens and shuts down in order.
 pub(super) struct Resources {
     pub(super) clock: Clock,
     pub(super) report: Report,
--- a/engine/src/settings.rs
+++ b/engine/src/settings.rs
@@ -36,7 +36,7 @@
     pub grace: Duration,
     /// The budget for the retries of all VMs together.
     pub retry_budget: RetryAllowance,
-    /// By how much the requests of all VMs together may exceed a cold target's rate.
+    /// The amount by which the requests of all VMs together may exceed a cold target's rate.
     pub burst_allowance: BurstAllowance,
     /// The VM's capacity as the manager, in thousandths of a core.
     pub capacity_millicores: u32,
--- a/engine/src/target.rs
+++ b/engine/src/target.rs
@@ -33,7 +33,7 @@
     NotOwner,
 }
 
-/// What the engine reads from the head of a target's response.
+/// The fields that the engine reads from the head of a target's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
     /// The reason if the target states that it did not run the request.
