--- a/standins/src/audit.rs
+++ b/standins/src/audit.rs
@@ -8,7 +8,7 @@
 /// What a caller was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Told {
+pub enum ReportedOutcome {
     /// The request ran.
     Ran,
     /// The request did not run.
@@ -28,7 +28,8 @@
     /// When it was sent, on the machine's clock.
     pub sent_ms: u64,
     /// What the caller was told.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub reported: ReportedOutcome,
     /// Whether the answer, if one came, was whole and the caller's own.
     pub sound: bool,
 }
@@ -77,13 +78,13 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_standins::audit::{self, Call, Told};
+/// use bramleypier_standins::audit::{self, Call, ReportedOutcome};
 ///
 /// let told_ran = Call {
 ///     id: "order-1".into(),
 ///     idempotent: false,
 ///     sent_ms: 0,
-///     told: Told::Ran,
+///     reported: ReportedOutcome::Ran,
 ///     sound: true,
 /// };
 /// assert!(audit::audit(&[told_ran], &[]).lost.contains("order-1"));
@@ -101,7 +102,11 @@
         if runs.len() > 1 && sends.iter().any(|call| !call.idempotent) {
             findings.doubled.insert(id.clone());
         }
-        if runs.is_empty() && sends.iter().any(|call| call.told == Told::Ran) {
+        if runs.is_empty()
+            && sends
+                .iter()
+                .any(|call| call.reported == ReportedOutcome::Ran)
+        {
             findings.lost.insert(id.clone());
         }
         if sends.iter().any(|call| is_untrue(call, sends, runs)) {
@@ -118,13 +123,13 @@
 /// Returns whether a sending was told "not run" although a run can only be its own, or, for a
 /// request that is not idempotent, came before it.
 fn is_untrue(call: &Call, sends: &[&Call], runs: &[&Run]) -> bool {
-    if call.told != Told::NotRun {
+    if call.reported != ReportedOutcome::NotRun {
         return false;
     }
     runs.iter().any(|run| {
-        let excused = sends
-            .iter()
-            .any(|other| other.told != Told::NotRun && other.sent_ms <= run.started_ms);
+        let excused = sends.iter().any(|other| {
+            other.reported != ReportedOutcome::NotRun && other.sent_ms <= run.started_ms
+        });
         let earlier = run.started_ms < call.sent_ms;
         if call.idempotent {
             return !earlier && !excused;
--- a/standins/src/bin/bramleypier-demo.rs
+++ b/standins/src/bin/bramleypier-demo.rs
@@ -109,7 +109,7 @@
         fleet.targets.len(),
         fleet.vms.len()
     );
-    let callers = Callers::new(fleet.callers(), Duration::from_secs(2));
+    let callers = Callers::new(fleet.caller_addresses(), Duration::from_secs(2));
     for document in &documents {
         let keys = services::keys(&document.service, KEYS);
         let limit = Duration::from_secs(20);
@@ -122,7 +122,7 @@
     }
     let checked = documents
         .iter()
-        .find(|document| document.targets.values().any(|target| target.checks))
+        .find(|document| document.targets.values().any(|target| target.checks_grants))
         .ok_or("no document has a target that checks")?;
     let key = &services::keys(&checked.service, 1)[0];
     let lost = callers.look_up(&checked.service, key).await.target;
@@ -150,7 +150,7 @@
 async fn start_targets(fleet: &mut Fleet, examples: &Path) -> Result<Vec<Document>, Fault> {
     let setup = Setup {
         work_ms: 5,
-        fronted: false,
+        proxied: false,
     };
     let mut documents = Vec::new();
     for path in document_files(examples)? {
@@ -181,21 +181,21 @@
     let spread: Vec<String> = (0..SPREAD)
         .map(|n| format!("{service}-spread-{n}"))
         .collect();
-    services::look_up_round(
+    services::look_up_in_turn(
         traffic,
         callers,
         service,
         &spread,
         Duration::from_millis(10),
     );
-    if document.orders {
+    if document.takes_orders {
         let callers = callers.with_deadline(Duration::from_secs(5));
         services::order_keys(traffic, &callers, service, &keys, Duration::from_millis(50));
     }
-    if document.files {
+    if document.takes_files {
         let callers = callers.with_deadline(Duration::from_secs(10));
         let period = Duration::from_millis(500);
-        services::pull_files(traffic, &callers, service, &keys, period, FILE_SIZE);
+        services::fetch_files(traffic, &callers, service, &keys, period, FILE_SIZE);
     }
 }
 
@@ -205,12 +205,12 @@
     compio::time::sleep(step / 2).await;
     println!("killing target {target}");
     fleet.kill(target)?;
-    fleet.unlist(target).await?;
+    fleet.deregister(target).await?;
     compio::time::sleep(step).await;
     println!("killing VM {LOST_VM}");
     fleet.kill(LOST_VM)?;
-    fleet.unlist(LOST_VM).await?;
-    callers.set_entries(fleet.callers());
+    fleet.deregister(LOST_VM).await?;
+    callers.set_entries(fleet.caller_addresses());
     compio::time::sleep(step).await;
     println!("cutting the platform off");
     let down = Faults {
@@ -230,9 +230,9 @@
         let name = format!("bramleypier-demo-{}.txt", std::process::id());
         std::env::temp_dir().join(name)
     });
-    let settings = fleet.settings(VMS[0].0)?.display().to_string();
+    let settings = fleet.settings_path(VMS[0].0)?.display().to_string();
     let output = fleet
-        .operate(&["timeline", "--settings", &settings])
+        .run_command(&["timeline", "--settings", &settings])
         .await?;
     if !output.status.success() {
         return Err(String::from_utf8_lossy(&output.stderr).into());
--- a/standins/src/bin/bramleypier-drill.rs
+++ b/standins/src/bin/bramleypier-drill.rs
@@ -73,7 +73,7 @@
     };
     let setup = drill::Options {
         program: options.program.clone(),
-        checks: !options.unchecked,
+        checks_grants: !options.unchecked,
         keys: options.keys,
         period: Duration::from_millis(options.period_ms),
         settings,
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -52,7 +52,7 @@
     let listener = serve::bind(&options.listen).await?;
     let config = Config {
         name: options.name,
-        checks: options.checks,
+        checks_grants: options.checks,
         slots: options.slots,
         queue: options.queue,
         connect_cost: Duration::from_millis(options.connect_ms),
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -10,7 +10,7 @@
 use uuid::Uuid;
 
 use crate::{
-    audit::{Call, Told},
+    audit::{Call, ReportedOutcome},
     client::{Client, Reply},
     clock, payload,
     work::{Echo, OUTCOME},
@@ -60,7 +60,7 @@
 
 /// What was read out of an answer.
 struct Heard {
-    told: Told,
+    reported: ReportedOutcome,
     sound: bool,
     echo: Option<Echo>,
     reason: String,
@@ -129,23 +129,23 @@
     }
 
     /// Sends an order, and sends it again under the same id until it is said to have run.
-    pub async fn order(&self, service: &str, key: &str) -> Told {
+    pub async fn order(&self, service: &str, key: &str) -> ReportedOutcome {
         let id = Uuid::now_v7().to_string();
         let path = format!("/{service}/{key}/orders");
-        let mut told = Told::NotRun;
+        let mut reported = ReportedOutcome::NotRun;
         for _ in 0..ORDER_SENDS {
             let heard = self.send(Method::POST, &path, &id, key, false).await;
-            told = heard.told;
-            if told == Told::Ran {
+            reported = heard.reported;
+            if reported == ReportedOutcome::Ran {
                 break;
             }
             compio::time::sleep(heard.retry.unwrap_or(RESEND_WAIT)).await;
         }
-        told
+        reported
     }
 
     /// Pulls a file of `size` bytes and checks each of them.
-    pub async fn file(&self, service: &str, key: &str, size: u64) -> bool {
+    pub async fn fetch_file(&self, service: &str, key: &str, size: u64) -> bool {
         let tag = Uuid::now_v7().to_string();
         let path = format!("/{service}/{key}/files/file?tag={tag}&bytes={size}");
         let sent_ms = clock::millis(clock::now());
@@ -154,8 +154,8 @@
         let sound = reply.as_ref().map_or(true, |reply| {
             reply.status != 200 || is_pattern(&reply.body, size)
         });
-        let told = reply.map_or(Told::Unknown, |reply| told(&reply));
-        self.note(&tag, true, sent_ms, told, sound);
+        let reported = reply.map_or(ReportedOutcome::Unknown, |reply| reported(&reply));
+        self.note(&tag, true, sent_ms, reported, sound);
         served && sound
     }
 
@@ -171,14 +171,14 @@
         let heard = match self.exchange(method, path, id).await {
             Ok(reply) => hear(&reply, key, id),
             Err(cause) => Heard {
-                told: Told::Unknown,
+                reported: ReportedOutcome::Unknown,
                 sound: true,
                 echo: None,
                 reason: cause.to_string(),
                 retry: None,
             },
         };
-        self.note(id, idempotent, sent_ms, heard.told, heard.sound);
+        self.note(id, idempotent, sent_ms, heard.reported, heard.sound);
         heard
     }
 
@@ -205,22 +205,29 @@
         entry.cloned().unwrap_or_default()
     }
 
-    fn note(&self, id: &str, idempotent: bool, sent_ms: u64, told: Told, sound: bool) {
+    fn note(
+        &self,
+        id: &str,
+        idempotent: bool,
+        sent_ms: u64,
+        reported: ReportedOutcome,
+        sound: bool,
+    ) {
         self.calls.borrow_mut().push(Call {
             id: id.to_owned(),
             idempotent,
             sent_ms,
-            told,
+            reported,
             sound,
         });
     }
 }
 
-fn told(reply: &Reply) -> Told {
+fn reported(reply: &Reply) -> ReportedOutcome {
     match reply.header(OUTCOME) {
-        "ran" => Told::Ran,
-        "not-run" => Told::NotRun,
-        _ => Told::Unknown,
+        "ran" => ReportedOutcome::Ran,
+        "not-run" => ReportedOutcome::NotRun,
+        _ => ReportedOutcome::Unknown,
     }
 }
 
@@ -234,7 +241,7 @@
     };
     let retry = reply.header("Bramleypier-Retry-Ms").parse().ok();
     Heard {
-        told: told(reply),
+        reported: reported(reply),
         sound: echo.as_ref().map_or_else(routers, own),
         echo: echo.filter(|_| reply.status == 200),
         reason: format!(
--- a/standins/src/document.rs
+++ b/standins/src/document.rs
@@ -11,7 +11,7 @@
     /// Its failure domain.
     pub domain: String,
     /// Whether it checks grants.
-    pub checks: bool,
+    pub checks_grants: bool,
     /// How many requests it runs at a time.
     pub slots: String,
 }
@@ -25,9 +25,9 @@
     /// The version in force that this one is based on; 0 before it was put.
     pub version: u64,
     /// Whether a class takes orders.
-    pub orders: bool,
+    pub takes_orders: bool,
     /// Whether a class takes files.
-    pub files: bool,
+    pub takes_files: bool,
     /// The targets, by name.
     pub targets: IndexMap<String, Target>,
 }
@@ -75,8 +75,8 @@
         let has = |key, value| classes.iter().any(|class| class.get(key) == Some(value));
         let targets = sections(&ini, "target ");
         Self {
-            orders: has("idempotent", "false"),
-            files: has("path", "files/"),
+            takes_orders: has("idempotent", "false"),
+            takes_files: has("path", "files/"),
             targets: targets.map(|(name, target)| (name, read(target))).collect(),
             service,
             version: 0,
@@ -121,7 +121,7 @@
     let text = |key| target.get(key).unwrap_or("");
     Target {
         domain: text("domain").to_owned(),
-        checks: text("fencing") == "checked",
+        checks_grants: text("fencing") == "checked",
         slots: text("slots").to_owned(),
     }
 }
--- a/standins/src/drill.rs
+++ b/standins/src/drill.rs
@@ -69,7 +69,7 @@
     /// The program of the VMs; found beside the running one unless given.
     pub program: Option<std::path::PathBuf>,
     /// Whether targets check grants.
-    pub checks: bool,
+    pub checks_grants: bool,
     /// How many keys are looked up.
     pub keys: usize,
     /// How often each key is looked up, and an order sent.
@@ -121,7 +121,7 @@
 /// Fails when the fleet can't be brought up or a step can't be taken; bad outcomes of the system
 /// are no errors but part of the [`Outcome`].
 pub async fn run(scenario: &Scenario, options: &Options) -> Result<Outcome, Fault> {
-    let mut drill = Drill::start(options, scenario.has_cuts()).await?;
+    let mut drill = Drill::start(options, scenario.needs_forwarders()).await?;
     let keys = services::keys(SERVICE, options.keys);
     services::wait_ready(&drill.callers, SERVICE, &keys, READY).await?;
     drill.grantors = drill.read_grantors().await?;
@@ -131,7 +131,7 @@
     let orders = drill.callers.with_deadline(Duration::from_secs(5));
     services::order_keys(&traffic, &orders, SERVICE, &keys, options.period);
     compio::time::sleep(WARM_UP).await;
-    let before = drill.fleet.counts().await?;
+    let before = drill.fleet.call_counts().await?;
     let begin = clock::now();
     for step in scenario.steps {
         drill.take(*step).await?;
@@ -139,7 +139,7 @@
     let end = clock::now();
     let platform_rate = rate(
         &before,
-        &drill.fleet.counts().await?,
+        &drill.fleet.call_counts().await?,
         end.saturating_sub(begin),
     );
     traffic.stop().await;
@@ -149,21 +149,21 @@
 }
 
 impl Drill {
-    async fn start(options: &Options, fronted: bool) -> Result<Self, Fault> {
+    async fn start(options: &Options, proxied: bool) -> Result<Self, Fault> {
         let mut fleet = Fleet::start(options.program.clone()).await?;
         fleet.add_settings(&options.settings);
         let path = fleet.dir().join("drill-template.ini");
-        std::fs::write(&path, text(options.checks))?;
+        std::fs::write(&path, text(options.checks_grants))?;
         let setup = Setup {
             work_ms: 2,
-            fronted,
+            proxied,
         };
         let mut document = services::start(&mut fleet, &path, &setup).await?;
         for (name, domain) in VMS {
-            fleet.add_vm(name, domain, fronted).await?;
+            fleet.add_vm(name, domain, proxied).await?;
         }
         services::put(&fleet, VMS[0].0, &mut document).await?;
-        let callers = Callers::new(fleet.callers(), measure::SERVED_WITHIN);
+        let callers = Callers::new(fleet.caller_addresses(), measure::SERVED_WITHIN);
         Ok(Self {
             fleet,
             callers,
@@ -175,7 +175,7 @@
 
     /// Reads which VMs grant to the target that is to be lost.
     async fn read_grantors(&self) -> Result<Vec<String>, Fault> {
-        let platform = self.fleet.platform();
+        let platform = self.fleet.platform_address();
         let client = self.fleet.client();
         let list = format!("/v1/list?prefix={RECORDS}{SERVICE}");
         let list: serde_json::Value = client.get_json(&platform, &list).await?;
@@ -225,13 +225,13 @@
             }
             Step::PlatformDown => self.set_faults(true).await?,
             Step::PlatformUp => self.set_faults(false).await?,
-            Step::CutTarget { requests, answers } => self.cut(requests, answers)?,
+            Step::BlockTarget { requests, answers } => self.cut(requests, answers)?,
             Step::IsolateGrantor => {
                 let name = self.grantor(0)?;
                 self.leave_out(&name);
                 self.fleet.isolate(&name, true);
             }
-            Step::Mend => {
+            Step::Unblock => {
                 self.cut(false, false)?;
                 self.fleet.isolate(&self.grantor(0)?, false);
             }
@@ -256,7 +256,7 @@
         // The balancer's own lag is not the system's, so callers leave a dead VM at once.
         self.leave_out(name);
         self.fleet.kill(name)?;
-        self.fleet.unlist(name).await
+        self.fleet.deregister(name).await
     }
 
     fn freeze(&mut self, name: &str) -> Result<(), fleet::Error> {
@@ -266,7 +266,7 @@
     }
 
     fn cut(&self, requests: bool, answers: bool) -> Result<(), fleet::Error> {
-        self.fleet.front(TARGET)?.change(|rules| {
+        self.fleet.forwarder(TARGET)?.update_rules(|rules| {
             rules.block_in = requests;
             rules.block_out = answers;
         });
@@ -278,7 +278,7 @@
         let Some(vm) = self.fleet.vms.get(name) else {
             return Ok(());
         };
-        let (client, caller) = (self.fleet.client().clone(), vm.caller.clone());
+        let (client, caller) = (self.fleet.client().clone(), vm.caller_address.clone());
         let entries: Vec<String> = self.entries_without(name);
         let callers = self.callers.clone();
         let balancer = compio::runtime::spawn(async move {
@@ -317,8 +317,8 @@
 
     fn entries_without(&self, name: &str) -> Vec<String> {
         let vms = self.fleet.vms.iter();
-        vms.filter(|(other, _)| *other != name && self.fleet.runs(other))
-            .map(|(_, vm)| vm.caller.clone())
+        vms.filter(|(other, _)| *other != name && self.fleet.is_running(other))
+            .map(|(_, vm)| vm.caller_address.clone())
             .collect()
     }
 
@@ -337,11 +337,11 @@
         let dead = self.fleet.dead_targets();
         let hit: IndexSet<String> = TARGETS
             .iter()
-            .filter(|(name, domain)| *name == TARGET || scenario.domain && *domain == DOMAIN)
+            .filter(|(name, domain)| *name == TARGET || scenario.whole_domain && *domain == DOMAIN)
             .map(|(name, _)| (*name).to_owned())
             .chain(dead.iter().cloned())
             .collect();
-        let lost_keys = measure::keys_of(&samples, &hit, begin);
+        let lost_keys = measure::keys_served_by(&samples, &hit, begin);
         let reasons = measure::reasons(&samples);
         let mut after = samples;
         after.retain(|sample| sample.sent + WARM_UP > begin && sample.key != CRASH_KEY);
--- a/standins/src/drill/scenario.rs
+++ b/standins/src/drill/scenario.rs
@@ -24,7 +24,7 @@
     /// The platform's service comes back.
     PlatformUp,
     /// Nothing gets to the target, or back, or both.
-    CutTarget {
+    BlockTarget {
         /// Requests don't get there.
         requests: bool,
         /// Answers don't get back.
@@ -33,7 +33,7 @@
     /// The grantor is cut off from VMs and targets; the platform still reaches it.
     IsolateGrantor,
     /// Cuts are mended.
-    Mend,
+    Unblock,
     /// The target says that it drains.
     DrainTarget,
     /// The document says that the target leaves.
@@ -52,13 +52,13 @@
     /// What happens, in order.
     pub steps: &'static [Step],
     /// Whether its keys are the lost domain's, not only the lost target's.
-    pub domain: bool,
+    pub whole_domain: bool,
 }
 
 impl Scenario {
     /// Returns whether it needs forwarders before VMs and targets.
-    pub fn has_cuts(&self) -> bool {
-        self.steps.contains(&Step::Mend)
+    pub fn needs_forwarders(&self) -> bool {
+        self.steps.contains(&Step::Unblock)
     }
 }
 
@@ -66,7 +66,7 @@
     Scenario {
         name,
         steps,
-        domain: false,
+        whole_domain: false,
     }
 }
 
@@ -99,7 +99,7 @@
     Scenario {
         name: "domain",
         steps: &[Step::KillDomain, Step::Wait(8_000)],
-        domain: true,
+        whole_domain: true,
     },
     scenario(
         "outage",
@@ -184,24 +184,24 @@
     scenario(
         "cut-target",
         &[
-            Step::CutTarget {
+            Step::BlockTarget {
                 requests: true,
                 answers: true,
             },
             Step::Wait(4_000),
-            Step::Mend,
+            Step::Unblock,
             Step::Wait(4_000),
         ],
     ),
     scenario(
         "cut-target-answers",
         &[
-            Step::CutTarget {
+            Step::BlockTarget {
                 requests: false,
                 answers: true,
             },
             Step::Wait(4_000),
-            Step::Mend,
+            Step::Unblock,
             Step::Wait(4_000),
         ],
     ),
@@ -210,7 +210,7 @@
         &[
             Step::IsolateGrantor,
             Step::Wait(5_000),
-            Step::Mend,
+            Step::Unblock,
             Step::Wait(4_000),
         ],
     ),
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -15,9 +15,9 @@
 use crate::{
     child::{self, Process},
     client::{self, Client},
-    cut::Forwarder,
+    forwarder::Forwarder,
     journal::{self, Run},
-    owners::Owners,
+    socket_owners::SocketOwners,
 };
 
 mod control;
@@ -61,9 +61,9 @@
     domain: String,
     forwarder: Option<Forwarder>,
     /// Where callers reach it.
-    pub caller: String,
+    pub caller_address: String,
     /// Where it listens for peers and operators itself.
-    pub peer: String,
+    pub peer_address: String,
 }
 
 /// A target.
@@ -77,7 +77,7 @@
     /// Where VMs reach it; the same after a restart.
     pub address: String,
     /// Where it listens itself.
-    pub own: String,
+    pub listen_address: String,
 }
 
 /// A fleet; dropping it ends all of its processes.
@@ -86,7 +86,7 @@
     dir: TempDir,
     program: PathBuf,
     platform: Process,
-    owners: Owners,
+    owners: SocketOwners,
     extra: String,
     client: Client,
     /// The targets, by name.
@@ -121,7 +121,7 @@
             dir,
             program,
             platform,
-            owners: Owners::default(),
+            owners: SocketOwners::default(),
             extra: String::new(),
             client: Client::default(),
             targets: IndexMap::new(),
@@ -145,7 +145,7 @@
     }
 
     /// Returns the platform's address.
-    pub fn platform(&self) -> String {
+    pub fn platform_address(&self) -> String {
         self.platform.word("listening").unwrap_or("").to_owned()
     }
 
@@ -158,7 +158,7 @@
         &mut self,
         name: &str,
         domain: &str,
-        fronted: bool,
+        proxied: bool,
         arguments: &[&str],
     ) -> Result<String, Error> {
         let log = self.dir().join(format!("{name}.log"));
@@ -169,34 +169,35 @@
             arguments: all,
             log,
             domain: domain.to_owned(),
-            forwarder: self.forwarder(name, fronted)?,
+            forwarder: self.start_forwarder(name, proxied)?,
             address: String::new(),
-            own: "127.0.0.1:0".to_owned(),
+            listen_address: "127.0.0.1:0".to_owned(),
         };
         self.start_target(name, &mut target).await?;
         target.address = match &target.forwarder {
             Some(forwarder) => forwarder.address.to_string(),
-            None => target.own.clone(),
+            None => target.listen_address.clone(),
         };
         let address = target.address.clone();
         self.targets.insert(name.to_owned(), target);
-        self.list(name, &address, domain, "target", "live").await?;
+        self.register(name, &address, domain, "target", "live")
+            .await?;
         Ok(address)
     }
 
     async fn start_target(&self, name: &str, target: &mut Target) -> Result<(), Error> {
         let errors = self.dir().join(format!("{name}.err"));
         let mut arguments = target.arguments.clone();
-        arguments.push(format!("--listen={}", target.own));
+        arguments.push(format!("--listen={}", target.listen_address));
         let process = Process::start(&find("standin-target")?, arguments, &errors)
             .await
             .map_err(|cause| failed("start", name, cause))?;
         process
             .word("listening")
             .unwrap_or("")
-            .clone_into(&mut target.own);
+            .clone_into(&mut target.listen_address);
         if let Some(forwarder) = &target.forwarder {
-            forwarder.set_server(&target.own);
+            forwarder.set_server(&target.listen_address);
         }
         target.process = Some(process);
         Ok(())
@@ -208,14 +209,14 @@
     /// # Errors
     ///
     /// Fails when the process can't be started.
-    pub async fn add_vm(&mut self, name: &str, domain: &str, fronted: bool) -> Result<(), Error> {
+    pub async fn add_vm(&mut self, name: &str, domain: &str, proxied: bool) -> Result<(), Error> {
         let mut vm = Vm {
             process: None,
             settings: self.dir().join(format!("{name}.ini")),
             domain: domain.to_owned(),
-            forwarder: self.forwarder(name, fronted)?,
-            caller: "127.0.0.1:0".to_owned(),
-            peer: "127.0.0.1:0".to_owned(),
+            forwarder: self.start_forwarder(name, proxied)?,
+            caller_address: "127.0.0.1:0".to_owned(),
+            peer_address: "127.0.0.1:0".to_owned(),
         };
         self.start_vm(name, &mut vm).await?;
         self.vms.insert(name.to_owned(), vm);
@@ -236,17 +237,20 @@
         process
             .word("caller")
             .unwrap_or("")
-            .clone_into(&mut vm.caller);
-        process.word("peer").unwrap_or("").clone_into(&mut vm.peer);
-        let mut listed = vm.peer.clone();
+            .clone_into(&mut vm.caller_address);
+        process
+            .word("peer")
+            .unwrap_or("")
+            .clone_into(&mut vm.peer_address);
+        let mut listed = vm.peer_address.clone();
         if let Some(forwarder) = &vm.forwarder {
-            forwarder.set_server(&vm.peer);
+            forwarder.set_server(&vm.peer_address);
             listed = forwarder.address.to_string();
         }
         let id = process.id();
         self.owners.insert(name, id);
         vm.process = Some(process);
-        self.list(name, &listed, &vm.domain, "entry", "live")
+        self.register(name, &listed, &vm.domain, "entry", "live")
             .await?;
         // The operator's commands read the same file: from now on it names the ports.
         self.write_settings(name, vm)
@@ -264,9 +268,9 @@
              [peers]\nseeds = {}\n\n\
              [log]\nlevel = info\nfile = {}\n\n{}",
             vm.domain,
-            vm.caller,
-            vm.peer,
-            self.platform(),
+            vm.caller_address,
+            vm.peer_address,
+            self.platform_address(),
             self.seeds(name),
             self.dir().join(format!("{name}.log")).display(),
             self.extra,
@@ -278,13 +282,13 @@
         let others = self.vms.iter().filter(|(other, _)| *other != name);
         let addresses = others.map(|(_, vm)| match &vm.forwarder {
             Some(forwarder) => forwarder.address.to_string(),
-            None => vm.peer.clone(),
+            None => vm.peer_address.clone(),
         });
         addresses.take(3).collect::<Vec<_>>().join(",")
     }
 
-    fn forwarder(&self, name: &str, fronted: bool) -> Result<Option<Forwarder>, Error> {
-        if !fronted {
+    fn start_forwarder(&self, name: &str, proxied: bool) -> Result<Option<Forwarder>, Error> {
+        if !proxied {
             return Ok(None);
         }
         let forwarder = Forwarder::start(self.owners.clone());
@@ -298,7 +302,7 @@
     /// # Errors
     ///
     /// Fails when there is none.
-    pub fn front(&self, name: &str) -> Result<&Forwarder, Error> {
+    pub fn forwarder(&self, name: &str) -> Result<&Forwarder, Error> {
         let vm = self.vms.get(name).and_then(|vm| vm.forwarder.as_ref());
         let target = self.targets.get(name);
         vm.or_else(|| target?.forwarder.as_ref())
@@ -312,7 +316,7 @@
         let targets = targets.map(|(target, entry)| (target, &entry.forwarder));
         for (other, forwarder) in vms.chain(targets) {
             let Some(forwarder) = forwarder else { continue };
-            forwarder.change(|rules| {
+            forwarder.update_rules(|rules| {
                 if other == name {
                     rules.block_in = cut;
                     rules.block_out = cut;
@@ -341,7 +345,7 @@
     }
 
     /// Returns whether a VM or target of this name runs, frozen or not.
-    pub fn runs(&self, name: &str) -> bool {
+    pub fn is_running(&self, name: &str) -> bool {
         self.process(name).is_ok()
     }
 
@@ -350,11 +354,11 @@
     /// # Errors
     ///
     /// Fails when it doesn't run.
-    pub fn id(&self, name: &str) -> Result<u32, Error> {
+    pub fn process_id(&self, name: &str) -> Result<u32, Error> {
         Ok(self.process(name)?.id())
     }
 
-    /// Kills a VM or target at once. It stays on the platform's list until [`unlist`](Self::unlist).
+    /// Kills a VM or target at once. It stays on the platform's list until [`deregister`](Self::deregister).
     ///
     /// # Errors
     ///
@@ -416,7 +420,7 @@
     ///
     /// Fails when there is none of this name, or it can't be started.
     pub async fn restart(&mut self, name: &str) -> Result<(), Error> {
-        if self.runs(name) {
+        if self.is_running(name) {
             self.kill(name)?;
         }
         if let Some(mut target) = self.targets.swap_remove(name) {
@@ -424,7 +428,9 @@
             let (address, domain) = (target.address.clone(), target.domain.clone());
             self.targets.insert(name.to_owned(), target);
             result?;
-            return self.list(name, &address, &domain, "target", "live").await;
+            return self
+                .register(name, &address, &domain, "target", "live")
+                .await;
         }
         let vm = self.vms.swap_remove(name);
         let mut vm = vm.ok_or_else(|| Error::Unknown(name.to_owned()))?;
@@ -452,16 +458,16 @@
     /// # Errors
     ///
     /// Fails when there is no such VM.
-    pub fn settings(&self, name: &str) -> Result<&Path, Error> {
+    pub fn settings_path(&self, name: &str) -> Result<&Path, Error> {
         let vm = self.vms.get(name);
         vm.map(|vm| vm.settings.as_path())
             .ok_or_else(|| Error::Unknown(name.to_owned()))
     }
 
     /// Returns the addresses for callers of the VMs that run.
-    pub fn callers(&self) -> Vec<String> {
+    pub fn caller_addresses(&self) -> Vec<String> {
         let running = self.vms.values().filter(|vm| vm.process.is_some());
-        running.map(|vm| vm.caller.clone()).collect()
+        running.map(|vm| vm.caller_address.clone()).collect()
     }
 
     pub(crate) fn target(&self, name: &str) -> Result<&Target, Error> {
--- a/standins/src/fleet/control.rs
+++ b/standins/src/fleet/control.rs
@@ -20,7 +20,7 @@
     /// # Errors
     ///
     /// Fails when it can't be started.
-    pub async fn operate(&self, arguments: &[&str]) -> Result<Output, Error> {
+    pub async fn run_command(&self, arguments: &[&str]) -> Result<Output, Error> {
         let mut command = Command::new(&self.program);
         command.args(arguments);
         let output = runtime::spawn_blocking(move || command.output()).await;
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// Fails when the platform doesn't answer.
-    pub async fn list(
+    pub async fn register(
         &self,
         name: &str,
         address: &str,
@@ -50,7 +50,7 @@
         };
         let body = json(&listing);
         let path = format!("/vms/{name}");
-        let platform = self.platform();
+        let platform = self.platform_address();
         let call = self
             .client
             .call(&platform, http::Method::PUT, &path, &[], body);
@@ -62,9 +62,9 @@
     /// # Errors
     ///
     /// Fails when the platform doesn't answer.
-    pub async fn unlist(&self, name: &str) -> Result<(), Error> {
+    pub async fn deregister(&self, name: &str) -> Result<(), Error> {
         let path = format!("/vms/{name}");
-        let platform = self.platform();
+        let platform = self.platform_address();
         let call = self
             .client
             .call(&platform, http::Method::DELETE, &path, &[], "");
@@ -77,7 +77,7 @@
     ///
     /// Fails when the platform doesn't answer.
     pub async fn platform_faults(&self, faults: &platform::Faults) -> Result<(), Error> {
-        let platform = self.platform();
+        let platform = self.platform_address();
         let call = self.client.post(&platform, "/fault", &[], json(faults));
         expect_ok(&platform, &call.await?)
     }
@@ -88,7 +88,7 @@
     ///
     /// Fails when there is no such target, or it doesn't answer.
     pub async fn target_faults(&self, name: &str, faults: &fault::Faults) -> Result<(), Error> {
-        let own = &self.target(name)?.own;
+        let own = &self.target(name)?.listen_address;
         let call = self.client.post(own, "/fault", &[], json(faults));
         expect_ok(own, &call.await?)
     }
@@ -98,8 +98,8 @@
     /// # Errors
     ///
     /// Fails when there is no such target, or it doesn't answer.
-    pub async fn status(&self, name: &str) -> Result<Status, Error> {
-        let own = &self.target(name)?.own;
+    pub async fn target_status(&self, name: &str) -> Result<Status, Error> {
+        let own = &self.target(name)?.listen_address;
         Ok(self.client.get_json(own, "/bramleypier/state").await?)
     }
 
@@ -108,8 +108,11 @@
     /// # Errors
     ///
     /// Fails when the platform doesn't answer.
-    pub async fn counts(&self) -> Result<IndexMap<String, u64>, Error> {
-        Ok(self.client.get_json(&self.platform(), "/counts").await?)
+    pub async fn call_counts(&self) -> Result<IndexMap<String, u64>, Error> {
+        Ok(self
+            .client
+            .get_json(&self.platform_address(), "/counts")
+            .await?)
     }
 }
 
--- a/standins/src/cut.rs
+++ b/standins/src/forwarder.rs
@@ -20,7 +20,7 @@
 use futures_util::future;
 use indexmap::IndexSet;
 
-use crate::{clock, owners::Owners};
+use crate::{clock, socket_owners::SocketOwners};
 
 /// How often a cut direction is looked at again.
 const POLL: Duration = Duration::from_millis(2);
@@ -56,7 +56,7 @@
     address: SocketAddr,
     server: Arc<Mutex<Option<String>>>,
     rules: Arc<Mutex<Rules>>,
-    owners: Owners,
+    owners: SocketOwners,
 }
 
 /// A client's end of a connection.
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// Fails when no port can be bound.
-    pub fn start(owners: Owners) -> io::Result<Self> {
+    pub fn start(owners: SocketOwners) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Shared {
@@ -111,7 +111,7 @@
     }
 
     /// Changes the rules, for connections that are open too.
-    pub fn change<F>(&self, change: F)
+    pub fn update_rules<F>(&self, change: F)
     where
         F: FnOnce(&mut Rules),
     {
--- a/standins/src/holder.rs
+++ b/standins/src/holder.rs
@@ -10,7 +10,7 @@
 /// A range at an epoch, both bounds inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Span {
+pub struct EpochRange {
     /// The first point.
     #[serde(with = "decimal")]
     pub start: u64,
@@ -21,7 +21,7 @@
     pub epoch: u64,
 }
 
-impl Span {
+impl EpochRange {
     fn overlaps(&self, other: &Self) -> bool {
         self.start <= other.end && other.start <= self.end
     }
@@ -45,16 +45,16 @@
     pub until_ms: u64,
     /// What it grants.
     #[serde(default)]
-    pub ranges: Vec<Span>,
+    pub ranges: Vec<EpochRange>,
     /// What the target is to let go of.
     #[serde(default)]
-    pub release: Vec<Span>,
+    pub release: Vec<EpochRange>,
 }
 
 /// A range that the target holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Held {
+pub struct HeldRange {
     /// The first point.
     #[serde(with = "decimal")]
     pub start: u64,
@@ -67,9 +67,9 @@
     pub until_ms: u64,
 }
 
-impl Held {
-    fn span(&self) -> Span {
-        Span {
+impl HeldRange {
+    fn span(&self) -> EpochRange {
+        EpochRange {
             start: self.start,
             end: self.end,
             epoch: self.epoch,
@@ -90,11 +90,11 @@
     /// Running and waiting requests for each slot; it may lie.
     pub load: f64,
     /// What it holds, lapsed ranges too.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldRange>,
     /// What it has let go of, with nothing in flight.
-    pub released: Vec<Span>,
+    pub released: Vec<EpochRange>,
     /// What it refused of the grant that this answers.
-    pub refused: Vec<Span>,
+    pub refused: Vec<EpochRange>,
     /// How many requests run.
     pub running: usize,
 }
@@ -106,19 +106,19 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_standins::holder::{Grant, Holder, Span};
+/// use bramleypier_standins::holder::{Grant, Holder, EpochRange};
 ///
 /// let mut holder = Holder::default();
-/// let range = Span { start: 0, end: 9, epoch: 1 };
+/// let range = EpochRange { start: 0, end: 9, epoch: 1 };
 /// holder.grant(&Grant { boot: String::new(), until_ms: 100, ranges: vec![range], release: vec![] });
 /// assert!(holder.admits(Duration::from_millis(99), 5, 1));
 /// assert!(!holder.admits(Duration::from_millis(100), 5, 1));
 /// ```
 #[derive(Debug, Default)]
 pub struct Holder {
-    held: Vec<Held>,
-    floors: Vec<Span>,
-    releases: Vec<Span>,
+    held: Vec<HeldRange>,
+    floors: Vec<EpochRange>,
+    releases: Vec<EpochRange>,
     running: IndexMap<u64, (u64, u64)>,
 }
 
@@ -128,7 +128,7 @@
     /// A range is refused when its epoch is below the floor of any of its points: the highest
     /// epoch seen there, or one more than the highest released. It is refused too when it meets a
     /// range of the same epoch with other bounds.
-    pub fn grant(&mut self, grant: &Grant) -> Vec<Span> {
+    pub fn grant(&mut self, grant: &Grant) -> Vec<EpochRange> {
         for span in &grant.release {
             self.release(*span);
         }
@@ -141,7 +141,7 @@
         refused
     }
 
-    fn hold(&mut self, span: Span, until_ms: u64) -> bool {
+    fn hold(&mut self, span: EpochRange, until_ms: u64) -> bool {
         let floors = self.floors.iter();
         if floors
             .clone()
@@ -149,8 +149,8 @@
         {
             return false;
         }
-        let same = |held: &Held| held.start == span.start && held.end == span.end;
-        let clash = |held: &Held| held.epoch == span.epoch && !same(held);
+        let same = |held: &HeldRange| held.start == span.start && held.end == span.end;
+        let clash = |held: &HeldRange| held.epoch == span.epoch && !same(held);
         if self
             .held
             .iter()
@@ -163,7 +163,7 @@
             return true;
         }
         self.raise(span);
-        self.held.push(Held {
+        self.held.push(HeldRange {
             start: span.start,
             end: span.end,
             epoch: span.epoch,
@@ -172,16 +172,16 @@
         true
     }
 
-    fn release(&mut self, span: Span) {
+    fn release(&mut self, span: EpochRange) {
         if !self.releases.contains(&span) {
             self.releases.push(span);
         }
         let epoch = span.epoch + 1;
-        self.raise(Span { epoch, ..span });
+        self.raise(EpochRange { epoch, ..span });
     }
 
     /// Raises the floor of a range and drops what lies below it.
-    fn raise(&mut self, floor: Span) {
+    fn raise(&mut self, floor: EpochRange) {
         self.floors
             .retain(|old| !(floor.covers(old) && old.epoch <= floor.epoch));
         self.floors.push(floor);
@@ -208,7 +208,7 @@
     }
 
     /// Returns what the target holds.
-    pub fn held(&self) -> &[Held] {
+    pub fn held(&self) -> &[HeldRange] {
         &self.held
     }
 
@@ -218,8 +218,8 @@
     }
 
     /// Returns the releases for which nothing is in flight any more.
-    pub fn released(&self) -> Vec<Span> {
-        let busy = |span: &Span| {
+    pub fn released(&self) -> Vec<EpochRange> {
+        let busy = |span: &EpochRange| {
             self.running
                 .values()
                 .any(|(hash, epoch)| span.contains(*hash) && *epoch <= span.epoch)
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -110,7 +110,11 @@
 }
 
 /// Returns the keys that a target served, by its last answers before a time.
-pub fn keys_of(samples: &[Sample], targets: &IndexSet<String>, before: Duration) -> Vec<String> {
+pub fn keys_served_by(
+    samples: &[Sample],
+    targets: &IndexSet<String>,
+    before: Duration,
+) -> Vec<String> {
     let mut owners: IndexMap<&str, (Duration, &str)> = IndexMap::new();
     let earlier = samples.iter();
     for sample in earlier.filter(|sample| sample.served() && sample.sent < before) {
--- a/standins/src/payload.rs
+++ b/standins/src/payload.rs
@@ -72,10 +72,10 @@
     /// use bramleypier_standins::payload::Payload;
     /// use hyper::body::Body;
     ///
-    /// assert_eq!(Payload::pattern(8).cut().size_hint().exact(), Some(8));
+    /// assert_eq!(Payload::pattern(8).truncated().size_hint().exact(), Some(8));
     /// ```
     #[must_use]
-    pub fn cut(mut self) -> Self {
+    pub fn truncated(mut self) -> Self {
         self.cut = Some(self.length / 2);
         self
     }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -19,7 +19,7 @@
 use crate::{
     clock,
     payload::Payload,
-    serve::{self, Hangup, Response},
+    serve::{self, CloseConnection, Response},
     store::{Refusal, Store},
 };
 
@@ -79,9 +79,9 @@
     ///
     /// let mut faults = Faults::default();
     /// faults.partial.push("vm-1".into());
-    /// assert!(faults.cuts("vm-1") && !faults.cuts("vm-2"));
+    /// assert!(faults.blocks("vm-1") && !faults.blocks("vm-2"));
     /// ```
-    pub fn cuts(&self, client: &str) -> bool {
+    pub fn blocks(&self, client: &str) -> bool {
         let name = client.split('#').next().unwrap_or(client);
         self.down || self.partial.iter().any(|cut| cut == name)
     }
@@ -126,9 +126,13 @@
 }
 
 impl Platform {
-    async fn answer(self, request: Request<Incoming>) -> Result<Response, Hangup> {
+    async fn answer(self, request: Request<Incoming>) -> Result<Response, CloseConnection> {
         let (parts, body) = request.into_parts();
-        let body = body.collect().await.map_err(|_| Hangup)?.to_bytes();
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| CloseConnection)?
+            .to_bytes();
         let request = Request::from_parts(parts, body);
         if !request.uri().path().starts_with("/v1/") {
             return Ok(self.control(&request));
@@ -151,22 +155,22 @@
     }
 
     /// Fails while the client is cut off.
-    fn pass(&self, client: &str) -> Result<(), Hangup> {
-        if !self.state.borrow().faults.cuts(client) {
+    fn pass(&self, client: &str) -> Result<(), CloseConnection> {
+        if !self.state.borrow().faults.blocks(client) {
             return Ok(());
         }
         self.count("cut");
-        Err(Hangup)
+        Err(CloseConnection)
     }
 
     /// Fails while answers to writes are to be lost.
-    fn keep_answer(&self) -> Result<(), Hangup> {
+    fn keep_answer(&self) -> Result<(), CloseConnection> {
         let faults = &mut self.state.borrow_mut().faults;
         if faults.lose_answers == 0 {
             return Ok(());
         }
         faults.lose_answers -= 1;
-        Err(Hangup)
+        Err(CloseConnection)
     }
 
     async fn wait<F>(&self, span: F)
@@ -257,7 +261,11 @@
         }
     }
 
-    async fn watch(&self, request: &Request<Bytes>, client: &str) -> Result<Response, Hangup> {
+    async fn watch(
+        &self,
+        request: &Request<Bytes>,
+        client: &str,
+    ) -> Result<Response, CloseConnection> {
         let query = serve::query(request.uri());
         let prefix = query.get("prefix").map_or("", String::as_str);
         let since = query.get("since").and_then(|text| text.parse().ok());
@@ -266,8 +274,8 @@
         self.watches.set(self.watches.get() + 1);
         let page = loop {
             let now = clock::now();
-            if self.state.borrow().faults.cuts(client) {
-                break Err(Hangup);
+            if self.state.borrow().faults.blocks(client) {
+                break Err(CloseConnection);
             }
             let page = self.state.borrow_mut().store.changed(now, prefix, since);
             if !page.keys.is_empty() || now >= end {
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -19,24 +19,24 @@
 
 /// What a handler returns to close the connection without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hangup;
+pub struct CloseConnection;
 
-impl fmt::Display for Hangup {
+impl fmt::Display for CloseConnection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("closed without an answer")
     }
 }
 
-impl std::error::Error for Hangup {}
+impl std::error::Error for CloseConnection {}
 
 /// The connection that a request came over.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct Connection {
     stream: TcpStream,
     requests: Rc<Cell<u64>>,
 }
 
-impl Link {
+impl Connection {
     /// Makes the close of this connection a reset.
     pub fn reset(&self) {
         drop(self.stream.set_zero_linger());
@@ -64,8 +64,8 @@
 /// Each new connection costs `accept_cost`, one after the other.
 pub async fn run<H, F>(listener: TcpListener, accept_cost: Duration, handler: H)
 where
-    H: Fn(Request<Incoming>, Link) -> F + Clone + 'static,
-    F: Future<Output = Result<Response, Hangup>> + 'static,
+    H: Fn(Request<Incoming>, Connection) -> F + Clone + 'static,
+    F: Future<Output = Result<Response, CloseConnection>> + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -82,11 +82,11 @@
 /// Serves one connection until either side closes it.
 async fn connection<H, F>(stream: TcpStream, handler: H)
 where
-    H: Fn(Request<Incoming>, Link) -> F + 'static,
-    F: Future<Output = Result<Response, Hangup>> + 'static,
+    H: Fn(Request<Incoming>, Connection) -> F + 'static,
+    F: Future<Output = Result<Response, CloseConnection>> + 'static,
 {
     drop(stream.set_nodelay(true));
-    let link = Link {
+    let link = Connection {
         stream: stream.clone(),
         requests: Rc::default(),
     };
--- a/standins/src/services.rs
+++ b/standins/src/services.rs
@@ -55,7 +55,7 @@
     /// The mean time of work.
     pub work_ms: u64,
     /// Whether a forwarder stands before each target.
-    pub fronted: bool,
+    pub proxied: bool,
 }
 
 /// Starts the targets of a document and returns it with their real addresses.
@@ -67,11 +67,11 @@
     let loaded = Document::load(path);
     let mut document = loaded.map_err(|cause| Error::File(path.to_owned(), cause))?;
     for (name, target) in document.targets.clone() {
-        let checks = format!("--checks={}", target.checks);
+        let checks = format!("--checks={}", target.checks_grants);
         let slots = format!("--slots={}", target.slots);
         let work = format!("--work-ms={}", setup.work_ms);
         let arguments = [checks.as_str(), &slots, &work];
-        let started = fleet.add_target(&name, &target.domain, setup.fronted, &arguments);
+        let started = fleet.add_target(&name, &target.domain, setup.proxied, &arguments);
         document.set_address(&name, &started.await?);
     }
     Ok(document)
@@ -86,11 +86,11 @@
     let path = fleet.dir().join(format!("{}.ini", document.service));
     let text = document.text().and_then(|text| fs::write(&path, text));
     text.map_err(|cause| Error::File(path.clone(), cause))?;
-    let settings = format!("--settings={}", fleet.settings(vm)?.display());
+    let settings = format!("--settings={}", fleet.settings_path(vm)?.display());
     let base = format!("--base={}", document.version);
     let path = path.display().to_string();
     let output = fleet
-        .operate(&["document", "put", &settings, &base, "--json", &path])
+        .run_command(&["document", "put", &settings, &base, "--json", &path])
         .await?;
     let report: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap_or_default();
     match report["version"].as_u64() {
@@ -222,7 +222,7 @@
 }
 
 /// Looks up one key after the other, one every `period`.
-pub fn look_up_round(
+pub fn look_up_in_turn(
     traffic: &Traffic,
     callers: &Callers,
     service: &str,
@@ -258,7 +258,7 @@
 }
 
 /// Pulls a file of `size` bytes every `period`, for one key after the other.
-pub fn pull_files(
+pub fn fetch_files(
     traffic: &Traffic,
     callers: &Callers,
     service: &str,
@@ -271,7 +271,7 @@
         let (callers, service) = (callers.clone(), service.clone());
         let key = keys[number % keys.len()].clone();
         async move {
-            callers.file(&service, &key, size).await;
+            callers.fetch_file(&service, &key, size).await;
         }
     });
 }
--- a/standins/src/slots.rs
+++ b/standins/src/slots.rs
@@ -6,11 +6,11 @@
 
 /// How a request stands when it asks for a slot.
 #[derive(Debug)]
-pub enum Place {
+pub enum Admission {
     /// It has a slot.
     Slot,
     /// It waits, until the sender of this fires.
-    Queue(oneshot::Receiver<()>),
+    Queued(oneshot::Receiver<()>),
     /// The queue is full.
     Full,
 }
@@ -20,13 +20,13 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier_standins::slots::{Place, Slots};
+/// use bramleypier_standins::slots::{Admission, Slots};
 ///
 /// let mut slots = Slots::new(1, 0);
-/// assert!(matches!(slots.ask(), Place::Slot));
-/// assert!(matches!(slots.ask(), Place::Full));
-/// slots.free();
-/// assert!(matches!(slots.ask(), Place::Slot));
+/// assert!(matches!(slots.acquire(), Admission::Slot));
+/// assert!(matches!(slots.acquire(), Admission::Full));
+/// slots.release();
+/// assert!(matches!(slots.acquire(), Admission::Slot));
 /// ```
 #[derive(Debug)]
 pub struct Slots {
@@ -48,22 +48,22 @@
     }
 
     /// Asks for a slot.
-    pub fn ask(&mut self) -> Place {
+    pub fn acquire(&mut self) -> Admission {
         if self.busy < self.count {
             self.busy += 1;
-            return Place::Slot;
+            return Admission::Slot;
         }
         self.queue.retain(|waiter| !waiter.is_canceled());
         if self.queue.len() >= self.limit {
-            return Place::Full;
+            return Admission::Full;
         }
         let (sender, receiver) = oneshot::channel();
         self.queue.push_back(sender);
-        Place::Queue(receiver)
+        Admission::Queued(receiver)
     }
 
     /// Gives a slot back; the first that waits gets it.
-    pub fn free(&mut self) {
+    pub fn release(&mut self) {
         while let Some(waiter) = self.queue.pop_front() {
             if waiter.send(()).is_ok() {
                 return;
--- a/standins/src/owners.rs
+++ b/standins/src/socket_owners.rs
@@ -9,14 +9,14 @@
 
 use indexmap::IndexMap;
 
-use crate::{clock, cut::lock};
+use crate::{clock, forwarder::lock};
 
 /// The least time between two readings of the system's tables, which are costly.
 const REFRESH: Duration = Duration::from_millis(25);
 
 /// The processes that are told apart, with what is known of their connections.
 #[derive(Clone, Debug, Default)]
-pub struct Owners {
+pub struct SocketOwners {
     processes: Arc<Mutex<IndexMap<String, u32>>>,
     table: Arc<Mutex<Table>>,
 }
@@ -28,7 +28,7 @@
     names: IndexMap<(u16, u16), String>,
 }
 
-impl Owners {
+impl SocketOwners {
     /// Names a process.
     pub fn insert(&self, name: &str, id: u32) {
         lock(&self.processes).insert(name.to_owned(), id);
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -13,9 +13,9 @@
 use crate::{
     clock,
     fault::{Fault, Faults},
-    holder::{Grant, Holder, Span, Status},
+    holder::{EpochRange, Grant, Holder, Status},
     journal::Journal,
-    serve::{self, Hangup, Link, Response},
+    serve::{self, CloseConnection, Connection, Response},
     slots::Slots,
     work,
 };
@@ -26,7 +26,7 @@
     /// Its name.
     pub name: String,
     /// Whether it checks grants.
-    pub checks: bool,
+    pub checks_grants: bool,
     /// How many requests it runs at a time.
     pub slots: usize,
     /// How many requests wait for a slot before it sheds.
@@ -49,7 +49,7 @@
     fn default() -> Self {
         Self {
             name: "target".to_owned(),
-            checks: true,
+            checks_grants: true,
             slots: 2,
             queue: 256,
             connect_cost: Duration::from_millis(1),
@@ -126,9 +126,17 @@
         self.now() < self.config.cold_time
     }
 
-    async fn answer(self, request: Request<Incoming>, link: Link) -> Result<Response, Hangup> {
+    async fn answer(
+        self,
+        request: Request<Incoming>,
+        link: Connection,
+    ) -> Result<Response, CloseConnection> {
         let (parts, body) = request.into_parts();
-        let body = body.collect().await.map_err(|_| Hangup)?.to_bytes();
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| CloseConnection)?
+            .to_bytes();
         let request = Request::from_parts(parts, body);
         let path = request.uri().path();
         if let Some(id) = path.strip_prefix("/bramleypier/cancel/") {
@@ -150,7 +158,11 @@
     }
 
     /// Runs work in a task of its own, so that it goes on when the caller's connection closes.
-    async fn work(self, request: Request<Bytes>, link: Link) -> Result<Response, Hangup> {
+    async fn work(
+        self,
+        request: Request<Bytes>,
+        link: Connection,
+    ) -> Result<Response, CloseConnection> {
         let size = request.body().len() as u64;
         self.state.borrow_mut().bytes_read += size;
         if self
@@ -160,11 +172,11 @@
             .take(Fault::ResetBefore, request.method().as_str())
         {
             link.reset();
-            return Err(Hangup);
+            return Err(CloseConnection);
         }
         let (answer, answered) = oneshot::channel();
         runtime::spawn(work::run(self, request, link, answer)).detach();
-        answered.await.unwrap_or(Err(Hangup))
+        answered.await.unwrap_or(Err(CloseConnection))
     }
 
     fn grant(&self, body: &Bytes) -> Response {
@@ -188,7 +200,7 @@
         }
     }
 
-    fn status(&self, refused: Vec<Span>) -> Status {
+    fn status(&self, refused: Vec<EpochRange>) -> Status {
         let state = self.state.borrow();
         let phase = match &state.faults.health_lie {
             Some(lie) => lie,
--- a/standins/src/work.rs
+++ b/standins/src/work.rs
@@ -16,8 +16,8 @@
     fault::Fault,
     journal::{End, Run},
     payload::Payload,
-    serve::{self, Hangup, Link, Response},
-    slots::Place,
+    serve::{self, CloseConnection, Connection, Response},
+    slots::Admission,
     target::Target,
 };
 
@@ -46,7 +46,7 @@
     pub bytes: usize,
 }
 
-type Answer = oneshot::Sender<Result<Response, Hangup>>;
+type Answer = oneshot::Sender<Result<Response, CloseConnection>>;
 
 /// A request's headers as its work needs them.
 struct Job {
@@ -56,7 +56,7 @@
 }
 
 /// Runs one request and sends its answer.
-pub(crate) async fn run(target: Target, request: Request<Bytes>, link: Link, answer: Answer) {
+pub(crate) async fn run(target: Target, request: Request<Bytes>, link: Connection, answer: Answer) {
     let job = job(&target, &request);
     let (cancel, mut cancelled) = oneshot::channel();
     let id = cancel_id(&job);
@@ -69,7 +69,7 @@
     in_slot(&target, &request, &link, job, cancelled, answer).await;
     let state = &mut *target.state.borrow_mut();
     state.cancels.swap_remove(&id);
-    state.slots.free();
+    state.slots.release();
 }
 
 /// Returns the id under which a request can be cancelled; one without an id never can be.
@@ -118,13 +118,13 @@
         if state.faults.shed || state.faults.drain {
             return Err(refusal(StatusCode::SERVICE_UNAVAILABLE));
         }
-        state.slots.ask()
+        state.slots.acquire()
     };
     match place {
-        Place::Slot => Ok(()),
-        Place::Full => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
-        Place::Queue(turn) => {
-            let gone = pin!(given_up(job.deadline, cancelled));
+        Admission::Slot => Ok(()),
+        Admission::Full => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
+        Admission::Queued(turn) => {
+            let gone = pin!(cancelled_or_expired(job.deadline, cancelled));
             match select(turn, gone).await {
                 Either::Left(_) => Ok(()),
                 Either::Right(_) => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
@@ -134,7 +134,10 @@
 }
 
 /// Waits until a request is cancelled or its deadline has passed.
-async fn given_up(deadline: Option<Duration>, cancelled: &mut oneshot::Receiver<()>) -> End {
+async fn cancelled_or_expired(
+    deadline: Option<Duration>,
+    cancelled: &mut oneshot::Receiver<()>,
+) -> End {
     let expired = pin!(async {
         match deadline {
             Some(deadline) => {
@@ -153,7 +156,7 @@
 async fn in_slot(
     target: &Target,
     request: &Request<Bytes>,
-    link: &Link,
+    link: &Connection,
     mut job: Job,
     mut cancelled: oneshot::Receiver<()>,
     answer: Answer,
@@ -166,7 +169,7 @@
         return;
     }
     // The grant counts as the work starts, not as the request arrived.
-    if target.config.checks && !admitted(target, &job.run) {
+    if target.config.checks_grants && !admitted(target, &job.run) {
         drop(answer.send(Ok(refusal(StatusCode::MISDIRECTED_REQUEST))));
         return;
     }
@@ -209,7 +212,7 @@
 async fn perform(
     target: &Target,
     request: &Request<Bytes>,
-    link: &Link,
+    link: &Connection,
     job: &Job,
     cancelled: &mut oneshot::Receiver<()>,
     answer: &mut Option<Answer>,
@@ -225,7 +228,7 @@
         compio::time::sleep(span / 2).await;
         if resets && let Some(answer) = answer.take() {
             link.reset();
-            drop(answer.send(Err(Hangup)));
+            drop(answer.send(Err(CloseConnection)));
         }
         compio::time::sleep(span / 2).await;
         if hangs {
@@ -233,7 +236,7 @@
         }
     });
     let deadline = if hangs { None } else { job.deadline };
-    let gone = pin!(given_up(deadline, cancelled));
+    let gone = pin!(cancelled_or_expired(deadline, cancelled));
     match select(work, gone).await {
         Either::Left(_) => End::Done,
         Either::Right((end, _)) => end,
@@ -258,15 +261,15 @@
 fn reply(
     target: &Target,
     request: &Request<Bytes>,
-    link: &Link,
+    link: &Connection,
     run: &Run,
     end: End,
-) -> Result<Response, Hangup> {
+) -> Result<Response, CloseConnection> {
     let method = run.method.as_str();
     let take = |fault| target.state.borrow_mut().faults.take(fault, method);
     if take(Fault::ResetAfter) {
         link.reset();
-        return Err(Hangup);
+        return Err(CloseConnection);
     }
     if end != End::Done {
         let mut response = serve::empty(StatusCode::GATEWAY_TIMEOUT);
@@ -275,7 +278,7 @@
     }
     let mut payload = payload(request, run);
     if take(Fault::CutBody) {
-        payload = payload.cut();
+        payload = payload.truncated();
     }
     let mut response = Response::new(payload);
     if take(Fault::WrongStatus) {
--- a/standins/tests/audit.rs
+++ b/standins/tests/audit.rs
@@ -1,16 +1,16 @@
 //! The audit's findings, as a table of what callers were told and what targets ran.
 
 use bramleypier_standins::{
-    audit::{self, Call, Findings, Told},
+    audit::{self, Call, Findings, ReportedOutcome},
     journal::Run,
 };
 
-fn call(id: &str, sent_ms: u64, told: Told) -> Call {
+fn call(id: &str, sent_ms: u64, reported: ReportedOutcome) -> Call {
     Call {
         id: id.to_owned(),
         idempotent: id.starts_with("look"),
         sent_ms,
-        told,
+        reported,
         sound: true,
     }
 }
@@ -53,7 +53,7 @@
 
 #[test]
 fn outcomes() {
-    use Told::{NotRun, Ran, Unknown};
+    use ReportedOutcome::{NotRun, Ran, Unknown};
     let table = [
         ("ran once", vec![("o", 1, Ran)], vec![("o", 2)], ""),
         (
@@ -135,7 +135,7 @@
     for (name, calls, runs, expected) in table {
         let calls: Vec<Call> = calls
             .iter()
-            .map(|(id, at, told)| call(id, *at, *told))
+            .map(|(id, at, reported)| call(id, *at, *reported))
             .collect();
         let runs: Vec<Run> = runs.iter().map(|(id, at)| run(id, *at)).collect();
         assert_eq!(names(&audit::audit(&calls, &runs)), expected, "{name}");
@@ -146,7 +146,7 @@
 fn unsound_answers() {
     let cut = Call {
         sound: false,
-        ..call("o", 1, Told::Ran)
+        ..call("o", 1, ReportedOutcome::Ran)
     };
     let findings = audit::audit(&[cut], &[run("o", 2)]);
     assert_eq!(names(&findings), "unsound");
--- a/standins/tests/contract.rs
+++ b/standins/tests/contract.rs
@@ -11,7 +11,7 @@
 };
 use bramleypier_standins::{
     client::Client,
-    holder::{Grant, Span, Status},
+    holder::{EpochRange, Grant, Status},
     platform::{self, Faults},
     target::{self, Config},
 };
@@ -271,7 +271,7 @@
     let mut grant = Grant {
         boot: "another start".to_owned(),
         until_ms: status.clock_ms + 60_000,
-        ranges: vec![Span {
+        ranges: vec![EpochRange {
             start: 0,
             end: u64::MAX,
             epoch: 3,
--- a/standins/tests/cut.rs
+++ b/standins/tests/forwarder.rs
@@ -2,13 +2,15 @@
 
 use std::time::Duration;
 
-use bramleypier_standins::{client::Client, cut::Forwarder, owners::Owners, platform};
+use bramleypier_standins::{
+    client::Client, forwarder::Forwarder, platform, socket_owners::SocketOwners,
+};
 
 const WAIT: Duration = Duration::from_millis(300);
 
 #[compio::test]
 async fn only_the_named_process_is_cut() {
-    let owners = Owners::default();
+    let owners = SocketOwners::default();
     owners.insert("self", std::process::id());
     let forwarder = Forwarder::start(owners).unwrap();
     forwarder.set_server(&platform::spawn().await.unwrap().to_string());
@@ -23,7 +25,7 @@
     let open = Client::default();
     assert!(passes(&open).await);
     for (name, expected) in [("other", true), ("self", false)] {
-        forwarder.change(|rules| rules.clients = [name.to_owned()].into());
+        forwarder.update_rules(|rules| rules.clients = [name.to_owned()].into());
         assert_eq!(passes(&open).await, expected, "open, {name} is cut");
         assert_eq!(
             passes(&Client::default()).await,
@@ -31,6 +33,6 @@
             "new, {name} is cut"
         );
     }
-    forwarder.change(|rules| rules.clients.clear());
+    forwarder.update_rules(|rules| rules.clients.clear());
     assert!(passes(&Client::default()).await, "mended");
 }
--- a/standins/tests/holder.rs
+++ b/standins/tests/holder.rs
@@ -2,14 +2,14 @@
 
 use std::{env, time::Duration};
 
-use bramleypier_standins::holder::{Grant, Holder, Span};
+use bramleypier_standins::holder::{EpochRange, Grant, Holder};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngSeed},
 };
 
-fn span((start, end, epoch): (u64, u64, u64)) -> Span {
-    Span { start, end, epoch }
+fn span((start, end, epoch): (u64, u64, u64)) -> EpochRange {
+    EpochRange { start, end, epoch }
 }
 
 fn grant(until_ms: u64, ranges: &[(u64, u64, u64)], release: &[(u64, u64, u64)]) -> Grant {
--- a/standins/tests/measure.rs
+++ b/standins/tests/measure.rs
@@ -79,7 +79,7 @@
     ];
     let keys = |target: &str, before| {
         let targets = IndexSet::from([target.to_owned()]);
-        measure::keys_of(&samples, &targets, ms(before)).len()
+        measure::keys_served_by(&samples, &targets, ms(before)).len()
     };
     assert_eq!((keys("a", 25), keys("b", 25)), (1, 0));
     assert_eq!((keys("a", 40), keys("b", 40)), (0, 1));
--- a/standins/tests/process.rs
+++ b/standins/tests/process.rs
@@ -7,7 +7,7 @@
     client::{Client, Error, Reply},
     clock, fault,
     fleet::Fleet,
-    holder::Span,
+    holder::EpochRange,
     journal::End,
     platform::Faults,
 };
@@ -23,7 +23,7 @@
 async fn put(fleet: &Fleet, key: &str, version: &str, from: &str) -> Result<Reply, Error> {
     let path = format!("/v1/kv/{key}");
     let headers = [("If-Version", version), ("Bramleypier-From", from)];
-    let platform = fleet.platform();
+    let platform = fleet.platform_address();
     let client = fleet.client();
     client
         .call(&platform, Method::PUT, &path, &headers, "v")
@@ -41,8 +41,8 @@
 }
 
 async fn grant(fleet: &Fleet, target: &str, span_ms: u64) {
-    let status = fleet.status(target).await.unwrap();
-    let range = Span {
+    let status = fleet.target_status(target).await.unwrap();
+    let range = EpochRange {
         start: 0,
         end: 9,
         epoch: 1,
@@ -52,7 +52,7 @@
         "until_ms": status.clock_ms + span_ms,
         "ranges": [range],
     });
-    let own = &fleet.targets[target].own;
+    let own = &fleet.targets[target].listen_address;
     let body = serde_json::to_vec(&body).unwrap();
     let reply = fleet
         .client()
@@ -111,7 +111,7 @@
         200,
         "it had no effect"
     );
-    let counts = fleet.counts().await.unwrap();
+    let counts = fleet.call_counts().await.unwrap();
     assert_eq!((counts["put"], counts["cut"]), (6, 2));
 }
 
@@ -121,12 +121,12 @@
     let names = async || {
         let list = fleet
             .client()
-            .get_json::<serde_json::Value>(&fleet.platform(), "/v1/vms")
+            .get_json::<serde_json::Value>(&fleet.platform_address(), "/v1/vms")
             .await;
         list.unwrap().as_array().unwrap().len()
     };
     fleet
-        .list("vm-1", "127.0.0.1:1", "uio-norte", "entry", "live")
+        .register("vm-1", "127.0.0.1:1", "uio-norte", "entry", "live")
         .await
         .unwrap();
     assert_eq!(names().await, 1);
@@ -138,7 +138,7 @@
         .await
         .unwrap();
     compio::time::sleep(Duration::from_millis(250)).await;
-    fleet.unlist("vm-1").await.unwrap();
+    fleet.deregister("vm-1").await.unwrap();
     assert_eq!(names().await, 1, "the view lags");
     compio::time::sleep(Duration::from_millis(250)).await;
     assert_eq!(names().await, 0);
@@ -147,7 +147,7 @@
 #[compio::test]
 async fn watch_ends_with_a_change_or_an_outage() {
     let fleet = fleet().await;
-    let platform = fleet.platform();
+    let platform = fleet.platform_address();
     let client = Client::default();
     let watch =
         compio::runtime::spawn(
@@ -162,7 +162,7 @@
         page,
         json!({ "revision": 2, "keys": [{ "key": "w1", "version": 2 }] })
     );
-    let platform = fleet.platform();
+    let platform = fleet.platform_address();
     let client = Client::default();
     let watch =
         compio::runtime::spawn(
@@ -241,7 +241,7 @@
         "not-run",
         "expired in the queue"
     );
-    let own = fleet.targets["t"].own.clone();
+    let own = fleet.targets["t"].listen_address.clone();
     let cancel = async {
         compio::time::sleep(Duration::from_millis(50)).await;
         let reply = fleet
@@ -283,7 +283,7 @@
     let mut fleet = fleet().await;
     fleet.add_target("t", "uio-sur", false, &[]).await.unwrap();
     grant(&fleet, "t", 60_000).await;
-    let boot = fleet.status("t").await.unwrap().boot;
+    let boot = fleet.target_status("t").await.unwrap().boot;
     let faults = fault::Faults {
         kill_key: Some("bad".into()),
         ..fault::Faults::default()
@@ -306,7 +306,7 @@
         "its start is in the file"
     );
     fleet.restart("t").await.unwrap();
-    let status = fleet.status("t").await.unwrap();
+    let status = fleet.target_status("t").await.unwrap();
     assert_ne!(status.boot, boot);
     assert!(status.held.is_empty(), "a new start holds nothing");
 }
@@ -322,7 +322,7 @@
     let started = |fleet: &Fleet| fleet.runs_of_targets().unwrap().len();
     // Whether requests get in, whether answers get out, what was started.
     for (block_in, block_out, starts) in [(true, true, 0), (true, false, 0), (false, true, 1)] {
-        fleet.front("t").unwrap().change(|rules| {
+        fleet.forwarder("t").unwrap().update_rules(|rules| {
             rules.block_in = block_in;
             rules.block_out = block_out;
         });
@@ -335,7 +335,7 @@
             "in={block_in} out={block_out}"
         );
     }
-    fleet.front("t").unwrap().change(|rules| {
+    fleet.forwarder("t").unwrap().update_rules(|rules| {
         rules.block_out = false;
         rules.delay = Duration::from_millis(30);
     });
--- a/standins/tests/resize.rs
+++ b/standins/tests/resize.rs
@@ -6,7 +6,7 @@
     group::{Entry, Record, resize},
     range::Range,
 };
-use bramleypier_standins::holder::{Grant, Holder, Span};
+use bramleypier_standins::holder::{EpochRange, Grant, Holder};
 
 const UNTIL_MS: u64 = 1_000;
 const NOW: Duration = Duration::from_millis(10);
@@ -26,7 +26,7 @@
 
 /// Grants all of a record to one target; returns how many ranges it refuses.
 fn grant(holder: &mut Holder, record: &Record) -> usize {
-    let span = |entry: &Entry| Span {
+    let span = |entry: &Entry| EpochRange {
         start: entry.range.start,
         end: entry.range.end,
         epoch: entry.epoch,
--- a/standins/tests/vms.rs
+++ b/standins/tests/vms.rs
@@ -11,11 +11,11 @@
     let scenario = Scenario {
         name,
         steps,
-        domain: false,
+        whole_domain: false,
     };
     let options = Options {
         program: None,
-        checks: true,
+        checks_grants: true,
         keys: 8,
         period: Duration::from_millis(50),
         settings: String::new(),
--- a/tools/load/src/call.rs
+++ b/tools/load/src/call.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, net::SocketAddr, time::Duration};
 
-use bramleypier_standins::{audit::Told, payload};
+use bramleypier_standins::{audit::ReportedOutcome, payload};
 use http::{HeaderMap, Method, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -104,7 +104,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallResult {
     /// Whether the request ran, as the response reports it.
-    pub outcome: Told,
+    pub outcome: ReportedOutcome,
     /// HTTP status; zero when no response head was received.
     pub status: u16,
     /// Number of body bytes that were received.
@@ -131,7 +131,11 @@
     /// ```
     pub fn without_response(sent: bool) -> Self {
         Self {
-            outcome: if sent { Told::Unknown } else { Told::NotRun },
+            outcome: if sent {
+                ReportedOutcome::Unknown
+            } else {
+                ReportedOutcome::NotRun
+            },
             status: 0,
             bytes: 0,
             sound: true,
@@ -143,7 +147,7 @@
 
     /// Returns whether the request ran, succeeded, and its complete and intact response was received.
     pub fn is_good(&self) -> bool {
-        self.outcome == Told::Ran && self.sound && !self.failed && self.status < 400
+        self.outcome == ReportedOutcome::Ran && self.sound && !self.failed && self.status < 400
     }
 }
 
@@ -200,7 +204,7 @@
             .map(Duration::from_millis),
         ..CallResult::without_response(true)
     };
-    let is_target = result.outcome == Told::Ran && head.status.is_success();
+    let is_target = result.outcome == ReportedOutcome::Ran && head.status.is_success();
     match spec.class {
         Class::Files if is_target => read_file(&mut result, body, spec.bytes).await,
         _ => read_text(&mut result, body, is_target.then_some(&spec.id)).await,
@@ -213,7 +217,7 @@
     let mut kept = Vec::new();
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            result.outcome = Told::Unknown;
+            result.outcome = ReportedOutcome::Unknown;
             return;
         };
         let data = frame.data_ref().map_or(&[][..], |data| data);
@@ -230,7 +234,7 @@
     let mut intact = true;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else {
-            result.outcome = Told::Unknown;
+            result.outcome = ReportedOutcome::Unknown;
             return;
         };
         let data = frame.data_ref().map_or(&[][..], |data| data);
@@ -256,7 +260,7 @@
 /// use std::time::Duration;
 ///
 /// use bramleypier_load::{call, call::CallSpec, config::Class};
-/// use bramleypier_standins::audit::Told;
+/// use bramleypier_standins::audit::ReportedOutcome;
 /// use http::{HeaderMap, StatusCode};
 ///
 /// let spec = CallSpec {
@@ -270,14 +274,18 @@
 /// };
 /// // Without an outcome header, a response of an entry VM leaves the outcome unknown.
 /// let outcome = call::reported_outcome(StatusCode::OK, &HeaderMap::new(), &spec);
-/// assert_eq!(outcome, Told::Unknown);
+/// assert_eq!(outcome, ReportedOutcome::Unknown);
 /// ```
-pub fn reported_outcome(status: StatusCode, headers: &HeaderMap, spec: &CallSpec) -> Told {
+pub fn reported_outcome(
+    status: StatusCode,
+    headers: &HeaderMap,
+    spec: &CallSpec,
+) -> ReportedOutcome {
     match header_text(headers, OUTCOME_HEADER) {
-        "ran" => Told::Ran,
-        "not-run" => Told::NotRun,
-        "" if spec.service.is_none() && status.is_success() => Told::Ran,
-        _ => Told::Unknown,
+        "ran" => ReportedOutcome::Ran,
+        "not-run" => ReportedOutcome::NotRun,
+        "" if spec.service.is_none() && status.is_success() => ReportedOutcome::Ran,
+        _ => ReportedOutcome::Unknown,
     }
 }
 
--- a/tools/load/src/call_log.rs
+++ b/tools/load/src/call_log.rs
@@ -6,7 +6,7 @@
     path::Path,
 };
 
-use bramleypier_standins::audit::{Call, Told};
+use bramleypier_standins::audit::{Call, ReportedOutcome};
 use serde::{Deserialize, Serialize};
 
 use crate::config::Class;
@@ -26,7 +26,7 @@
     /// Time at which it was sent, in milliseconds of the machine's clock.
     pub sent_ms: u64,
     /// Whether the request ran, as the response reported it.
-    pub told: Told,
+    pub told: ReportedOutcome,
     /// Whether the response, if one was received, was intact and belonged to this request.
     pub sound: bool,
     /// HTTP status; zero when no response was received.
@@ -43,7 +43,7 @@
     /// Returns the attempt in the form that the audit reads; without a response its outcome is unknown.
     pub fn call(&self) -> Call {
         let told = if self.status == 0 {
-            Told::Unknown
+            ReportedOutcome::Unknown
         } else {
             self.told
         };
@@ -51,7 +51,7 @@
             id: self.id.clone(),
             idempotent: self.class.is_idempotent(),
             sent_ms: self.sent_ms,
-            told,
+            reported: told,
             sound: self.sound,
         }
     }
--- a/tools/load/src/experiment/analysis.rs
+++ b/tools/load/src/experiment/analysis.rs
@@ -3,7 +3,7 @@
 use std::{io, time::Duration};
 
 use bramleypier_standins::{
-    audit::{self, Call, Findings, Told},
+    audit::{self, Call, Findings, ReportedOutcome},
     caller::Sample,
     clock,
     journal::Run,
@@ -155,7 +155,7 @@
 }
 
 fn is_served(line: &Line) -> bool {
-    line.told == Told::Ran && line.sound && line.status == 200
+    line.told == ReportedOutcome::Ran && line.sound && line.status == 200
 }
 
 /// Returns the total time of the time slices in which too many look-ups were not served.
--- a/tools/load/src/experiment/cell.rs
+++ b/tools/load/src/experiment/cell.rs
@@ -189,7 +189,7 @@
     let runs = testbed.fleet.runs_of_targets()?;
     let running = testbed.documents.iter().flat_map(|document| {
         let names = document.targets.keys();
-        names.filter(|name| testbed.fleet.runs(name)).cloned()
+        names.filter(|name| testbed.fleet.is_running(name)).cloned()
     });
     let running: Vec<String> = running.collect();
     let slices = testbed.fleet.targets.len() as u64 * SLICES_PER_TARGET;
@@ -214,7 +214,7 @@
 /// Reads the usage and counters of all running VMs.
 async fn read_vms(testbed: &Testbed) -> Result<IndexMap<String, Reading>, Error> {
     let mut readings = IndexMap::new();
-    for vm in testbed.vms.iter().filter(|vm| testbed.fleet.runs(vm)) {
+    for vm in testbed.vms.iter().filter(|vm| testbed.fleet.is_running(vm)) {
         let totals = testbed.totals(vm).await?;
         let reading = Reading {
             usage: testbed.usage(vm)?,
--- a/tools/load/src/experiment/fault.rs
+++ b/tools/load/src/experiment/fault.rs
@@ -55,7 +55,7 @@
         };
         testbed.fleet.kill(&name)?;
         compio::time::sleep(LISTING_DELAY).await;
-        Ok(testbed.fleet.unlist(&name).await?)
+        Ok(testbed.fleet.deregister(&name).await?)
     }
 
     /// Returns the name of the process to kill, if the fault kills one.
--- a/tools/load/src/idle.rs
+++ b/tools/load/src/idle.rs
@@ -93,7 +93,7 @@
         cpu: Vec::new(),
         resident_kb: Vec::new(),
         sent: Vec::new(),
-        calls: testbed.fleet.counts().await?,
+        calls: testbed.fleet.call_counts().await?,
     };
     for vm in &testbed.vms {
         let usage = testbed.usage(vm)?;
--- a/tools/load/src/tally.rs
+++ b/tools/load/src/tally.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bramleypier_standins::audit::Told;
+use bramleypier_standins::audit::ReportedOutcome;
 use hdrhistogram::Histogram;
 
 use crate::{call::CallResult, config::Class};
@@ -173,15 +173,15 @@
         counts.resent += attempts.saturating_sub(1) as u64;
         counts.bytes += result.bytes;
         match result.outcome {
-            Told::Ran => {
+            ReportedOutcome::Ran => {
                 counts.ran += 1;
                 counts.served.add(latency);
             }
-            Told::NotRun => {
+            ReportedOutcome::NotRun => {
                 counts.not_run += 1;
                 counts.refused.add(latency);
             }
-            Told::Unknown => counts.unknown += 1,
+            ReportedOutcome::Unknown => counts.unknown += 1,
         }
     }
 
--- a/tools/load/src/testbed.rs
+++ b/tools/load/src/testbed.rs
@@ -119,7 +119,7 @@
         let loaded = Document::load(path);
         let mut document = loaded.map_err(|cause| Error::Load("document", cause))?;
         for (name, target) in document.targets.clone() {
-            let checks = format!("--checks={}", target.checks);
+            let checks = format!("--checks={}", target.checks_grants);
             let slots = format!("--slots={}", target.slots);
             let arguments = [checks.as_str(), &slots, "--work-ms=0", "--fixed"];
             let started = self
@@ -143,7 +143,7 @@
             let started = self.fleet.add_target(&name, DOMAINS[0], false, &arguments);
             self.plain_targets.push(parse_address(&started.await?)?);
             // No document names this target, so it doesn't need to stay in the platform's list.
-            self.fleet.unlist(&name).await?;
+            self.fleet.deregister(&name).await?;
         }
         Ok(())
     }
@@ -159,7 +159,7 @@
 
     async fn wait_ready(&self) -> Result<(), Error> {
         for vm in &self.vms {
-            let entry = self.fleet.vms.get(vm).map(|vm| vm.caller.clone());
+            let entry = self.fleet.vms.get(vm).map(|vm| vm.caller_address.clone());
             let callers = Callers::new(entry.into_iter().collect(), Duration::from_secs(2));
             for document in &self.documents {
                 let keys = services::keys(&document.service, READY_KEYS);
@@ -176,7 +176,7 @@
     /// Fails when an address is invalid.
     pub fn entry_addresses(&self) -> Result<Vec<SocketAddr>, Error> {
         self.fleet
-            .callers()
+            .caller_addresses()
             .iter()
             .map(|text| parse_address(text))
             .collect()
@@ -203,7 +203,7 @@
     ///
     /// Fails when the process isn't running.
     pub fn usage(&self, name: &str) -> Result<Usage, Error> {
-        let usage = Usage::read(self.fleet.id(name)?);
+        let usage = Usage::read(self.fleet.process_id(name)?);
         usage.map_err(|cause| Error::Load("usage", cause))
     }
 
@@ -214,7 +214,7 @@
     /// Fails when the VM doesn't answer.
     pub async fn totals(&self, vm: &str) -> Result<IndexMap<String, i64>, Error> {
         let vm = self.fleet.vms.get(vm);
-        let peer = vm.map_or("", |vm| vm.peer.as_str());
+        let peer = vm.map_or("", |vm| vm.peer_address.as_str());
         let status = self
             .fleet
             .client()
--- a/tools/load/src/worker.rs
+++ b/tools/load/src/worker.rs
@@ -4,7 +4,7 @@
 
 use std::{cell::Cell, io, path::PathBuf, rc::Rc, sync::mpsc::Sender, time::Duration};
 
-use bramleypier_standins::{audit::Told, clock};
+use bramleypier_standins::{audit::ReportedOutcome, clock};
 use compio::runtime::{self, Runtime};
 use futures_channel::mpsc;
 use futures_util::{StreamExt, future::Either};
@@ -210,7 +210,7 @@
             if self.config.log_file.is_some() {
                 self.log_attempt(spec, &result, address.to_string(), sent, due);
             }
-            let is_final = result.outcome != Told::Unknown && !result.failed;
+            let is_final = result.outcome != ReportedOutcome::Unknown && !result.failed;
             if is_final || attempts >= limit {
                 return (result, attempts);
             }
--- a/tools/load/tests/figures.rs
+++ b/tools/load/tests/figures.rs
@@ -15,13 +15,13 @@
     tally::{Latencies, Tally},
     usage,
 };
-use bramleypier_standins::{audit::Told, journal::Run};
+use bramleypier_standins::{audit::ReportedOutcome, journal::Run};
 
 fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-fn result(outcome: Told, status: u16) -> CallResult {
+fn result(outcome: ReportedOutcome, status: u16) -> CallResult {
     CallResult {
         outcome,
         status,
@@ -30,7 +30,7 @@
     }
 }
 
-fn line(key: &str, sent_ms: u64, told: Told) -> Line {
+fn line(key: &str, sent_ms: u64, told: ReportedOutcome) -> Line {
     Line {
         id: format!("{key}-{sent_ms}"),
         key: key.to_owned(),
@@ -39,7 +39,11 @@
         sent_ms,
         told,
         sound: true,
-        status: if told == Told::Ran { 200 } else { 503 },
+        status: if told == ReportedOutcome::Ran {
+            200
+        } else {
+            503
+        },
         bytes: 0,
         peer: "t-1".to_owned(),
         latency_us: 1000,
@@ -83,13 +87,13 @@
     // Result, and whether it counts as good, ran, not run, unknown, an error, unsound.
     let unsound = CallResult {
         sound: false,
-        ..result(Told::Ran, 200)
+        ..result(ReportedOutcome::Ran, 200)
     };
     let cases = [
-        (result(Told::Ran, 200), [1, 1, 0, 0, 0, 0]),
-        (result(Told::Ran, 500), [0, 1, 0, 0, 0, 0]),
-        (result(Told::NotRun, 503), [0, 0, 1, 0, 0, 0]),
-        (result(Told::Unknown, 502), [0, 0, 0, 1, 0, 0]),
+        (result(ReportedOutcome::Ran, 200), [1, 1, 0, 0, 0, 0]),
+        (result(ReportedOutcome::Ran, 500), [0, 1, 0, 0, 0, 0]),
+        (result(ReportedOutcome::NotRun, 503), [0, 0, 1, 0, 0, 0]),
+        (result(ReportedOutcome::Unknown, 502), [0, 0, 0, 1, 0, 0]),
         (CallResult::without_response(true), [0, 0, 0, 1, 1, 0]),
         (CallResult::without_response(false), [0, 0, 1, 0, 1, 0]),
         (unsound, [0, 1, 0, 0, 0, 1]),
@@ -236,9 +240,9 @@
 fn failing_time_and_gaps_are_computed_from_the_log() {
     let outcome_at = |ms| {
         if (200..400).contains(&ms) {
-            Told::NotRun
+            ReportedOutcome::NotRun
         } else {
-            Told::Ran
+            ReportedOutcome::Ran
         }
     };
     let lines: Vec<Line> = (0..1000)
@@ -278,7 +282,10 @@
 #[test]
 fn log_lines_are_read_back_as_they_were_written() {
     let path = std::env::temp_dir().join(format!("bramleypier-lines-{}", std::process::id()));
-    let lines = [line("a", 1, Told::Ran), line("b", 2, Told::Unknown)];
+    let lines = [
+        line("a", 1, ReportedOutcome::Ran),
+        line("b", 2, ReportedOutcome::Unknown),
+    ];
     let mut log = CallLog::create(&path).unwrap();
     for line in &lines {
         log.write(line).unwrap();
@@ -296,7 +303,12 @@
         let mut tally = Tally::default();
         for _ in 0..good {
             tally.record_sent(Class::Lookups);
-            tally.record_result(Class::Lookups, &result(Told::Ran, 200), ms(10), 1);
+            tally.record_result(
+                Class::Lookups,
+                &result(ReportedOutcome::Ran, 200),
+                ms(10),
+                1,
+            );
         }
         let cell = Cell {
             fault: Fault::Target,
