--- a/standins/src/audit.rs
+++ b/standins/src/audit.rs
@@ -1,11 +1,14 @@
-//! The audit after a run: what callers were told, against what targets ran.
+//! Audit of a finished run: compares what callers were told with what targets logged.
+//!
+//! It reports requests that ran twice or were lost, false "not run" answers, damaged responses and
+//! keys that two targets served at once.
 
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
 use crate::journal::Run;
 
-/// What a caller was told.
+/// The outcome of a request as the response reports it to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportedOutcome {
@@ -13,46 +16,46 @@
     Ran,
     /// The request did not run.
     NotRun,
-    /// Nobody knows; also when no answer came.
+    /// It is not known whether the request ran; also when no response arrived.
     Unknown,
 }
 
-/// One sending of one request; the same id may be sent again.
+/// One attempt at a request; further attempts carry the same id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Call {
-    /// The caller's id: its idempotency key, or the tag of a look-up.
+    /// The caller's request id: the idempotency key, or the tag of a look-up.
     pub id: String,
-    /// Whether it may run more than once without harm.
+    /// Whether the request is idempotent, so that running it twice does no harm.
     pub idempotent: bool,
-    /// When it was sent, on the machine's clock.
+    /// Send time in milliseconds since the machine's boot.
     pub sent_ms: u64,
-    /// What the caller was told.
+    /// The outcome that the caller was told.
     #[serde(rename = "told")]
     pub reported: ReportedOutcome,
-    /// Whether the answer, if one came, was whole and the caller's own.
+    /// False if a response arrived that was truncated or belonged to another request.
     pub sound: bool,
 }
 
-/// What the audit found, by id of the request or by key; all empty when all is well.
+/// Findings of the audit: request ids, and keys in `two_owners`; all empty for a correct run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Findings {
-    /// Non-idempotent requests that were started more than once.
+    /// Non-idempotent requests that targets started more than once.
     pub doubled: IndexSet<String>,
-    /// Requests said to have run that no target started.
+    /// Requests reported as run that no target started.
     pub lost: IndexSet<String>,
-    /// Requests said not to have run that a target started.
+    /// Requests reported as not run that a target did start.
     pub untrue: IndexSet<String>,
-    /// Answers that were cut short or another's.
+    /// Requests with a response that was truncated or belonged to another request.
     pub unsound: IndexSet<String>,
-    /// Keys for which work started under an older epoch after a newer one, or at two targets
-    /// under one epoch.
+    /// Keys whose work started under an older epoch after a newer one, or at two targets under the
+    /// same epoch.
     pub two_owners: IndexSet<String>,
 }
 
 impl Findings {
-    /// Returns whether nothing was found.
+    /// Returns whether the audit found nothing.
     ///
     /// # Example
     ///
@@ -73,81 +76,87 @@
     }
 }
 
-/// Joins what callers were told with what targets ran.
+/// Compares the attempts that callers made with the runs that targets logged.
 ///
 /// # Example
 ///
 /// ```
 /// use bramleypier_standins::audit::{self, Call, ReportedOutcome};
 ///
-/// let told_ran = Call {
+/// let call = Call {
 ///     id: "order-1".into(),
 ///     idempotent: false,
 ///     sent_ms: 0,
 ///     reported: ReportedOutcome::Ran,
 ///     sound: true,
 /// };
-/// assert!(audit::audit(&[told_ran], &[]).lost.contains("order-1"));
+/// assert!(audit::audit(&[call], &[]).lost.contains("order-1"));
 /// ```
 pub fn audit(calls: &[Call], runs: &[Run]) -> Findings {
-    let runs_by_id = by_id(runs);
-    let mut sends: IndexMap<&str, Vec<&Call>> = IndexMap::new();
+    let runs_by_id = group_by_id(runs);
+    let mut attempts_by_id: IndexMap<&str, Vec<&Call>> = IndexMap::new();
     for call in calls {
-        sends.entry(&call.id).or_default().push(call);
+        attempts_by_id.entry(&call.id).or_default().push(call);
     }
     let mut findings = Findings::default();
-    for (id, sends) in &sends {
+    for (id, attempts) in &attempts_by_id {
         let runs = runs_by_id.get(*id).map_or(&[][..], Vec::as_slice);
         let id = (*id).to_owned();
-        if runs.len() > 1 && sends.iter().any(|call| !call.idempotent) {
+        if runs.len() > 1 && attempts.iter().any(|call| !call.idempotent) {
             findings.doubled.insert(id.clone());
         }
         if runs.is_empty()
-            && sends
+            && attempts
                 .iter()
                 .any(|call| call.reported == ReportedOutcome::Ran)
         {
             findings.lost.insert(id.clone());
         }
-        if sends.iter().any(|call| is_untrue(call, sends, runs)) {
+        if attempts
+            .iter()
+            .any(|call| is_false_not_run(call, attempts, runs))
+        {
             findings.untrue.insert(id.clone());
         }
-        if sends.iter().any(|call| !call.sound) {
+        if attempts.iter().any(|call| !call.sound) {
             findings.unsound.insert(id);
         }
     }
-    findings.two_owners = two_owners(runs);
+    findings.two_owners = keys_with_two_owners(runs);
     findings
 }
 
-/// Returns whether a sending was told "not run" although a run can only be its own, or, for a
-/// request that is not idempotent, came before it.
-fn is_untrue(call: &Call, sends: &[&Call], runs: &[&Run]) -> bool {
+/// Returns whether an attempt was falsely reported as not run.
+///
+/// That is so if a run can only belong to this attempt, that is, no other attempt sent before the
+/// run had a different outcome. For a request that is not idempotent, a run before the attempt
+/// counts too.
+fn is_false_not_run(call: &Call, attempts: &[&Call], runs: &[&Run]) -> bool {
     if call.reported != ReportedOutcome::NotRun {
         return false;
     }
     runs.iter().any(|run| {
-        let excused = sends.iter().any(|other| {
+        let excused = attempts.iter().any(|other| {
             other.reported != ReportedOutcome::NotRun && other.sent_ms <= run.started_ms
         });
-        let earlier = run.started_ms < call.sent_ms;
+        let ran_before = run.started_ms < call.sent_ms;
         if call.idempotent {
-            return !earlier && !excused;
+            return !ran_before && !excused;
         }
-        earlier || !excused
+        ran_before || !excused
     })
 }
 
-fn by_id(runs: &[Run]) -> IndexMap<String, Vec<&Run>> {
-    let mut map: IndexMap<String, Vec<&Run>> = IndexMap::new();
+fn group_by_id(runs: &[Run]) -> IndexMap<String, Vec<&Run>> {
+    let mut groups: IndexMap<String, Vec<&Run>> = IndexMap::new();
     for run in runs {
-        map.entry(id(run)).or_default().push(run);
+        groups.entry(request_id(run)).or_default().push(run);
     }
-    map
+    groups
 }
 
-/// Returns the caller's id of a run: its idempotency key, or the tag in its path.
-fn id(run: &Run) -> String {
+/// Returns the caller's request id of a run: the idempotency key, or the tag in the path.
+fn request_id(run: &Run) -> String {
     if !run.idempotency.is_empty() {
         return run.idempotency.clone();
     }
@@ -157,22 +166,22 @@
         .map_or_else(String::new, |(_, tag)| tag.into_owned())
 }
 
-/// Finds keys whose work started in an order that one owner at a time can't give.
-fn two_owners(runs: &[Run]) -> IndexSet<String> {
+/// Returns the keys whose runs started in an order that is impossible with one owner at a time.
+fn keys_with_two_owners(runs: &[Run]) -> IndexSet<String> {
     let mut by_key: IndexMap<&str, Vec<&Run>> = IndexMap::new();
     for run in runs.iter().filter(|run| run.epoch > 0) {
         by_key.entry(&run.key).or_default().push(run);
     }
     by_key.retain(|_, runs| {
         runs.sort_by_key(|run| (run.started_ms, run.epoch));
-        !runs.is_sorted_by_key(|run| run.epoch) || !one_holder(runs)
+        !runs.is_sorted_by_key(|run| run.epoch) || !one_owner_per_epoch(runs)
     });
     by_key.into_keys().map(str::to_owned).collect()
 }
 
-/// Returns whether each epoch's runs are those of one start of one target.
-fn one_holder(runs: &[&Run]) -> bool {
-    let mut holders: IndexMap<u64, &str> = IndexMap::new();
+/// Returns whether all runs of each epoch belong to a single incarnation of a single target.
+fn one_owner_per_epoch(runs: &[&Run]) -> bool {
+    let mut owners: IndexMap<u64, &str> = IndexMap::new();
     runs.iter()
-        .all(|run| *holders.entry(run.epoch).or_insert(&run.boot) == run.boot)
+        .all(|run| *owners.entry(run.epoch).or_insert(&run.boot) == run.boot)
 }
--- a/standins/src/bin/bramleypier-demo.rs
+++ b/standins/src/bin/bramleypier-demo.rs
@@ -150,7 +150,7 @@
 async fn start_targets(fleet: &mut Fleet, examples: &Path) -> Result<Vec<Document>, Fault> {
     let setup = Setup {
         work_ms: 5,
-        proxied: false,
+        forwarded: false,
     };
     let mut documents = Vec::new();
     for path in document_files(examples)? {
--- a/standins/src/client.rs
+++ b/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client that keeps its connections, and never repeats a request.
+//! A small HTTP/1.1 client that reuses connections and never retries a request.
 
 use std::{cell::RefCell, io, rc::Rc, time::Duration};
 
@@ -16,39 +16,39 @@
 
 use crate::clock;
 
-/// How long a call may take when nothing else is said.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// The default time limit of a call.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 quick_error! {
-    /// Why a call got no whole answer.
+    /// Why a call got no complete response.
     #[derive(Debug)]
     pub enum Error {
-        /// No connection came about.
+        /// The connection could not be opened.
         Connect(peer: String, cause: io::Error) {
             display("connect to {peer}: {cause}")
             source(cause)
         }
-        /// The connection failed before the answer's head came.
+        /// The connection failed before the response head arrived.
         Send(peer: String, cause: hyper::Error) {
             display("send to {peer}: {cause}")
             source(cause)
         }
-        /// The answer broke off.
+        /// The connection failed while the response body was read.
         Body(peer: String, cause: hyper::Error) {
-            display("body from {peer}: {cause}")
+            display("read body from {peer}: {cause}")
             source(cause)
         }
-        /// The time ran out.
+        /// The call took longer than the time limit.
         Timeout(peer: String) {
             display("call to {peer}: timed out")
         }
-        /// The request can't be written down.
+        /// The request could not be built.
         Request(cause: http::Error) {
             from()
-            display("request: {cause}")
+            display("build request: {cause}")
             source(cause)
         }
-        /// The answer is not the JSON that was expected.
+        /// The response is not the expected JSON.
         Json(peer: String, cause: serde_json::Error) {
             display("JSON from {peer}: {cause}")
             source(cause)
@@ -56,21 +56,21 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// How long it took from the call to the last byte.
+    /// The time from the call to the last byte.
     pub took: Duration,
 }
 
 impl Reply {
-    /// Returns a header as text; empty when there is none.
+    /// Returns the value of a header, or an empty string if it is missing or not text.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value.and_then(|value| value.to_str().ok()).unwrap_or("")
@@ -79,7 +79,7 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A client; clones share its connections.
+/// An HTTP client; clones share its idle connections.
 #[derive(Clone, Debug)]
 pub struct Client {
     idle: Rc<RefCell<IndexMap<String, Vec<Sender>>>>,
@@ -88,12 +88,12 @@
 
 impl Default for Client {
     fn default() -> Self {
-        Self::new(TIMEOUT)
+        Self::new(DEFAULT_TIMEOUT)
     }
 }
 
 impl Client {
-    /// Creates a client whose calls may take `timeout`.
+    /// Creates a client whose calls fail after `timeout`.
     pub fn new(timeout: Duration) -> Self {
         Self {
             idle: Rc::default(),
@@ -101,11 +101,11 @@
         }
     }
 
-    /// Calls and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer came in time; the request may have had its effect.
+    /// Fails if no complete response arrives in time; the request may still have taken effect.
     pub async fn call(
         &self,
         peer: &str,
@@ -129,20 +129,20 @@
         }
     }
 
-    /// Gets a path.
+    /// Sends a GET request.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer came in time.
+    /// Fails if no complete response arrives in time.
     pub async fn get(&self, peer: &str, path: &str) -> Result<Reply, Error> {
         self.call(peer, Method::GET, path, &[], Bytes::new()).await
     }
 
-    /// Gets a JSON value.
+    /// Sends a GET request and decodes the JSON response.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer came in time, or when it is not the JSON that was expected.
+    /// Fails if no complete response arrives in time, or it is not the expected JSON.
     pub async fn get_json<T>(&self, peer: &str, path: &str) -> Result<T, Error>
     where
         T: DeserializeOwned,
@@ -151,11 +151,11 @@
         serde_json::from_slice(&reply.body).map_err(|cause| Error::Json(peer.to_owned(), cause))
     }
 
-    /// Posts a body.
+    /// Sends a POST request.
     ///
     /// # Errors
     ///
-    /// Fails when no whole answer came in time; the request may have had its effect.
+    /// Fails if no complete response arrives in time; the request may still have taken effect.
     pub async fn post(
         &self,
         peer: &str,
@@ -168,9 +168,9 @@
 
     async fn exchange(&self, peer: &str, request: Request<Full<Bytes>>) -> Result<Reply, Error> {
         let start = clock::now();
-        let mut sender = match self.kept(peer) {
+        let mut sender = match self.take_idle(peer) {
             Some(sender) => sender,
-            None => open(peer).await?,
+            None => connect(peer).await?,
         };
         let response = sender
             .send_request(request)
@@ -192,7 +192,7 @@
         })
     }
 
-    fn kept(&self, peer: &str) -> Option<Sender> {
+    fn take_idle(&self, peer: &str) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(peer)?;
         list.retain(|sender| !sender.is_closed());
@@ -201,7 +201,7 @@
     }
 }
 
-async fn open(peer: &str) -> Result<Sender, Error> {
+async fn connect(peer: &str) -> Result<Sender, Error> {
     let stream = TcpStream::connect(peer)
         .await
         .map_err(|cause| Error::Connect(peer.to_owned(), cause))?;
@@ -210,7 +210,7 @@
         .await
         .map_err(|cause| Error::Send(peer.to_owned(), cause))?;
     runtime::spawn(async move {
-        // The sender hears of a failure by itself.
+        // The request's sender reports the same failure.
         drop(connection.await);
     })
     .detach();
--- a/standins/src/clock.rs
+++ b/standins/src/clock.rs
@@ -1,10 +1,10 @@
-//! Readings of the machine's clock that every process on it shares.
+//! The boot-time clock, which all processes of a machine share.
 
 use std::time::Duration;
 
 use rustix::time::{self as system, ClockId};
 
-/// Returns the time since the machine's boot, which keeps running while a process is frozen.
+/// Returns the time since the machine's boot; it advances while a process is frozen.
 ///
 /// # Example
 ///
@@ -20,7 +20,7 @@
     Duration::new(seconds, nanos)
 }
 
-/// Returns a duration as whole milliseconds.
+/// Converts a duration to whole milliseconds.
 ///
 /// # Example
 ///
--- a/standins/src/decimal.rs
+++ b/standins/src/decimal.rs
@@ -1,12 +1,14 @@
-//! 64-bit numbers as decimal strings in JSON, as points of the hash space travel.
+//! Serde support for 64-bit numbers as decimal strings.
+//!
+//! Points of the hash space are written this way in JSON.
 
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-/// Writes a number as a decimal string.
+/// Serializes a number as a decimal string.
 ///
 /// # Errors
 ///
-/// Fails when the serializer does.
+/// Fails if the serializer fails.
 pub fn serialize<S>(value: &u64, serializer: S) -> Result<S::Ok, S::Error>
 where
     S: Serializer,
@@ -14,11 +16,11 @@
     serializer.collect_str(value)
 }
 
-/// Reads a number from a decimal string.
+/// Deserializes a number from a decimal string.
 ///
 /// # Errors
 ///
-/// Fails when the text is no number.
+/// Fails if the text is not a 64-bit unsigned number.
 pub fn deserialize<'de, D>(deserializer: D) -> Result<u64, D::Error>
 where
     D: Deserializer<'de>,
--- a/standins/src/document.rs
+++ b/standins/src/document.rs
@@ -1,18 +1,20 @@
-//! Service documents as far as the tools need them: which targets to start, what to send.
+//! The parts of service documents that the tools need.
+//!
+//! A document names the targets to start and shows which kinds of requests the service accepts.
 
 use std::{io, path::Path};
 
 use indexmap::IndexMap;
 use ini::{Ini, Properties};
 
-/// A target as a document describes it.
+/// A target in a service document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: String,
-    /// Whether it checks grants.
+    /// Whether the target checks grants.
     pub checks_grants: bool,
-    /// How many requests it runs at a time.
+    /// How many requests it runs concurrently, as written in the document.
     pub slots: String,
 }
 
@@ -22,33 +24,33 @@
     ini: Ini,
     /// The service's name.
     pub service: String,
-    /// The version in force that this one is based on; 0 before it was put.
+    /// The active version that this document is based on; 0 before the first upload.
     pub version: u64,
-    /// Whether a class takes orders.
+    /// Whether a request class accepts orders, which are not idempotent.
     pub takes_orders: bool,
-    /// Whether a class takes files.
+    /// Whether a request class serves files.
     pub takes_files: bool,
     /// The targets, by name.
     pub targets: IndexMap<String, Target>,
 }
 
 impl Document {
-    /// Reads a document.
+    /// Reads a document from a file.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be read or is no INI file.
+    /// Fails if the file can't be read or is not valid INI.
     pub fn load(path: &Path) -> io::Result<Self> {
         let ini = Ini::load_from_file(path)
             .map_err(|cause| io::Error::other(format!("{}: {cause}", path.display())))?;
         Ok(Self::new(ini))
     }
 
-    /// Reads a document's text.
+    /// Parses a document.
     ///
     /// # Errors
     ///
-    /// Fails when it is no INI text.
+    /// Fails if the text is not valid INI.
     ///
     /// # Example
     ///
@@ -77,29 +79,31 @@
         Self {
             takes_orders: has("idempotent", "false"),
             takes_files: has("path", "files/"),
-            targets: targets.map(|(name, target)| (name, read(target))).collect(),
+            targets: targets
+                .map(|(name, target)| (name, parse_target(target)))
+                .collect(),
             service,
             version: 0,
             ini,
         }
     }
 
-    /// Gives a target another address.
+    /// Sets the address of a target.
     pub fn set_address(&mut self, target: &str, address: &str) {
         self.set_target(target, "address", address);
     }
 
-    /// Sets a key of a target.
+    /// Sets a key in the section of a target.
     pub fn set_target(&mut self, target: &str, key: &str, value: &str) {
         let section = format!("target {target}");
         self.ini.with_section(Some(section)).set(key, value);
     }
 
-    /// Returns the document's text.
+    /// Returns the document as INI text.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be written.
+    /// Fails if it can't be encoded.
     pub fn text(&self) -> io::Result<String> {
         let mut bytes = Vec::new();
         self.ini.write_to(&mut bytes)?;
@@ -117,7 +121,7 @@
     })
 }
 
-fn read(target: &Properties) -> Target {
+fn parse_target(target: &Properties) -> Target {
     let text = |key| target.get(key).unwrap_or("");
     Target {
         domain: text("domain").to_owned(),
--- a/standins/src/drill.rs
+++ b/standins/src/drill.rs
@@ -149,18 +149,18 @@
 }
 
 impl Drill {
-    async fn start(options: &Options, proxied: bool) -> Result<Self, Fault> {
+    async fn start(options: &Options, forwarded: bool) -> Result<Self, Fault> {
         let mut fleet = Fleet::start(options.program.clone()).await?;
         fleet.add_settings(&options.settings);
         let path = fleet.dir().join("drill-template.ini");
         std::fs::write(&path, text(options.checks_grants))?;
         let setup = Setup {
             work_ms: 2,
-            proxied,
+            forwarded,
         };
         let mut document = services::start(&mut fleet, &path, &setup).await?;
         for (name, domain) in VMS {
-            fleet.add_vm(name, domain, proxied).await?;
+            fleet.add_vm(name, domain, forwarded).await?;
         }
         services::put(&fleet, VMS[0].0, &mut document).await?;
         let callers = Callers::new(fleet.caller_addresses(), measure::SERVED_WITHIN);
--- a/standins/src/fault.rs
+++ b/standins/src/fault.rs
@@ -1,40 +1,42 @@
-//! The faults that a target shows on demand.
+//! Faults that tests inject into a target.
 
 use serde::{Deserialize, Serialize};
 
-/// The faults in force; setting them replaces all. Counts say how many requests suffer it.
+/// The active faults of a target; setting them replaces all previous ones.
+///
+/// The fields with a count apply to that many of the next requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// It refuses all work as overload.
+    /// The target rejects all work as overloaded.
     pub shed: bool,
-    /// It takes no new work.
+    /// The target reports that it drains and rejects new work.
     pub drain: bool,
-    /// The load that it reports.
+    /// A false load to report.
     pub load_lie: Option<f64>,
-    /// The phase that it reports.
+    /// A false phase to report.
     pub health_lie: Option<String>,
-    /// How much longer work takes.
+    /// The factor by which work takes longer.
     pub slow_factor: Option<f64>,
-    /// A request with this key aborts the process as it runs.
+    /// A request with this key aborts the process after the start of its work is logged.
     pub kill_key: Option<String>,
-    /// Only requests of this method suffer the faults with a count.
+    /// Limits the faults with a count to requests of this method.
     pub method: Option<String>,
-    /// Requests that start, keep their slot and never end unless cancelled.
+    /// Requests that start and hold their slot until they are cancelled.
     pub accept_and_hang: u32,
-    /// Requests that run and are then answered 503.
+    /// Requests that run but get status 503.
     pub wrong_5xx: u32,
-    /// Answers that break off halfway.
+    /// Responses whose body is truncated halfway.
     pub cut_body: u32,
-    /// Connections reset before the work starts.
+    /// Requests whose connection is reset before the work starts.
     pub reset_before: u32,
-    /// Connections reset halfway through the work, which goes on.
+    /// Requests whose connection is reset halfway through the work, which continues.
     pub reset_during: u32,
-    /// Connections reset after the work, in place of the answer.
+    /// Requests whose connection is reset after the work, instead of a response.
     pub reset_after: u32,
 }
 
-/// A fault that hits a counted number of requests.
+/// A fault that applies to a limited number of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// See [`Faults::accept_and_hang`].
@@ -52,7 +54,7 @@
 }
 
 impl Faults {
-    /// Returns whether the next request of this method suffers the fault, and counts it.
+    /// Returns whether the fault applies to a request of this method, and if so uses up one count.
     ///
     /// # Example
     ///
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -146,7 +146,7 @@
 
     /// Returns the platform's address.
     pub fn platform_address(&self) -> String {
-        self.platform.word("listening").unwrap_or("").to_owned()
+        self.platform.value("listening").unwrap_or("").to_owned()
     }
 
     /// Starts a target and puts it on the platform's list; `fronted` places a forwarder before it.
@@ -158,7 +158,7 @@
         &mut self,
         name: &str,
         domain: &str,
-        proxied: bool,
+        forwarded: bool,
         arguments: &[&str],
     ) -> Result<String, Error> {
         let log = self.dir().join(format!("{name}.log"));
@@ -169,7 +169,7 @@
             arguments: all,
             log,
             domain: domain.to_owned(),
-            forwarder: self.start_forwarder(name, proxied)?,
+            forwarder: self.start_forwarder(name, forwarded)?,
             address: String::new(),
             listen_address: "127.0.0.1:0".to_owned(),
         };
@@ -193,7 +193,7 @@
             .await
             .map_err(|cause| failed("start", name, cause))?;
         process
-            .word("listening")
+            .value("listening")
             .unwrap_or("")
             .clone_into(&mut target.listen_address);
         if let Some(forwarder) = &target.forwarder {
@@ -209,12 +209,12 @@
     /// # Errors
     ///
     /// Fails when the process can't be started.
-    pub async fn add_vm(&mut self, name: &str, domain: &str, proxied: bool) -> Result<(), Error> {
+    pub async fn add_vm(&mut self, name: &str, domain: &str, forwarded: bool) -> Result<(), Error> {
         let mut vm = Vm {
             process: None,
             settings: self.dir().join(format!("{name}.ini")),
             domain: domain.to_owned(),
-            forwarder: self.start_forwarder(name, proxied)?,
+            forwarder: self.start_forwarder(name, forwarded)?,
             caller_address: "127.0.0.1:0".to_owned(),
             peer_address: "127.0.0.1:0".to_owned(),
         };
@@ -235,11 +235,11 @@
             .await
             .map_err(|cause| failed("start", name, cause))?;
         process
-            .word("caller")
+            .value("caller")
             .unwrap_or("")
             .clone_into(&mut vm.caller_address);
         process
-            .word("peer")
+            .value("peer")
             .unwrap_or("")
             .clone_into(&mut vm.peer_address);
         let mut listed = vm.peer_address.clone();
@@ -287,8 +287,8 @@
         addresses.take(3).collect::<Vec<_>>().join(",")
     }
 
-    fn start_forwarder(&self, name: &str, proxied: bool) -> Result<Option<Forwarder>, Error> {
-        if !proxied {
+    fn start_forwarder(&self, name: &str, forwarded: bool) -> Result<Option<Forwarder>, Error> {
+        if !forwarded {
             return Ok(None);
         }
         let forwarder = Forwarder::start(self.owners.clone());
@@ -410,7 +410,7 @@
     pub async fn stop(&mut self, name: &str) -> Result<ExitStatus, Error> {
         self.signal(name, Signal::TERM)?;
         let mut process = self.take_process(name)?;
-        let ended = process.ended(STOP_TIMEOUT).await;
+        let ended = process.wait(STOP_TIMEOUT).await;
         ended.map_err(|cause| failed("stop", name, cause))
     }
 
--- a/standins/src/forwarder.rs
+++ b/standins/src/forwarder.rs
@@ -1,4 +1,6 @@
-//! A TCP forwarder that can cut or delay what passes, by the process that connects.
+//! A TCP forwarder that can block or delay traffic, also for single client processes.
+//!
+//! It simulates network partitions between processes on loopback.
 
 use std::{
     cell::OnceCell,
@@ -22,35 +24,36 @@
 
 use crate::{clock, socket_owners::SocketOwners};
 
-/// How often a cut direction is looked at again.
-const POLL: Duration = Duration::from_millis(2);
-/// The most bytes that are read at once.
-const CHUNK: usize = 16 * 1024;
+/// The interval at which a blocked direction is checked again.
+const BLOCK_POLL: Duration = Duration::from_millis(2);
+/// The maximum number of bytes per read.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a forwarder does with the bytes that pass. Cut bytes wait until the cut is mended, as
-/// retransmission would have it.
+/// What a forwarder does with the bytes it carries.
+///
+/// Blocked bytes are held and delivered once the block ends, as TCP retransmission would do.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Rules {
-    /// No byte gets to the server.
+    /// Blocks all bytes from clients to the server.
     pub block_in: bool,
-    /// No byte gets back to a client.
+    /// Blocks all bytes from the server to clients.
     pub block_out: bool,
-    /// No byte passes either way for the clients named.
+    /// Blocks both directions for the processes of these names.
     pub clients: IndexSet<String>,
-    /// How long bytes are held each way.
+    /// The delay of bytes in each direction.
     pub delay: Duration,
 }
 
-/// A forwarder to one server, in a thread of its own; it ends with this handle.
+/// A forwarder to one server, which runs on its own thread until this handle is dropped.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
     shared: Shared,
-    _ends: oneshot::Sender<()>,
+    _stop: oneshot::Sender<()>,
 }
 
-/// What the handle and the thread share.
+/// State shared by the handle and the thread.
 #[derive(Clone, Debug)]
 struct Shared {
     address: SocketAddr,
@@ -59,11 +62,11 @@
     owners: SocketOwners,
 }
 
-/// A client's end of a connection.
+/// The client side of a connection.
 #[derive(Debug)]
 struct Client {
     peer: SocketAddr,
-    since: Duration,
+    accepted_at: Duration,
     name: OnceCell<String>,
 }
 
@@ -74,11 +77,11 @@
 }
 
 impl Forwarder {
-    /// Starts a forwarder on a free port; it has no server yet.
+    /// Starts a forwarder on a free port; connections are closed until a server is set.
     ///
     /// # Errors
     ///
-    /// Fails when no port can be bound.
+    /// Fails if no port can be bound.
     pub fn start(owners: SocketOwners) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -88,29 +91,29 @@
             rules: Arc::default(),
             owners,
         };
-        let (ends, ended) = oneshot::channel();
+        let (stop, stopped) = oneshot::channel();
         let thread = shared.clone();
         thread::spawn(move || {
             let runtime = Runtime::new()?;
             runtime.block_on(async {
                 let listener = TcpListener::from_std(listener)?;
-                future::select(Box::pin(thread.accept(listener)), ended).await;
+                future::select(Box::pin(thread.accept(listener)), stopped).await;
                 io::Result::Ok(())
             })
         });
         Ok(Self {
             address,
             shared,
-            _ends: ends,
+            _stop: stop,
         })
     }
 
-    /// Names the server; new connections go to it.
+    /// Sets the server that new connections are forwarded to.
     pub fn set_server(&self, address: &str) {
         *lock(&self.shared.server) = Some(address.to_owned());
     }
 
-    /// Changes the rules, for connections that are open too.
+    /// Changes the rules, also for open connections.
     pub fn update_rules<F>(&self, change: F)
     where
         F: FnOnce(&mut Rules),
@@ -124,7 +127,7 @@
         while let Ok((stream, peer)) = listener.accept().await {
             let client = Client {
                 peer,
-                since: clock::now(),
+                accepted_at: clock::now(),
                 name: OnceCell::new(),
             };
             runtime::spawn(self.clone().connect(stream, client)).detach();
@@ -132,7 +135,7 @@
     }
 
     async fn connect(self, stream: TcpStream, client: Client) {
-        self.pass(&client, Direction::In).await;
+        self.wait_until_open(&client, Direction::In).await;
         let Some(address) = lock(&self.server).clone() else {
             return;
         };
@@ -141,19 +144,19 @@
         };
         drop(stream.set_nodelay(true));
         drop(server.set_nodelay(true));
-        let to_server = self.pump(&stream, &server, &client, Direction::In);
-        let to_client = self.pump(&server, &stream, &client, Direction::Out);
+        let to_server = self.copy(&stream, &server, &client, Direction::In);
+        let to_client = self.copy(&server, &stream, &client, Direction::Out);
         future::join(to_server, to_client).await;
     }
 
-    async fn pump(&self, from: &TcpStream, to: &TcpStream, client: &Client, direction: Direction) {
+    async fn copy(&self, from: &TcpStream, to: &TcpStream, client: &Client, direction: Direction) {
         let mut reader = from;
         let mut writer = to;
-        let mut buffer = Vec::with_capacity(CHUNK);
+        let mut buffer = Vec::with_capacity(CHUNK_BYTES);
         loop {
             let BufResult(read, bytes) = reader.read(buffer).await;
             let count = read.unwrap_or(0);
-            self.pass(client, direction).await;
+            self.wait_until_open(client, direction).await;
             if count == 0 {
                 drop(writer.shutdown().await);
                 return;
@@ -167,18 +170,18 @@
         }
     }
 
-    /// Waits for the delay and for as long as the direction is cut.
-    async fn pass(&self, client: &Client, direction: Direction) {
+    /// Waits for the delay and while the direction is blocked.
+    async fn wait_until_open(&self, client: &Client, direction: Direction) {
         let delay = lock(&self.rules).delay;
         if !delay.is_zero() {
             compio::time::sleep(delay).await;
         }
-        while self.is_cut(client, direction) {
-            compio::time::sleep(POLL).await;
+        while self.is_blocked(client, direction) {
+            compio::time::sleep(BLOCK_POLL).await;
         }
     }
 
-    fn is_cut(&self, client: &Client, direction: Direction) -> bool {
+    fn is_blocked(&self, client: &Client, direction: Direction) -> bool {
         let rules = lock(&self.rules);
         let blocked = match direction {
             Direction::In => rules.block_in,
@@ -187,22 +190,25 @@
         if blocked || rules.clients.is_empty() {
             return blocked;
         }
-        // Until the client is known its bytes wait.
+        // The bytes of a client whose process isn't known yet are held.
         let name = self.client_name(client);
         name.is_none_or(|name| rules.clients.contains(name))
     }
 
-    /// Returns the name of the process that connected, once it is known.
+    /// Returns the name of the connected process, or none while it isn't known.
     fn client_name<'a>(&self, client: &'a Client) -> Option<&'a str> {
         if client.name.get().is_none() {
-            let found = self.owners.find(client.peer, self.address, client.since)?;
-            drop(client.name.set(found));
+            let name = self
+                .owners
+                .find(client.peer, self.address, client.accepted_at)?;
+            drop(client.name.set(name));
         }
         client.name.get().map(String::as_str)
     }
 }
 
-/// Locks a mutex; what a panic left behind is whole, since no lock is held over more than a write.
+/// Locks a mutex and ignores poisoning: each lock covers a single write, so a panic can't leave
+/// partial data.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/standins/src/holder.rs
+++ b/standins/src/holder.rs
@@ -1,4 +1,6 @@
-//! The rules of a target that holds grants, free of I/O.
+//! The rules by which a target accepts and holds grants, without I/O.
+//!
+//! They decide which ranges of the hash space a target may serve, under which epoch and until when.
 
 use std::time::Duration;
 
@@ -7,7 +9,7 @@
 
 use crate::{clock, decimal};
 
-/// A range at an epoch, both bounds inclusive.
+/// A range of the hash space at an epoch; both bounds are inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EpochRange {
@@ -39,14 +41,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grant {
-    /// The start of the target that it is for.
+    /// The incarnation of the target that the grant is for.
     pub boot: String,
-    /// Until when it holds, on the target's clock.
+    /// The expiry in milliseconds of the target's clock.
     pub until_ms: u64,
-    /// What it grants.
+    /// The granted ranges.
     #[serde(default)]
     pub ranges: Vec<EpochRange>,
-    /// What the target is to let go of.
+    /// The ranges that the target must release.
     #[serde(default)]
     pub release: Vec<EpochRange>,
 }
@@ -63,12 +65,12 @@
     pub end: u64,
     /// The epoch.
     pub epoch: u64,
-    /// Until when, on the target's clock.
+    /// The expiry in milliseconds of the target's clock.
     pub until_ms: u64,
 }
 
 impl HeldRange {
-    fn span(&self) -> EpochRange {
+    fn range(&self) -> EpochRange {
         EpochRange {
             start: self.start,
             end: self.end,
@@ -77,36 +79,36 @@
     }
 }
 
-/// The target's state as it answers it.
+/// The target's state as it reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Status {
-    /// This start of the target.
+    /// The incarnation of the target.
     pub boot: String,
-    /// Its clock.
+    /// The target's clock in milliseconds.
     pub clock_ms: u64,
-    /// `cold`, `ready` or `draining`; it may lie.
+    /// `cold`, `ready` or `draining`; an injected fault may make it false.
     pub phase: String,
-    /// Running and waiting requests for each slot; it may lie.
+    /// Running and queued requests per slot; an injected fault may make it false.
     pub load: f64,
-    /// What it holds, lapsed ranges too.
+    /// The ranges that it holds, including expired ones.
     pub held: Vec<HeldRange>,
-    /// What it has let go of, with nothing in flight.
+    /// The released ranges that have no requests in flight.
     pub released: Vec<EpochRange>,
-    /// What it refused of the grant that this answers.
+    /// The ranges that it refused of the grant to which this responds.
     pub refused: Vec<EpochRange>,
-    /// How many requests run.
+    /// The number of running requests.
     pub running: usize,
 }
 
-/// The holder of grants.
+/// The grants that a target holds.
 ///
 /// # Example
 ///
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier_standins::holder::{Grant, Holder, EpochRange};
+/// use bramleypier_standins::holder::{EpochRange, Grant, Holder};
 ///
 /// let mut holder = Holder::default();
 /// let range = EpochRange { start: 0, end: 9, epoch: 1 };
@@ -117,114 +119,117 @@
 #[derive(Debug, Default)]
 pub struct Holder {
     held: Vec<HeldRange>,
-    floors: Vec<EpochRange>,
+    min_epochs: Vec<EpochRange>,
     releases: Vec<EpochRange>,
     running: IndexMap<u64, (u64, u64)>,
 }
 
 impl Holder {
-    /// Takes a grant and returns what it refuses of it.
+    /// Applies a grant and returns the ranges that it refuses.
     ///
-    /// A range is refused when its epoch is below the floor of any of its points: the highest
-    /// epoch seen there, or one more than the highest released. It is refused too when it meets a
-    /// range of the same epoch with other bounds.
+    /// A range is refused if its epoch is below the minimum epoch of any of its points: the highest
+    /// epoch granted there, or one more than the highest released. It is also refused if it overlaps
+    /// a held range of the same epoch with other bounds.
     pub fn grant(&mut self, grant: &Grant) -> Vec<EpochRange> {
-        for span in &grant.release {
-            self.release(*span);
+        for range in &grant.release {
+            self.release(*range);
         }
         let mut refused = Vec::new();
-        for span in &grant.ranges {
-            if !self.hold(*span, grant.until_ms) {
-                refused.push(*span);
+        for range in &grant.ranges {
+            if !self.accept(*range, grant.until_ms) {
+                refused.push(*range);
             }
         }
         refused
     }
 
-    fn hold(&mut self, span: EpochRange, until_ms: u64) -> bool {
-        let floors = self.floors.iter();
-        if floors
+    fn accept(&mut self, range: EpochRange, until_ms: u64) -> bool {
+        let min_epochs = self.min_epochs.iter();
+        if min_epochs
             .clone()
-            .any(|floor| floor.overlaps(&span) && floor.epoch > span.epoch)
+            .any(|minimum| minimum.overlaps(&range) && minimum.epoch > range.epoch)
         {
             return false;
         }
-        let same = |held: &HeldRange| held.start == span.start && held.end == span.end;
-        let clash = |held: &HeldRange| held.epoch == span.epoch && !same(held);
+        let same_bounds = |held: &HeldRange| held.start == range.start && held.end == range.end;
+        let conflicts = |held: &HeldRange| held.epoch == range.epoch && !same_bounds(held);
         if self
             .held
             .iter()
-            .any(|held| held.span().overlaps(&span) && clash(held))
+            .any(|held| held.range().overlaps(&range) && conflicts(held))
         {
             return false;
         }
-        if let Some(held) = self.held.iter_mut().find(|held| held.span() == span) {
+        if let Some(held) = self.held.iter_mut().find(|held| held.range() == range) {
             held.until_ms = held.until_ms.max(until_ms);
             return true;
         }
-        self.raise(span);
+        self.raise_minimum(range);
         self.held.push(HeldRange {
-            start: span.start,
-            end: span.end,
-            epoch: span.epoch,
+            start: range.start,
+            end: range.end,
+            epoch: range.epoch,
             until_ms,
         });
         true
     }
 
-    fn release(&mut self, span: EpochRange) {
-        if !self.releases.contains(&span) {
-            self.releases.push(span);
+    fn release(&mut self, range: EpochRange) {
+        if !self.releases.contains(&range) {
+            self.releases.push(range);
         }
-        let epoch = span.epoch + 1;
-        self.raise(EpochRange { epoch, ..span });
+        let epoch = range.epoch + 1;
+        self.raise_minimum(EpochRange { epoch, ..range });
     }
 
-    /// Raises the floor of a range and drops what lies below it.
-    fn raise(&mut self, floor: EpochRange) {
-        self.floors
-            .retain(|old| !(floor.covers(old) && old.epoch <= floor.epoch));
-        self.floors.push(floor);
+    /// Raises the minimum epoch of a range and drops held ranges below it.
+    fn raise_minimum(&mut self, minimum: EpochRange) {
+        self.min_epochs
+            .retain(|old| !(minimum.covers(old) && old.epoch <= minimum.epoch));
+        self.min_epochs.push(minimum);
         self.held
-            .retain(|held| !(held.span().overlaps(&floor) && held.epoch < floor.epoch));
+            .retain(|held| !(held.range().overlaps(&minimum) && held.epoch < minimum.epoch));
     }
 
-    /// Returns whether work of this hash under this epoch may start now.
+    /// Returns whether work for this hash under this epoch may start now.
     pub fn admits(&self, now: Duration, hash: u64, epoch: u64) -> bool {
         let now = clock::millis(now);
         self.held
             .iter()
-            .any(|held| held.span().contains(hash) && held.epoch == epoch && now < held.until_ms)
+            .any(|held| held.range().contains(hash) && held.epoch == epoch && now < held.until_ms)
     }
 
-    /// Notes that the run of this number has started.
+    /// Records the start of a run.
     pub fn start(&mut self, number: u64, hash: u64, epoch: u64) {
         self.running.insert(number, (hash, epoch));
     }
 
-    /// Notes that the run of this number has ended.
+    /// Records the end of a run.
     pub fn end(&mut self, number: u64) {
         self.running.swap_remove(&number);
     }
 
-    /// Returns what the target holds.
+    /// Returns the held ranges, including expired ones.
     pub fn held(&self) -> &[HeldRange] {
         &self.held
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the releases for which nothing is in flight any more.
+    /// Returns the released ranges that have no requests in flight.
     pub fn released(&self) -> Vec<EpochRange> {
-        let busy = |span: &EpochRange| {
+        let in_flight = |range: &EpochRange| {
             self.running
                 .values()
-                .any(|(hash, epoch)| span.contains(*hash) && *epoch <= span.epoch)
+                .any(|(hash, epoch)| range.contains(*hash) && *epoch <= range.epoch)
         };
         let releases = self.releases.iter();
-        releases.filter(|span| !busy(span)).copied().collect()
+        releases
+            .filter(|range| !in_flight(range))
+            .copied()
+            .collect()
     }
 }
--- a/standins/src/journal.rs
+++ b/standins/src/journal.rs
@@ -1,4 +1,6 @@
-//! A target's log of what it ran, kept in memory and in a file that survives a kill.
+//! A target's log of its runs, in memory and optionally in a file.
+//!
+//! Each start and end is written to the file at once, so the log survives a kill of the process.
 
 use std::{
     fs::{File, OpenOptions},
@@ -9,15 +11,15 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// How a request's work ended.
+/// How the work of a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum End {
-    /// It ran to its end.
+    /// The work completed.
     Done,
-    /// It was cancelled midway.
+    /// The request was cancelled while it ran.
     Cancelled,
-    /// Its deadline passed midway.
+    /// The deadline passed while it ran.
     Expired,
 }
 
@@ -25,38 +27,38 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Run {
-    /// The target.
+    /// The name of the target.
     pub target: String,
-    /// The start of the target that ran it.
+    /// The incarnation of the target that ran it.
     pub boot: String,
-    /// Its number among the runs of that start.
+    /// The number of the run within that incarnation.
     pub number: u64,
     /// The id of the attempt.
     pub request: String,
-    /// The caller's id.
+    /// The caller's idempotency key.
     pub idempotency: String,
     /// The key.
     pub key: String,
     /// The key's hash.
     #[serde(with = "crate::decimal")]
     pub hash: u64,
-    /// The epoch under which it started.
+    /// The epoch under which it started; 0 for services without owners.
     pub epoch: u64,
-    /// The class, when the sender names it.
+    /// The request class, if the sender named it.
     pub class: String,
     /// The method.
     pub method: String,
-    /// The path.
+    /// The path with its query.
     pub path: String,
-    /// When it started, on the machine's clock.
+    /// Start time in milliseconds since the machine's boot.
     pub started_ms: u64,
-    /// When it ended; none while it runs, and for ever when the target died.
+    /// End time on the same clock; none while it runs, or if the target died during the run.
     pub ended_ms: Option<u64>,
     /// How it ended.
     pub end: Option<End>,
 }
 
-/// The log of one target.
+/// The log of one incarnation of a target.
 #[derive(Debug, Default)]
 pub struct Journal {
     file: Option<File>,
@@ -64,11 +66,11 @@
 }
 
 impl Journal {
-    /// Opens a log; with a path, each line is in the file before the work goes on.
+    /// Opens a log; with a path, each entry is written to the file before the work proceeds.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be opened.
+    /// Fails if the file can't be opened.
     pub fn open(path: Option<&Path>) -> io::Result<Self> {
         let mut options = OpenOptions::new();
         let options = options.create(true).append(true);
@@ -79,11 +81,11 @@
         })
     }
 
-    /// Notes a start and returns its number, by which [`end`](Self::end) finds it.
+    /// Records the start of a run and returns its number, to be passed to [`end`](Self::end).
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be written: then the work must not start.
+    /// Fails if the file can't be written; the work must not start then.
     pub fn start(&mut self, mut run: Run) -> io::Result<u64> {
         run.number = self.runs.len() as u64;
         self.append(&run)?;
@@ -92,11 +94,11 @@
         Ok(number)
     }
 
-    /// Notes an end.
+    /// Records the end of a run.
     ///
     /// # Errors
     ///
-    /// Fails when the file can't be written.
+    /// Fails if the file can't be written.
     pub fn end(&mut self, number: u64, now_ms: u64, end: End) -> io::Result<()> {
         let Some(run) = self.runs.get_mut(&number) else {
             return Ok(());
@@ -107,7 +109,7 @@
         self.append(&run)
     }
 
-    /// Returns what was started, in order.
+    /// Returns all runs in the order of their starts.
     pub fn runs(&self) -> Vec<&Run> {
         self.runs.values().collect()
     }
@@ -122,13 +124,13 @@
     }
 }
 
-/// Reads the runs back from a file; a start and its end are one run.
+/// Reads the runs from a file and merges the start and end entries of each.
 ///
-/// A last line that was cut off by a kill is passed over.
+/// A last line that was truncated by a kill is ignored.
 ///
 /// # Errors
 ///
-/// Fails when the file can't be read.
+/// Fails if the file can't be read.
 pub fn read(path: &Path) -> io::Result<Vec<Run>> {
     let text = std::fs::read_to_string(path)?;
     let lines = text.lines();
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins for the platform and the targets, and tools that run a fleet of real processes.
 //!
-//! Test tools only: nothing here is part of the shipped binary. Tasks of one process share their
-//! state in a cell of the one thread, and hold no borrow over an await.
+//! For tests only: nothing here is part of the shipped binary. Each process runs its tasks on one
+//! thread; they share state in a `RefCell` and never hold a borrow across an `.await`.
 
 pub mod audit;
 pub mod caller;
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -1,4 +1,6 @@
-//! The three measures as callers and targets' logs show them.
+//! The measurements of a run: load imbalance, moves of keys, and time without service.
+//!
+//! They are computed from the callers' look-ups and the targets' logs.
 
 use std::time::Duration;
 
@@ -6,10 +8,10 @@
 
 use crate::{caller::Sample, journal::Run};
 
-/// A look-up answered later than this counts as one that was not served.
+/// A look-up that takes longer than this counts as not served.
 pub const SERVED_WITHIN: Duration = Duration::from_millis(250);
 
-/// Returns the greatest over the mean count of runs by target, for the targets given.
+/// Returns the ratio of the largest to the mean number of runs per target, over the given targets.
 ///
 /// # Example
 ///
@@ -22,30 +24,29 @@
 #[allow(clippy::cast_precision_loss, reason = "counts of runs are small")]
 pub fn imbalance(runs: &[Run], targets: &[String]) -> f64 {
     let counts = targets.iter().map(|target| {
-        let own = runs.iter().filter(|run| run.target == *target);
-        own.count()
+        let matching = runs.iter().filter(|run| run.target == *target);
+        matching.count()
     });
-    let greatest = counts.clone().max().unwrap_or(0) as f64;
+    let largest = counts.clone().max().unwrap_or(0) as f64;
     let total: usize = counts.sum();
     if total == 0 {
         return 1.0;
     }
-    greatest * targets.len() as f64 / total as f64
+    largest * targets.len() as f64 / total as f64
 }
 
-/// Returns how many times a key's work went on at another target, for each key that had work
-/// under an epoch.
+/// Returns the mean number of moves to another target per key, over the keys that ran under an epoch.
 #[allow(clippy::cast_precision_loss, reason = "counts of runs are small")]
 pub fn churn(runs: &[Run]) -> f64 {
     let mut by_key: IndexMap<&str, Vec<&Run>> = IndexMap::new();
     for run in runs.iter().filter(|run| run.epoch > 0) {
         by_key.entry(&run.key).or_default().push(run);
     }
-    let moves: usize = by_key.values_mut().map(|runs| moves(runs)).sum();
+    let moves: usize = by_key.values_mut().map(|runs| count_moves(runs)).sum();
     moves as f64 / by_key.len().max(1) as f64
 }
 
-fn moves(runs: &mut [&Run]) -> usize {
+fn count_moves(runs: &mut [&Run]) -> usize {
     runs.sort_by_key(|run| run.started_ms);
     let pairs = runs.windows(2);
     pairs
@@ -53,10 +54,10 @@
         .count()
 }
 
-/// Returns for each key the longest time without a look-up that was served.
+/// Returns for each key the longest time without service.
 ///
-/// A gap runs from the sending of the first look-up that failed, or was answered late, to the
-/// sending of the next one that was served in time; one that never ended runs to `end`.
+/// A gap starts when the first look-up that failed or took too long is sent, and ends when the next
+/// one that is served in time is sent. A gap that is still open lasts until `end`.
 pub fn gaps(samples: &[Sample], end: Duration) -> IndexMap<String, Duration> {
     let mut by_key: IndexMap<&str, Vec<&Sample>> = IndexMap::new();
     for sample in samples {
@@ -70,23 +71,23 @@
 fn longest_gap(mut samples: Vec<&Sample>, end: Duration) -> Duration {
     samples.sort_by_key(|sample| sample.sent);
     let mut longest = Duration::ZERO;
-    let mut since = None;
+    let mut gap_start = None;
     for sample in samples {
-        if !in_time(sample) {
-            since.get_or_insert(sample.sent);
-        } else if let Some(from) = since.take() {
+        if !is_in_time(sample) {
+            gap_start.get_or_insert(sample.sent);
+        } else if let Some(from) = gap_start.take() {
             longest = longest.max(sample.sent.saturating_sub(from));
         }
     }
-    let open = since.map_or(Duration::ZERO, |from| end.saturating_sub(from));
-    longest.max(open)
+    let open_gap = gap_start.map_or(Duration::ZERO, |from| end.saturating_sub(from));
+    longest.max(open_gap)
 }
 
-fn in_time(sample: &Sample) -> bool {
+fn is_in_time(sample: &Sample) -> bool {
     sample.served() && sample.took <= SERVED_WITHIN
 }
 
-/// Returns the keys that were looked up since a time, and never served since.
+/// Returns the keys that were looked up since a point in time and not served since then.
 pub fn unserved(samples: &[Sample], since: Duration) -> IndexSet<String> {
     let recent = samples.iter().filter(|sample| sample.sent >= since);
     let mut keys: IndexSet<String> = recent.clone().map(|sample| sample.key.clone()).collect();
@@ -96,7 +97,7 @@
     keys
 }
 
-/// Returns why look-ups were not served, the most frequent reason first, with its count.
+/// Returns the reasons why look-ups were not served with their counts, the most frequent first.
 pub fn reasons(samples: &[Sample]) -> Vec<(String, usize)> {
     let mut counts: IndexMap<&str, usize> = IndexMap::new();
     for sample in samples.iter().filter(|sample| !sample.served()) {
@@ -109,15 +110,15 @@
         .collect()
 }
 
-/// Returns the keys that a target served, by its last answers before a time.
+/// Returns the keys whose last look-up served before a point in time was served by one of `targets`.
 pub fn keys_served_by(
     samples: &[Sample],
     targets: &IndexSet<String>,
     before: Duration,
 ) -> Vec<String> {
     let mut owners: IndexMap<&str, (Duration, &str)> = IndexMap::new();
-    let earlier = samples.iter();
-    for sample in earlier.filter(|sample| sample.served() && sample.sent < before) {
+    let all = samples.iter();
+    for sample in all.filter(|sample| sample.served() && sample.sent < before) {
         let owner = owners.entry(&sample.key).or_default();
         if owner.0 <= sample.sent {
             *owner = (sample.sent, &sample.target);
--- a/standins/src/payload.rs
+++ b/standins/src/payload.rs
@@ -1,4 +1,4 @@
-//! Bodies of the stand-ins' answers: a whole buffer, a long pattern, or one that is cut short.
+//! Response bodies of the stand-ins: a buffer, a generated pattern, or a body truncated on purpose.
 
 use std::{
     io,
@@ -8,18 +8,18 @@
 
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 
-/// The most bytes in one frame of a pattern.
-const FRAME: u64 = 16 * 1024;
-/// The period of the pattern: a prime, so that a shifted or cut body shows.
-const PERIOD: u64 = 251;
+/// The maximum number of bytes per frame.
+const FRAME_BYTES: u64 = 16 * 1024;
+/// The period of the pattern: a prime, so that shifted or missing bytes are detected.
+const PATTERN_PERIOD: u64 = 251;
 
-/// A body with a known length, which may break off before its end.
+/// A body with a known length that may fail before its end.
 #[derive(Debug, Default)]
 pub struct Payload {
     bytes: Bytes,
     sent: u64,
     length: u64,
-    cut: Option<u64>,
+    fail_at: Option<u64>,
     flushed: bool,
 }
 
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Breaks the body off with an error halfway, though its announced length stays.
+    /// Makes the body fail halfway while it still announces its full length.
     ///
     /// # Example
     ///
@@ -76,13 +76,13 @@
     /// ```
     #[must_use]
     pub fn truncated(mut self) -> Self {
-        self.cut = Some(self.length / 2);
+        self.fail_at = Some(self.length / 2);
         self
     }
 
-    /// Returns the next frame's bytes; the caller has checked that there are some.
+    /// Returns the bytes of the next frame; requires that `end` has not been reached.
     fn frame(&self, end: u64) -> Bytes {
-        let size = FRAME.min(end - self.sent);
+        let size = FRAME_BYTES.min(end - self.sent);
         if self.bytes.is_empty() {
             return (self.sent..self.sent + size).map(byte_at).collect();
         }
@@ -100,20 +100,20 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        let end = self.cut.unwrap_or(self.length);
+        let end = self.fail_at.unwrap_or(self.length);
         if self.sent < end {
             let bytes = self.frame(end);
             self.sent += bytes.len() as u64;
             return Poll::Ready(Some(Ok(Frame::data(bytes))));
         }
         if end < self.length && !self.flushed {
-            // What was sent so far goes out before the connection breaks.
+            // Yields once, so that the frames so far are flushed before the connection fails.
             self.flushed = true;
             context.waker().wake_by_ref();
             return Poll::Pending;
         }
         if end < self.length {
-            return Poll::Ready(Some(Err(io::Error::other("cut short"))));
+            return Poll::Ready(Some(Err(io::Error::other("body truncated"))));
         }
         Poll::Ready(None)
     }
@@ -137,5 +137,5 @@
 /// assert_eq!(payload::byte_at(0), payload::byte_at(251));
 /// ```
 pub fn byte_at(offset: u64) -> u8 {
-    u8::try_from(offset % PERIOD).unwrap_or(0)
+    u8::try_from(offset % PATTERN_PERIOD).unwrap_or(0)
 }
--- a/standins/src/serve.rs
+++ b/standins/src/serve.rs
@@ -1,4 +1,4 @@
-//! The HTTP server under both stand-ins: one task for each connection.
+//! The HTTP/1.1 server of both stand-ins, with one task per connection.
 
 use std::{cell::Cell, fmt, io, rc::Rc, time::Duration};
 
@@ -14,22 +14,22 @@
 
 use crate::payload::Payload;
 
-/// An answer of a stand-in.
+/// A response of a stand-in.
 pub type Response = http::Response<Payload>;
 
-/// What a handler returns to close the connection without an answer.
+/// Returned by a handler to close the connection without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CloseConnection;
 
 impl fmt::Display for CloseConnection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("closed without an answer")
+        f.write_str("connection closed without a response")
     }
 }
 
 impl std::error::Error for CloseConnection {}
 
-/// The connection that a request came over.
+/// The connection that a request arrived on.
 #[derive(Clone, Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -37,31 +37,31 @@
 }
 
 impl Connection {
-    /// Makes the close of this connection a reset.
+    /// Makes this connection close with a TCP reset.
     pub fn reset(&self) {
         drop(self.stream.set_zero_linger());
     }
 
-    /// Returns how many requests came over this connection so far.
+    /// Returns how many requests have arrived on this connection.
     pub fn requests(&self) -> u64 {
         self.requests.get()
     }
 }
 
-/// Binds a listener and prints the line by which a parent learns the port.
+/// Binds a listener and prints its address, from which the parent process learns the port.
 ///
 /// # Errors
 ///
-/// Fails when the address can't be bound.
+/// Fails if the address can't be bound.
 pub async fn bind(listen: &str) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(listen).await?;
     println!("listening {}", listener.local_addr()?);
     Ok(listener)
 }
 
-/// Accepts connections for ever and gives each request to the handler.
+/// Accepts connections forever and passes each request to the handler.
 ///
-/// Each new connection costs `accept_cost`, one after the other.
+/// Accepting a connection takes `accept_cost`, during which no other is accepted.
 pub async fn run<H, F>(listener: TcpListener, accept_cost: Duration, handler: H)
 where
     H: Fn(Request<Incoming>, Connection) -> F + Clone + 'static,
@@ -75,24 +75,24 @@
         if !accept_cost.is_zero() {
             compio::time::sleep(accept_cost).await;
         }
-        runtime::spawn(connection(stream, handler.clone())).detach();
+        runtime::spawn(serve_connection(stream, handler.clone())).detach();
     }
 }
 
-/// Serves one connection until either side closes it.
-async fn connection<H, F>(stream: TcpStream, handler: H)
+/// Serves a connection until either side closes it.
+async fn serve_connection<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Incoming>, Connection) -> F + 'static,
     F: Future<Output = Result<Response, CloseConnection>> + 'static,
 {
     drop(stream.set_nodelay(true));
-    let link = Connection {
+    let connection = Connection {
         stream: stream.clone(),
         requests: Rc::default(),
     };
     let service = service::service_fn(move |request| {
-        link.requests.set(link.requests.get() + 1);
-        handler(request, link.clone())
+        connection.requests.set(connection.requests.get() + 1);
+        handler(request, connection.clone())
     });
     let served = http1::Builder::new()
         .timer(CompioTimer)
@@ -101,7 +101,7 @@
     drop(served);
 }
 
-/// Returns an answer without a body.
+/// Returns a response without a body.
 ///
 /// # Example
 ///
@@ -117,7 +117,7 @@
     response
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 ///
 /// # Example
 ///
@@ -137,7 +137,7 @@
     response
 }
 
-/// Returns the parameters of a request's query.
+/// Returns the query parameters of a URI.
 ///
 /// # Example
 ///
@@ -154,7 +154,7 @@
         .collect()
 }
 
-/// Returns a header of a request as text.
+/// Returns the value of a request header, if it is present and text.
 pub fn header<'a, B>(request: &'a Request<B>, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
--- a/standins/src/services.rs
+++ b/standins/src/services.rs
@@ -55,7 +55,7 @@
     /// The mean time of work.
     pub work_ms: u64,
     /// Whether a forwarder stands before each target.
-    pub proxied: bool,
+    pub forwarded: bool,
 }
 
 /// Starts the targets of a document and returns it with their real addresses.
@@ -71,7 +71,7 @@
         let slots = format!("--slots={}", target.slots);
         let work = format!("--work-ms={}", setup.work_ms);
         let arguments = [checks.as_str(), &slots, &work];
-        let started = fleet.add_target(&name, &target.domain, setup.proxied, &arguments);
+        let started = fleet.add_target(&name, &target.domain, setup.forwarded, &arguments);
         document.set_address(&name, &started.await?);
     }
     Ok(document)
--- a/standins/src/slots.rs
+++ b/standins/src/slots.rs
@@ -1,21 +1,21 @@
-//! A target's slots, with a bounded queue in order of arrival.
+//! A target's concurrency limit: a fixed number of slots with a bounded first-in, first-out queue.
 
 use std::collections::VecDeque;
 
 use futures_channel::oneshot;
 
-/// How a request stands when it asks for a slot.
+/// The result of asking for a slot.
 #[derive(Debug)]
 pub enum Admission {
-    /// It has a slot.
+    /// The request has a slot.
     Slot,
-    /// It waits, until the sender of this fires.
+    /// The request is queued and gets its slot when the receiver fires.
     Queued(oneshot::Receiver<()>),
-    /// The queue is full.
+    /// The queue is full; the request is rejected.
     Full,
 }
 
-/// The slots.
+/// The slots and the queue of a target.
 ///
 /// # Example
 ///
@@ -37,7 +37,7 @@
 }
 
 impl Slots {
-    /// Creates slots with a queue of at most `limit`.
+    /// Creates `count` slots with a queue of at most `limit` requests.
     pub fn new(count: usize, limit: usize) -> Self {
         Self {
             count,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Asks for a slot.
+    /// Takes a free slot, or joins the queue if there is none.
     pub fn acquire(&mut self) -> Admission {
         if self.busy < self.count {
             self.busy += 1;
@@ -62,7 +62,7 @@
         Admission::Queued(receiver)
     }
 
-    /// Gives a slot back; the first that waits gets it.
+    /// Frees a slot and gives it to the first queued request, if there is one.
     pub fn release(&mut self) {
         while let Some(waiter) = self.queue.pop_front() {
             if waiter.send(()).is_ok() {
@@ -72,7 +72,7 @@
         self.busy -= 1;
     }
 
-    /// Returns running and waiting requests for each slot.
+    /// Returns the number of running and queued requests per slot.
     #[allow(clippy::cast_precision_loss, reason = "counts are small")]
     pub fn load(&self) -> f64 {
         (self.busy + self.queue.len()) as f64 / self.count.max(1) as f64
