--- a/standins/src/bin/bramleypier-demo.rs
+++ b/standins/src/bin/bramleypier-demo.rs
@@ -1,4 +1,4 @@
-//! Runs the sample services on a fleet of real processes, breaks things, and checks the outcome.
+//! Runs the sample services on a fleet of real processes, injects faults, and audits the outcome.
 
 use std::{
     fs,
@@ -28,37 +28,37 @@
 ];
 /// The VM that is killed.
 const LOST_VM: &str = "vm-2";
-/// The keys of each service that callers ask for.
+/// The number of keys per service that get all kinds of requests.
 const KEYS: usize = 6;
-/// How many further keys of each service are asked for, one after the other.
-const SPREAD: usize = 500;
-/// How many reasons are printed.
-const REASONS: usize = 8;
-/// The size of a file.
-const FILE_SIZE: u64 = 200_000;
+/// The number of further keys per service that are looked up in turn.
+const SPREAD_KEYS: usize = 500;
+/// The maximum number of reasons to print.
+const MAX_REASONS: usize = 8;
+/// The size of a downloaded file.
+const FILE_BYTES: u64 = 200_000;
 
-type Fault = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-/// Starts platform, targets and three VMs, sends work, kills a target and a VM, cuts the platform
-/// off, and checks what callers were told against what targets ran.
+/// Starts the platform, targets and three VMs, sends requests, kills a target and a VM, takes the
+/// platform down for a while, and compares what callers were told with what targets ran.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
     /// The directory of the sample documents
     #[bpaf(argument("DIR"), fallback(PathBuf::from("examples")))]
     examples: PathBuf,
-    /// The program of the VMs; found beside this one unless given
+    /// The program of the VMs; by default the one next to this executable
     #[bpaf(argument("FILE"), optional)]
     program: Option<PathBuf>,
-    /// Where the time line is written
+    /// The file for the timeline; by default one in the directory for temporary files
     #[bpaf(argument("FILE"), optional)]
     timeline: Option<PathBuf>,
-    /// Where each look-up is written, as CSV
+    /// The file for the look-ups, as CSV
     #[bpaf(argument("FILE"), optional)]
     csv: Option<PathBuf>,
 }
 
-/// What came out of a run.
+/// The result of a run.
 struct Outcome {
     findings: Findings,
     measures: Vec<String>,
@@ -70,8 +70,8 @@
     let options = options().run();
     match run(&options).await {
         Ok(outcome) => report(&outcome),
-        Err(fault) => {
-            eprintln!("demo failed: {fault}");
+        Err(error) => {
+            eprintln!("demo failed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -95,7 +95,7 @@
     ExitCode::FAILURE
 }
 
-async fn run(options: &Options) -> Result<Outcome, Fault> {
+async fn run(options: &Options) -> Result<Outcome, BoxError> {
     let mut fleet = Fleet::start(options.program.clone()).await?;
     let mut documents = start_targets(&mut fleet, &options.examples).await?;
     for (name, domain) in VMS {
@@ -112,21 +112,21 @@
     let callers = Callers::new(fleet.caller_addresses(), Duration::from_secs(2));
     for document in &documents {
         let keys = services::keys(&document.service, KEYS);
-        let limit = Duration::from_secs(20);
-        services::wait_ready(&callers, &document.service, &keys, limit).await?;
+        let timeout = Duration::from_secs(20);
+        services::wait_ready(&callers, &document.service, &keys, timeout).await?;
     }
-    println!("all services answer");
+    println!("all services respond");
     let traffic = Traffic::default();
     for document in &documents {
-        send(&traffic, &callers, document);
+        start_traffic(&traffic, &callers, document);
     }
     let checked = documents
         .iter()
         .find(|document| document.targets.values().any(|target| target.checks_grants))
-        .ok_or("no document has a target that checks")?;
+        .ok_or("no document has a target that checks grants")?;
     let key = &services::keys(&checked.service, 1)[0];
-    let lost = callers.look_up(&checked.service, key).await.target;
-    break_things(&mut fleet, &callers, &lost).await?;
+    let lost_target = callers.look_up(&checked.service, key).await.target;
+    inject_faults(&mut fleet, &callers, &lost_target).await?;
     traffic.stop().await;
     let timeline = write_timeline(&fleet, options).await?;
     let runs = fleet.runs_of_targets()?;
@@ -136,18 +136,21 @@
     if let Some(path) = &options.csv {
         write_samples(path, &samples)?;
     }
-    println!("{} look-ups, of which were not served:", samples.len());
-    for (reason, count) in measure::reasons(&samples).iter().take(REASONS) {
+    println!(
+        "{} look-ups; reasons why some were not served:",
+        samples.len()
+    );
+    for (reason, count) in measure::reasons(&samples).iter().take(MAX_REASONS) {
         println!("  {count} for {reason}");
     }
     Ok(Outcome {
         findings,
-        measures: measures(&callers, &runs, &documents, &lost),
+        measures: format_measures(&callers, &runs, &documents, &lost_target),
         timeline,
     })
 }
 
-async fn start_targets(fleet: &mut Fleet, examples: &Path) -> Result<Vec<Document>, Fault> {
+async fn start_targets(fleet: &mut Fleet, examples: &Path) -> Result<Vec<Document>, BoxError> {
     let setup = Setup {
         work_ms: 5,
         forwarded: false,
@@ -159,14 +162,14 @@
     Ok(documents)
 }
 
-/// Lists the documents below the directory, one level deep, in order of their names.
+/// Lists the documents in the direct subdirectories of a directory, ordered by path.
 fn document_files(examples: &Path) -> io::Result<Vec<PathBuf>> {
     let mut files = Vec::new();
-    for place in fs::read_dir(examples)? {
-        let place = place?.path();
-        if place.is_dir() {
-            let inside = fs::read_dir(place)?.filter_map(Result::ok);
-            files.extend(inside.map(|file| file.path()));
+    for entry in fs::read_dir(examples)? {
+        let entry = entry?.path();
+        if entry.is_dir() {
+            let entries = fs::read_dir(entry)?.filter_map(Result::ok);
+            files.extend(entries.map(|file| file.path()));
         }
     }
     files.retain(|file| file.extension().is_some_and(|kind| kind == "ini"));
@@ -174,11 +177,11 @@
     Ok(files)
 }
 
-fn send(traffic: &Traffic, callers: &Callers, document: &Document) {
+fn start_traffic(traffic: &Traffic, callers: &Callers, document: &Document) {
     let service = &document.service;
     let keys = services::keys(service, KEYS);
     services::look_up_keys(traffic, callers, service, &keys, Duration::from_millis(100));
-    let spread: Vec<String> = (0..SPREAD)
+    let spread: Vec<String> = (0..SPREAD_KEYS)
         .map(|n| format!("{service}-spread-{n}"))
         .collect();
     services::look_up_in_turn(
@@ -195,37 +198,37 @@
     if document.takes_files {
         let callers = callers.with_deadline(Duration::from_secs(10));
         let period = Duration::from_millis(500);
-        services::fetch_files(traffic, &callers, service, &keys, period, FILE_SIZE);
+        services::fetch_files(traffic, &callers, service, &keys, period, FILE_BYTES);
     }
 }
 
-/// Kills a target, then a VM, then cuts the platform off for a while.
-async fn break_things(fleet: &mut Fleet, callers: &Callers, target: &str) -> Result<(), Fault> {
-    let step = Duration::from_secs(4);
-    compio::time::sleep(step / 2).await;
+/// Kills a target, then a VM, then takes the platform down for a while.
+async fn inject_faults(fleet: &mut Fleet, callers: &Callers, target: &str) -> Result<(), BoxError> {
+    let pause = Duration::from_secs(4);
+    compio::time::sleep(pause / 2).await;
     println!("killing target {target}");
     fleet.kill(target)?;
     fleet.deregister(target).await?;
-    compio::time::sleep(step).await;
+    compio::time::sleep(pause).await;
     println!("killing VM {LOST_VM}");
     fleet.kill(LOST_VM)?;
     fleet.deregister(LOST_VM).await?;
     callers.set_entries(fleet.caller_addresses());
-    compio::time::sleep(step).await;
-    println!("cutting the platform off");
+    compio::time::sleep(pause).await;
+    println!("taking the platform down");
     let down = Faults {
         down: true,
         ..Faults::default()
     };
     fleet.platform_faults(&down).await?;
-    compio::time::sleep(step).await;
+    compio::time::sleep(pause).await;
     fleet.platform_faults(&Faults::default()).await?;
     println!("the platform is back");
-    compio::time::sleep(step / 2).await;
+    compio::time::sleep(pause / 2).await;
     Ok(())
 }
 
-async fn write_timeline(fleet: &Fleet, options: &Options) -> Result<PathBuf, Fault> {
+async fn write_timeline(fleet: &Fleet, options: &Options) -> Result<PathBuf, BoxError> {
     let path = options.timeline.clone().unwrap_or_else(|| {
         let name = format!("bramleypier-demo-{}.txt", std::process::id());
         std::env::temp_dir().join(name)
@@ -259,28 +262,30 @@
     file.flush()
 }
 
-fn measures(
+fn format_measures(
     callers: &Callers,
     runs: &[bramleypier_standins::journal::Run],
     documents: &[Document],
-    lost: &str,
+    lost_target: &str,
 ) -> Vec<String> {
-    let serving = documents.iter().map(|document| {
-        let names = document.targets.keys().filter(|name| *name != lost);
+    let imbalances = documents.iter().map(|document| {
+        let names = document.targets.keys().filter(|name| *name != lost_target);
         let names: Vec<String> = names.cloned().collect();
         measure::imbalance(runs, &names)
     });
-    let imbalance = serving.fold(0.0, f64::max);
+    let imbalance = imbalances.fold(0.0, f64::max);
     let mut samples = callers.samples();
     samples.retain(|sample| !sample.key.contains("-spread-"));
     let gaps = measure::gaps(&samples, clock::now());
     let worst = gaps.values().max().copied().unwrap_or_default();
     let total: Duration = gaps.values().sum();
     vec![
-        format!("imbalance: {imbalance:.2} (greatest over mean runs of a service's targets)"),
-        format!("churn: {:.3} moves for each key", measure::churn(runs)),
         format!(
-            "unavailable time: {:.2} s at the worst key, {:.2} s over all {} keys",
+            "imbalance: {imbalance:.2} (largest to mean number of runs of a service's targets)"
+        ),
+        format!("churn: {:.3} moves per key", measure::churn(runs)),
+        format!(
+            "unavailable time: {:.2} s for the worst key, {:.2} s in total over {} keys",
             worst.as_secs_f64(),
             total.as_secs_f64(),
             gaps.len()
--- a/standins/src/bin/bramleypier-drill.rs
+++ b/standins/src/bin/bramleypier-drill.rs
@@ -1,4 +1,4 @@
-//! Repeats losses on fleets of real processes and prints what each cost its keys, as CSV.
+//! Runs drills repeatedly and writes the time without service and the audit's findings as CSV.
 
 use std::{
     fs::File,
@@ -12,45 +12,45 @@
 use bramleypier_standins::drill::{self, Outcome, SCENARIOS, Scenario};
 use hdrhistogram::Histogram;
 
-/// The longest gap that a histogram holds, in milliseconds.
-const LONGEST_MS: u64 = 600_000;
-/// The head of the CSV.
-const HEAD: &str = "scenario,repetition,scope,keys,p50_ms,p90_ms,max_ms,unserved,last_work_ms,churn,\
+/// The largest value of a histogram; longer gaps are recorded as this.
+const MAX_GAP_MS: u64 = 600_000;
+/// The header of the CSV.
+const CSV_HEADER: &str = "scenario,repetition,scope,keys,p50_ms,p90_ms,max_ms,unserved,last_work_ms,churn,\
                     dead_targets,platform_rate,calls,runs,doubled,lost,untrue,unsound,two_owners";
 
-/// Runs drills on real processes: losses, freezes, cuts and planned stops.
+/// Runs drills on real processes: crashes, freezes, network partitions and planned stops.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// How often each scenario is run
+    /// How many times each scenario is run
     #[bpaf(argument("COUNT"), fallback(3))]
     repeat: usize,
-    /// How many keys are looked up
+    /// The number of keys to look up
     #[bpaf(argument("COUNT"), fallback(24))]
     keys: usize,
-    /// How often each key is looked up
+    /// The interval at which each key is looked up
     #[bpaf(argument("MS"), fallback(20))]
     period_ms: u64,
     /// Targets don't check grants
     unchecked: bool,
-    /// The program of the VMs; found beside this one unless given
+    /// The program of the VMs; by default the one next to this executable
     #[bpaf(argument("FILE"), optional)]
     program: Option<PathBuf>,
-    /// A file of sections to add to the VMs' settings
+    /// A file with sections to append to the VMs' settings
     #[bpaf(argument("FILE"), optional)]
     settings: Option<PathBuf>,
-    /// Where the CSV goes; standard output unless given
+    /// The file for the CSV; standard output by default
     #[bpaf(argument("FILE"), optional)]
     csv: Option<PathBuf>,
-    /// The scenarios to run; all unless given
+    /// The scenarios to run; all by default
     #[bpaf(positional("SCENARIO"), many)]
     scenarios: Vec<String>,
 }
 
-/// The gaps of a scenario over all repetitions.
-struct Total {
-    lost: Histogram<u64>,
-    others: Histogram<u64>,
+/// The results of a scenario over all repetitions.
+struct Totals {
+    lost_gaps: Histogram<u64>,
+    other_gaps: Histogram<u64>,
     clean: bool,
 }
 
@@ -59,8 +59,8 @@
     match run(&options().run()).await {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(fault) => {
-            eprintln!("drill failed: {fault}");
+        Err(error) => {
+            eprintln!("drill failed: {error}");
             ExitCode::FAILURE
         }
     }
@@ -78,33 +78,33 @@
         period: Duration::from_millis(options.period_ms),
         settings,
     };
-    let mut csv = output(options)?;
-    writeln!(csv, "{HEAD}")?;
+    let mut csv = open_output(options)?;
+    writeln!(csv, "{CSV_HEADER}")?;
     let mut clean = true;
-    for scenario in chosen(options)? {
-        let mut total = Total::new()?;
+    for scenario in selected_scenarios(options)? {
+        let mut totals = Totals::new()?;
         for repetition in 0..options.repeat {
             let outcome = drill::run(scenario, &setup).await?;
-            total.add(&outcome);
+            totals.add(&outcome);
             for (reason, count) in &outcome.reasons {
-                eprintln!("  {count} not served for {reason}");
+                eprintln!("  {count} look-ups not served: {reason}");
             }
             write_rows(&mut csv, scenario, repetition, &outcome)?;
         }
-        total.print(scenario.name);
-        clean &= total.clean;
+        totals.print(scenario.name);
+        clean &= totals.clean;
     }
     Ok(clean)
 }
 
-fn output(options: &Options) -> io::Result<Box<dyn Write>> {
+fn open_output(options: &Options) -> io::Result<Box<dyn Write>> {
     match &options.csv {
         Some(path) => Ok(Box::new(File::create(path)?)),
         None => Ok(Box::new(io::stdout())),
     }
 }
 
-fn chosen(options: &Options) -> Result<Vec<&'static Scenario>, String> {
+fn selected_scenarios(options: &Options) -> Result<Vec<&'static Scenario>, String> {
     if options.scenarios.is_empty() {
         return Ok(SCENARIOS.iter().collect());
     }
@@ -112,7 +112,10 @@
         let found = SCENARIOS.iter().find(|scenario| scenario.name == *name);
         found.ok_or_else(|| {
             let names: Vec<&str> = SCENARIOS.iter().map(|scenario| scenario.name).collect();
-            format!("no scenario {name:?}; there are {}", names.join(", "))
+            format!(
+                "unknown scenario {name:?}; the scenarios are {}",
+                names.join(", ")
+            )
         })
     };
     options.scenarios.iter().map(find).collect()
@@ -124,7 +127,10 @@
     repetition: usize,
     outcome: &Outcome,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    for (scope, gaps) in [("lost", &outcome.lost), ("others", &outcome.others)] {
+    for (scope, gaps) in [
+        ("lost", &outcome.lost_gaps),
+        ("others", &outcome.other_gaps),
+    ] {
         let gaps = histogram(gaps)?;
         let findings = &outcome.findings;
         writeln!(
@@ -138,7 +144,7 @@
             outcome.unserved,
             outcome.last_work.as_millis(),
             outcome.churn,
-            outcome.dead,
+            outcome.dead_targets,
             outcome.platform_rate,
             outcome.audited.0,
             outcome.audited.1,
@@ -154,29 +160,29 @@
 }
 
 fn histogram(gaps: &[Duration]) -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    let mut histogram = Histogram::new_with_bounds(1, LONGEST_MS, 3)?;
+    let mut histogram = Histogram::new_with_bounds(1, MAX_GAP_MS, 3)?;
     for gap in gaps {
-        histogram.saturating_record(u64::try_from(gap.as_millis()).unwrap_or(LONGEST_MS));
+        histogram.saturating_record(u64::try_from(gap.as_millis()).unwrap_or(MAX_GAP_MS));
     }
     Ok(histogram)
 }
 
-impl Total {
+impl Totals {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
-            lost: histogram(&[])?,
-            others: histogram(&[])?,
+            lost_gaps: histogram(&[])?,
+            other_gaps: histogram(&[])?,
             clean: true,
         })
     }
 
     fn add(&mut self, outcome: &Outcome) {
-        let millis = |gap: &Duration| u64::try_from(gap.as_millis()).unwrap_or(LONGEST_MS);
-        for gap in &outcome.lost {
-            self.lost.saturating_record(millis(gap));
+        let millis = |gap: &Duration| u64::try_from(gap.as_millis()).unwrap_or(MAX_GAP_MS);
+        for gap in &outcome.lost_gaps {
+            self.lost_gaps.saturating_record(millis(gap));
         }
-        for gap in &outcome.others {
-            self.others.saturating_record(millis(gap));
+        for gap in &outcome.other_gaps {
+            self.other_gaps.saturating_record(millis(gap));
         }
         if !outcome.findings.is_clean() {
             self.clean = false;
@@ -187,13 +193,13 @@
     fn print(&self, name: &str) {
         eprintln!(
             "{name}: lost keys p50 {} ms, p90 {} ms, max {} ms ({}); other keys p90 {} ms, max {} ms ({}); {}",
-            self.lost.value_at_quantile(0.5),
-            self.lost.value_at_quantile(0.9),
-            self.lost.max(),
-            self.lost.len(),
-            self.others.value_at_quantile(0.9),
-            self.others.max(),
-            self.others.len(),
+            self.lost_gaps.value_at_quantile(0.5),
+            self.lost_gaps.value_at_quantile(0.9),
+            self.lost_gaps.max(),
+            self.lost_gaps.len(),
+            self.other_gaps.value_at_quantile(0.9),
+            self.other_gaps.max(),
+            self.other_gaps.len(),
             if self.clean {
                 "audit clean"
             } else {
--- a/standins/src/bin/standin-platform.rs
+++ b/standins/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Runs the platform's stand-in as a process.
+//! Runs the platform's stand-in as its own process.
 
 use std::io;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
-    /// Where to listen
+    /// The address to listen on
     #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_owned()))]
     listen: String,
 }
--- a/standins/src/bin/standin-target.rs
+++ b/standins/src/bin/standin-target.rs
@@ -1,4 +1,4 @@
-//! Runs a target's stand-in as a process.
+//! Runs a target's stand-in as its own process.
 
 use std::{io, path::PathBuf, time::Duration};
 
@@ -15,33 +15,33 @@
     /// The target's name
     #[bpaf(argument("NAME"))]
     name: String,
-    /// Where to listen
+    /// The address to listen on
     #[bpaf(argument("ADDRESS"), fallback("127.0.0.1:0".to_owned()))]
     listen: String,
-    /// Whether it checks grants
+    /// Whether it rejects work that no grant covers
     #[bpaf(argument("BOOL"), fallback(true))]
     checks: bool,
-    /// How many requests it runs at a time
+    /// How many requests run concurrently
     #[bpaf(argument("COUNT"), fallback(2))]
     slots: usize,
-    /// How many requests wait before it sheds
+    /// How many requests can be queued; further ones are rejected
     #[bpaf(argument("COUNT"), fallback(256))]
     queue: usize,
-    /// What a new connection costs
+    /// How long accepting a connection takes
     #[bpaf(argument("MS"), fallback(1))]
     connect_ms: u64,
-    /// The mean time of work
+    /// The mean processing time
     #[bpaf(argument("MS"), fallback(10))]
     work_ms: u64,
-    /// Work takes the same time each time
+    /// Makes all processing times equal instead of exponentially distributed
     fixed: bool,
-    /// How long it is cold after its start
+    /// How long the target is cold after its start
     #[bpaf(argument("MS"), fallback(0))]
     cold_ms: u64,
-    /// How much slower it is while cold
+    /// The factor by which work takes longer while the target is cold
     #[bpaf(argument("FACTOR"), fallback(3.0))]
     cold_factor: f64,
-    /// The file of its log
+    /// The file for the log of runs
     #[bpaf(argument("FILE"), optional)]
     log: Option<PathBuf>,
 }
--- a/standins/src/drill.rs
+++ b/standins/src/drill.rs
@@ -1,4 +1,7 @@
-//! Losses, freezes and cuts on a fleet of real processes, and what each cost its keys.
+//! Drills: scenarios of crashes, freezes, network partitions and planned stops on a fleet of real
+//! processes.
+//!
+//! A drill runs traffic meanwhile and reports how long each key was without service.
 
 use std::time::Duration;
 
@@ -20,10 +23,10 @@
 
 pub use scenario::{SCENARIOS, Scenario, Step};
 
-/// The service that is drilled.
+/// The name of the service under test.
 const SERVICE: &str = "drill";
-/// The VMs with their failure domains; enough of them that each domain's targets have three
-/// grantors elsewhere, and that one more can take a lost one's place.
+/// The VMs with their failure domains. The targets of each domain have four VMs in other domains:
+/// three to be their grantors, and one to replace a lost grantor.
 const VMS: [(&str, &str); 6] = [
     ("vm-1", "uio-norte"),
     ("vm-2", "uio-centro"),
@@ -32,8 +35,8 @@
     ("vm-5", "uio-centro"),
     ("vm-6", "uio-sur"),
 ];
-/// Where the groups' records are kept in the platform's service.
-const RECORDS: &str = "bramleypier/groups/";
+/// The prefix of the groups' records in the platform's key-value store.
+const RECORD_PREFIX: &str = "bramleypier/groups/";
 /// The targets with their failure domains.
 const TARGETS: [(&str, &str); 6] = [
     ("drill-1", "uio-norte"),
@@ -43,68 +46,68 @@
     ("drill-5", "uio-centro"),
     ("drill-6", "uio-sur"),
 ];
-/// The target that is lost.
+/// The target that faults are applied to.
 const TARGET: &str = "drill-1";
-/// The domain that is lost.
+/// The failure domain of [`TARGET`].
 const DOMAIN: &str = "uio-norte";
-/// How far the platform's list lags, so that nothing can lean on it.
+/// The lag of the platform's list, long enough that recovery can't depend on the list.
 const LIST_LAG_MS: u64 = 10_000;
-/// The longest that the service may take until all keys are served.
-const READY: Duration = Duration::from_secs(20);
-/// How long traffic runs before anything breaks.
+/// The time limit until all keys are served.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long traffic runs before the first step.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// The key whose requests crash each target that runs them.
+/// The key whose requests crash any target that runs them.
 const CRASH_KEY: &str = "crash";
-/// How often such a request is sent, and with which pauses.
-const CRASH_SENDS: usize = 12;
+/// The number of attempts at such a request, and the pause between them.
+const CRASH_ATTEMPTS: usize = 12;
 const CRASH_PAUSE: Duration = Duration::from_millis(250);
-/// A key that was not served for this long at the end counts as not served again.
-const LAST_LOOK: Duration = Duration::from_secs(1);
-/// How often the balancer asks for a VM's health.
+/// A key that is not served within this time before the end counts as not recovered.
+const FINAL_WINDOW: Duration = Duration::from_secs(1);
+/// The interval of the load balancer's health checks.
 const HEALTH_PERIOD: Duration = Duration::from_millis(50);
 
-/// How a drill is run.
+/// The options of a drill.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program of the VMs; found beside the running one unless given.
+    /// The program of the VMs; by default the one next to the running executable.
     pub program: Option<std::path::PathBuf>,
     /// Whether targets check grants.
     pub checks_grants: bool,
-    /// How many keys are looked up.
+    /// The number of keys to look up.
     pub keys: usize,
-    /// How often each key is looked up, and an order sent.
+    /// The interval at which each key is looked up, and at which orders are sent.
     pub period: Duration,
-    /// Sections added to the VMs' settings.
+    /// Sections to append to the VMs' settings.
     pub settings: String,
 }
 
-/// What one run of a scenario cost.
+/// The result of one run of a scenario.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// The longest time without service of each key of what was lost.
-    pub lost: Vec<Duration>,
-    /// The same for all other keys.
-    pub others: Vec<Duration>,
-    /// How many keys were not served in the last second.
+    /// The longest time without service of each key that lost its target.
+    pub lost_gaps: Vec<Duration>,
+    /// The longest time without service of each other key.
+    pub other_gaps: Vec<Duration>,
+    /// The number of keys that were not served in the last second.
     pub unserved: usize,
-    /// From the first step until the last start of work at what was lost.
+    /// The time from the first step to the last start of work at a lost target.
     pub last_work: Duration,
-    /// Moves for each key.
+    /// The mean number of moves per key.
     pub churn: f64,
-    /// Targets that no longer ran at the end.
-    pub dead: usize,
-    /// Calls to the platform a second, a waiting watch counted as one.
+    /// The number of targets that were not running at the end.
+    pub dead_targets: usize,
+    /// Calls to the platform per second; a watch counts as one call however long it waits.
     pub platform_rate: f64,
-    /// Why look-ups were not served, with counts.
+    /// The reasons why look-ups were not served, with counts.
     pub reasons: Vec<(String, usize)>,
-    /// What the audit found.
+    /// The findings of the audit.
     pub findings: Findings,
-    /// Calls and runs that were audited.
+    /// The numbers of audited calls and runs.
     pub audited: (usize, usize),
 }
 
 type Counts = IndexMap<String, u64>;
-type Fault = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 struct Drill {
     fleet: Fleet,
@@ -114,16 +117,16 @@
     frozen: Option<String>,
 }
 
-/// Runs a scenario once on a fleet of its own.
+/// Runs a scenario once on a new fleet.
 ///
 /// # Errors
 ///
-/// Fails when the fleet can't be brought up or a step can't be taken; bad outcomes of the system
-/// are no errors but part of the [`Outcome`].
-pub async fn run(scenario: &Scenario, options: &Options) -> Result<Outcome, Fault> {
+/// Fails if the fleet can't be started or a step can't be applied. Misbehaviour of the system under
+/// test is not an error but part of the [`Outcome`].
+pub async fn run(scenario: &Scenario, options: &Options) -> Result<Outcome, BoxError> {
     let mut drill = Drill::start(options, scenario.needs_forwarders()).await?;
     let keys = services::keys(SERVICE, options.keys);
-    services::wait_ready(&drill.callers, SERVICE, &keys, READY).await?;
+    services::wait_ready(&drill.callers, SERVICE, &keys, READY_TIMEOUT).await?;
     drill.grantors = drill.read_grantors().await?;
     drill.set_faults(false).await?;
     let traffic = Traffic::default();
@@ -132,28 +135,28 @@
     services::order_keys(&traffic, &orders, SERVICE, &keys, options.period);
     compio::time::sleep(WARM_UP).await;
     let before = drill.fleet.call_counts().await?;
-    let begin = clock::now();
+    let start = clock::now();
     for step in scenario.steps {
-        drill.take(*step).await?;
+        drill.apply(*step).await?;
     }
     let end = clock::now();
-    let platform_rate = rate(
+    let platform_rate = calls_per_second(
         &before,
         &drill.fleet.call_counts().await?,
-        end.saturating_sub(begin),
+        end.saturating_sub(start),
     );
     traffic.stop().await;
-    let mut outcome = drill.outcome(scenario, begin, end)?;
+    let mut outcome = drill.outcome(scenario, start, end)?;
     outcome.platform_rate = platform_rate;
     Ok(outcome)
 }
 
 impl Drill {
-    async fn start(options: &Options, forwarded: bool) -> Result<Self, Fault> {
+    async fn start(options: &Options, forwarded: bool) -> Result<Self, BoxError> {
         let mut fleet = Fleet::start(options.program.clone()).await?;
         fleet.add_settings(&options.settings);
         let path = fleet.dir().join("drill-template.ini");
-        std::fs::write(&path, text(options.checks_grants))?;
+        std::fs::write(&path, document_text(options.checks_grants))?;
         let setup = Setup {
             work_ms: 2,
             forwarded,
@@ -173,23 +176,25 @@
         })
     }
 
-    /// Reads which VMs grant to the target that is to be lost.
-    async fn read_grantors(&self) -> Result<Vec<String>, Fault> {
+    /// Reads the names of the VMs that grant to [`TARGET`] from its group's record.
+    async fn read_grantors(&self) -> Result<Vec<String>, BoxError> {
         let platform = self.fleet.platform_address();
         let client = self.fleet.client();
-        let list = format!("/v1/list?prefix={RECORDS}{SERVICE}");
+        let list = format!("/v1/list?prefix={RECORD_PREFIX}{SERVICE}");
         let list: serde_json::Value = client.get_json(&platform, &list).await?;
-        let key = list["keys"][0]["key"].as_str().ok_or("no record")?;
+        let key = list["keys"][0]["key"]
+            .as_str()
+            .ok_or("the service has no record in the store")?;
         let record = client.get(&platform, &format!("/v1/kv/{key}")).await?;
         let record: serde_json::Value = rmp_serde::from_slice(&record.body)?;
-        let trio = record["trios"][DOMAIN].as_array();
-        let ids = trio.into_iter().flatten();
-        // A VM's id is its name and a mark of its start.
+        let grantors = record["trios"][DOMAIN].as_array();
+        let ids = grantors.into_iter().flatten();
+        // A VM's id is its name and, after a `#`, its incarnation.
         let names = ids.filter_map(|grantor| grantor["vm"].as_str()?.split('#').next());
         Ok(names.map(str::to_owned).collect())
     }
 
-    fn grantor(&self, index: usize) -> Result<String, Fault> {
+    fn grantor(&self, index: usize) -> Result<String, BoxError> {
         let name = self.grantors.get(index);
         Ok(name.cloned().ok_or("the target has too few grantors")?)
     }
@@ -203,7 +208,7 @@
         self.fleet.platform_faults(&faults).await
     }
 
-    async fn take(&mut self, step: Step) -> Result<(), Fault> {
+    async fn apply(&mut self, step: Step) -> Result<(), BoxError> {
         match step {
             Step::Wait(ms) => compio::time::sleep(Duration::from_millis(ms)).await,
             Step::KillTarget => self.kill(TARGET).await?,
@@ -225,14 +230,17 @@
             }
             Step::PlatformDown => self.set_faults(true).await?,
             Step::PlatformUp => self.set_faults(false).await?,
-            Step::BlockTarget { requests, answers } => self.cut(requests, answers)?,
+            Step::BlockTarget {
+                requests,
+                responses,
+            } => self.block_target(requests, responses)?,
             Step::IsolateGrantor => {
                 let name = self.grantor(0)?;
-                self.leave_out(&name);
+                self.exclude_entry(&name);
                 self.fleet.isolate(&name, true);
             }
             Step::Unblock => {
-                self.cut(false, false)?;
+                self.block_target(false, false)?;
                 self.fleet.isolate(&self.grantor(0)?, false);
             }
             Step::DrainTarget => {
@@ -253,33 +261,34 @@
     }
 
     async fn kill(&mut self, name: &str) -> Result<(), fleet::Error> {
-        // The balancer's own lag is not the system's, so callers leave a dead VM at once.
-        self.leave_out(name);
+        // The delay of a real load balancer isn't part of the measurement, so callers avoid a dead VM
+        // at once.
+        self.exclude_entry(name);
         self.fleet.kill(name)?;
         self.fleet.deregister(name).await
     }
 
     fn freeze(&mut self, name: &str) -> Result<(), fleet::Error> {
-        self.leave_out(name);
+        self.exclude_entry(name);
         self.frozen = Some(name.to_owned());
         self.fleet.freeze(name)
     }
 
-    fn cut(&self, requests: bool, answers: bool) -> Result<(), fleet::Error> {
+    fn block_target(&self, requests: bool, responses: bool) -> Result<(), fleet::Error> {
         self.fleet.forwarder(TARGET)?.update_rules(|rules| {
             rules.block_in = requests;
-            rules.block_out = answers;
+            rules.block_out = responses;
         });
         Ok(())
     }
 
-    /// Stops a VM while a balancer that asks for its health still sends callers to it.
-    async fn stop(&mut self, name: &str) -> Result<(), Fault> {
+    /// Stops a VM gracefully; callers use it until a simulated health check fails.
+    async fn stop(&mut self, name: &str) -> Result<(), BoxError> {
         let Some(vm) = self.fleet.vms.get(name) else {
             return Ok(());
         };
         let (client, caller) = (self.fleet.client().clone(), vm.caller_address.clone());
-        let entries: Vec<String> = self.entries_without(name);
+        let entries: Vec<String> = self.entries_except(name);
         let callers = self.callers.clone();
         let balancer = compio::runtime::spawn(async move {
             while let Ok(reply) = client.get(&caller, "/healthz").await {
@@ -293,13 +302,13 @@
         let status = self.fleet.stop(name).await?;
         drop(balancer.await);
         if !status.success() {
-            return Err(format!("{name} stopped with {status}").into());
+            return Err(format!("{name} exited with {status}").into());
         }
         Ok(())
     }
 
-    /// Sends a request that crashes its target, and sends it again through other VMs.
-    async fn crash(&mut self) -> Result<(), Fault> {
+    /// Sends a request that crashes its target, and retries it through other VMs.
+    async fn crash(&mut self) -> Result<(), BoxError> {
         let faults = crate::fault::Faults {
             kill_key: Some(CRASH_KEY.to_owned()),
             ..crate::fault::Faults::default()
@@ -307,57 +316,57 @@
         for (name, _) in TARGETS {
             self.fleet.target_faults(name, &faults).await?;
         }
-        for _ in 0..CRASH_SENDS {
-            let same = self.callers.look_up_as(SERVICE, CRASH_KEY, CRASH_KEY);
-            same.await;
+        for _ in 0..CRASH_ATTEMPTS {
+            let attempt = self.callers.look_up_as(SERVICE, CRASH_KEY, CRASH_KEY);
+            attempt.await;
             compio::time::sleep(CRASH_PAUSE).await;
         }
         Ok(())
     }
 
-    fn entries_without(&self, name: &str) -> Vec<String> {
+    fn entries_except(&self, name: &str) -> Vec<String> {
         let vms = self.fleet.vms.iter();
         vms.filter(|(other, _)| *other != name && self.fleet.is_running(other))
             .map(|(_, vm)| vm.caller_address.clone())
             .collect()
     }
 
-    fn leave_out(&self, name: &str) {
-        self.callers.set_entries(self.entries_without(name));
+    fn exclude_entry(&self, name: &str) {
+        self.callers.set_entries(self.entries_except(name));
     }
 
     fn outcome(
         &mut self,
         scenario: &Scenario,
-        begin: Duration,
+        start: Duration,
         end: Duration,
-    ) -> Result<Outcome, Fault> {
+    ) -> Result<Outcome, BoxError> {
         let runs = self.fleet.runs_of_targets()?;
         let samples = self.callers.samples();
         let dead = self.fleet.dead_targets();
-        let hit: IndexSet<String> = TARGETS
+        let lost_targets: IndexSet<String> = TARGETS
             .iter()
             .filter(|(name, domain)| *name == TARGET || scenario.whole_domain && *domain == DOMAIN)
             .map(|(name, _)| (*name).to_owned())
             .chain(dead.iter().cloned())
             .collect();
-        let lost_keys = measure::keys_served_by(&samples, &hit, begin);
+        let lost_keys = measure::keys_served_by(&samples, &lost_targets, start);
         let reasons = measure::reasons(&samples);
-        let mut after = samples;
-        after.retain(|sample| sample.sent + WARM_UP > begin && sample.key != CRASH_KEY);
-        let gaps = measure::gaps(&after, end);
-        let unserved = measure::unserved(&after, end.saturating_sub(LAST_LOOK)).len();
+        let mut measured = samples;
+        measured.retain(|sample| sample.sent + WARM_UP > start && sample.key != CRASH_KEY);
+        let gaps = measure::gaps(&measured, end);
+        let unserved = measure::unserved(&measured, end.saturating_sub(FINAL_WINDOW)).len();
         let (lost, others) = gaps
             .into_iter()
             .partition::<Vec<_>, _>(|(key, _)| lost_keys.contains(key));
         let calls = self.callers.calls();
         Ok(Outcome {
-            lost: lost.into_iter().map(|(_, gap)| gap).collect(),
-            others: others.into_iter().map(|(_, gap)| gap).collect(),
+            lost_gaps: lost.into_iter().map(|(_, gap)| gap).collect(),
+            other_gaps: others.into_iter().map(|(_, gap)| gap).collect(),
             unserved,
-            last_work: last_work(&runs, &hit, begin),
+            last_work: last_work(&runs, &lost_targets, start),
             churn: measure::churn(&runs),
-            dead: dead.len(),
+            dead_targets: dead.len(),
             platform_rate: 0.0,
             reasons,
             findings: audit::audit(&calls, &runs),
@@ -366,22 +375,26 @@
     }
 }
 
-/// Returns the platform's calls a second between two readings of its counts.
+/// Returns the calls to the platform per second between two reads of its counts.
 #[allow(clippy::cast_precision_loss, reason = "counts of calls are small")]
-fn rate(before: &Counts, after: &Counts, span: Duration) -> f64 {
+fn calls_per_second(before: &Counts, after: &Counts, span: Duration) -> f64 {
     let sum = |counts: &Counts| counts.values().sum::<u64>();
     (sum(after) - sum(before)) as f64 / span.as_secs_f64()
 }
 
-fn last_work(runs: &[Run], hit: &IndexSet<String>, begin: Duration) -> Duration {
-    let own = runs.iter().filter(|run| hit.contains(&run.target));
-    let last = own.map(|run| run.started_ms).max().unwrap_or(0);
-    Duration::from_millis(last).saturating_sub(begin)
+fn last_work(runs: &[Run], lost_targets: &IndexSet<String>, start: Duration) -> Duration {
+    let lost = runs.iter().filter(|run| lost_targets.contains(&run.target));
+    let last = lost.map(|run| run.started_ms).max().unwrap_or(0);
+    Duration::from_millis(last).saturating_sub(start)
 }
 
-/// Returns the document of the service, with addresses to be filled in.
-fn text(checks: bool) -> String {
-    let fencing = if checks { "checked" } else { "unchecked" };
+/// Returns the service document with placeholder addresses.
+fn document_text(checks_grants: bool) -> String {
+    let fencing = if checks_grants {
+        "checked"
+    } else {
+        "unchecked"
+    };
     let mut text = format!(
         "[service]\nname = {SERVICE}\nownership = exclusive\ngroups = 1\nranges = 4\n\
          unavailable_weight = 1\nchurn_weight = 1\nbody_limit = 1048576\n\n\
--- a/standins/src/drill/scenario.rs
+++ b/standins/src/drill/scenario.rs
@@ -1,62 +1,62 @@
-//! What a drill does to its fleet, as data.
+//! The scenarios of the drills, as lists of steps.
 
-/// One thing that happens to the fleet.
+/// One action on the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes, in milliseconds.
+    /// Waits for a time in milliseconds.
     Wait(u64),
-    /// The target is killed.
+    /// Kills the drilled target.
     KillTarget,
-    /// The grantor is killed.
+    /// Kills a grantor of the target.
     KillGrantor,
-    /// Another grantor is killed.
+    /// Kills a second grantor of the target.
     KillSecondGrantor,
-    /// All VMs and targets of a domain are killed.
+    /// Kills all VMs and targets of the target's failure domain.
     KillDomain,
-    /// The target is frozen.
+    /// Freezes the target.
     FreezeTarget,
-    /// The grantor is frozen.
+    /// Freezes a grantor.
     FreezeGrantor,
-    /// What was frozen goes on.
+    /// Resumes the frozen process.
     Resume,
-    /// The platform's service goes down.
+    /// Takes the platform's key-value store down.
     PlatformDown,
-    /// The platform's service comes back.
+    /// Brings the platform's key-value store back.
     PlatformUp,
-    /// Nothing gets to the target, or back, or both.
+    /// Blocks the traffic to the target, from it, or both.
     BlockTarget {
-        /// Requests don't get there.
+        /// Whether requests to the target are blocked.
         requests: bool,
-        /// Answers don't get back.
-        answers: bool,
+        /// Whether responses from the target are blocked.
+        responses: bool,
     },
-    /// The grantor is cut off from VMs and targets; the platform still reaches it.
+    /// Blocks traffic between a grantor and all VMs and targets; it still reaches the platform.
     IsolateGrantor,
-    /// Cuts are mended.
+    /// Removes all blocks.
     Unblock,
-    /// The target says that it drains.
+    /// Makes the target report that it drains.
     DrainTarget,
-    /// The document says that the target leaves.
+    /// Marks the target as leaving in the service document.
     LeaveTarget,
-    /// The grantor is stopped as planned.
+    /// Stops a grantor gracefully.
     StopGrantor,
-    /// A request that crashes each target that runs it is sent again and again.
+    /// Repeats a request that crashes every target that runs it.
     Crash,
 }
 
-/// A named course of steps.
+/// A named sequence of steps.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// The name.
     pub name: &'static str,
-    /// What happens, in order.
+    /// The steps in order.
     pub steps: &'static [Step],
-    /// Whether its keys are the lost domain's, not only the lost target's.
+    /// Whether the whole failure domain is lost, not only the target.
     pub whole_domain: bool,
 }
 
 impl Scenario {
-    /// Returns whether it needs forwarders before VMs and targets.
+    /// Returns whether it needs forwarders in front of VMs and targets.
     pub fn needs_forwarders(&self) -> bool {
         self.steps.contains(&Step::Unblock)
     }
@@ -110,7 +110,7 @@
             Step::Wait(2_000),
         ],
     ),
-    // It takes ten minutes; a longer `--period-ms` keeps its logs small.
+    // Takes ten minutes; a longer `--period-ms` keeps the logs small.
     scenario(
         "long-outage",
         &[
@@ -186,7 +186,7 @@
         &[
             Step::BlockTarget {
                 requests: true,
-                answers: true,
+                responses: true,
             },
             Step::Wait(4_000),
             Step::Unblock,
@@ -198,7 +198,7 @@
         &[
             Step::BlockTarget {
                 requests: false,
-                answers: true,
+                responses: true,
             },
             Step::Wait(4_000),
             Step::Unblock,
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,6 @@
-//! A fleet of real processes on loopback: platform, targets, and VMs of bramleypier.
+//! A fleet of real processes on loopback: the platform, targets, and VMs of bramleypier.
+//!
+//! It starts, freezes, kills and restarts them, and registers them with the platform.
 
 use std::{
     fs, io,
@@ -22,31 +24,31 @@
 
 mod control;
 
-/// How far the stand-in's list of VMs may lag: a VM is put on it only after its first line.
+/// The list lag in the VMs' settings: a VM is listed only after it has printed its first line.
 const LIST_LAG_MS: u64 = 3_000;
-/// How long a planned stop may take.
+/// The time limit of a graceful stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(40);
 
 quick_error! {
-    /// Why a step with the fleet failed.
+    /// Why an operation on the fleet failed.
     #[derive(Debug)]
     pub enum Error {
-        /// A process could not be started or handled.
+        /// A process or one of its files could not be handled.
         Process(step: &'static str, peer: String, cause: io::Error) {
             display("step={step} peer={peer} cause={cause}")
             source(cause)
         }
-        /// A call got no answer.
+        /// A call got no complete response.
         Call(cause: client::Error) {
             from()
             display("{cause}")
             source(cause)
         }
-        /// A call got another answer than agreed.
+        /// A call got an unexpected status.
         Answer(peer: String, status: u16) {
             display("peer={peer} status={status}")
         }
-        /// There is no process of this name.
+        /// There is no process, or no forwarder, of this name.
         Unknown(name: String) {
             display("no process {name:?}")
         }
@@ -60,13 +62,13 @@
     settings: PathBuf,
     domain: String,
     forwarder: Option<Forwarder>,
-    /// Where callers reach it.
+    /// The address for callers.
     pub caller_address: String,
-    /// Where it listens for peers and operators itself.
+    /// The address on which it listens for peers and operators, behind any forwarder.
     pub peer_address: String,
 }
 
-/// A target.
+/// A target of the fleet.
 #[derive(Debug)]
 pub struct Target {
     process: Option<Process>,
@@ -74,20 +76,20 @@
     log: PathBuf,
     domain: String,
     forwarder: Option<Forwarder>,
-    /// Where VMs reach it; the same after a restart.
+    /// The address for VMs, which may be a forwarder's; unchanged by a restart.
     pub address: String,
-    /// Where it listens itself.
+    /// The address on which it listens.
     pub listen_address: String,
 }
 
-/// A fleet; dropping it ends all of its processes.
+/// A fleet; dropping it kills all its processes.
 #[derive(Debug)]
 pub struct Fleet {
     dir: TempDir,
     program: PathBuf,
     platform: Process,
     owners: SocketOwners,
-    extra: String,
+    extra_settings: String,
     client: Client,
     /// The targets, by name.
     pub targets: IndexMap<String, Target>,
@@ -96,22 +98,22 @@
 }
 
 impl Fleet {
-    /// Starts the platform alone.
+    /// Starts a fleet that has only the platform.
     ///
-    /// The program of the VMs is found beside the running one unless it is given.
+    /// `program` is the program of the VMs; by default the one next to the running executable.
     ///
     /// # Errors
     ///
-    /// Fails when a program is missing or can't be started.
+    /// Fails if a program is missing or can't be started.
     pub async fn start(program: Option<PathBuf>) -> Result<Self, Error> {
         let dir = tempfile::tempdir().map_err(|cause| failed("directory", "fleet", cause))?;
         let program = match program {
             Some(program) => program,
-            None => find("bramleypier")?,
+            None => find_program("bramleypier")?,
         };
         let errors = dir.path().join("platform.err");
         let platform = Process::start(
-            &find("standin-platform")?,
+            &find_program("standin-platform")?,
             ["--listen=127.0.0.1:0"],
             &errors,
         )
@@ -122,24 +124,24 @@
             program,
             platform,
             owners: SocketOwners::default(),
-            extra: String::new(),
+            extra_settings: String::new(),
             client: Client::default(),
             targets: IndexMap::new(),
             vms: IndexMap::new(),
         })
     }
 
-    /// Adds sections to the settings of the VMs that are started from now on.
+    /// Appends sections to the settings of VMs that are started later.
     pub fn add_settings(&mut self, sections: &str) {
-        self.extra.push_str(sections);
+        self.extra_settings.push_str(sections);
     }
 
-    /// Returns the directory that holds settings and logs until the fleet is dropped.
+    /// Returns the directory of settings and logs, which is deleted when the fleet is dropped.
     pub fn dir(&self) -> &Path {
         self.dir.path()
     }
 
-    /// Returns the client that the fleet calls with.
+    /// Returns the HTTP client of the fleet.
     pub fn client(&self) -> &Client {
         &self.client
     }
@@ -149,11 +151,11 @@
         self.platform.value("listening").unwrap_or("").to_owned()
     }
 
-    /// Starts a target and puts it on the platform's list; `fronted` places a forwarder before it.
+    /// Starts a target and adds it to the platform's list; `forwarded` puts a forwarder in front of it.
     ///
     /// # Errors
     ///
-    /// Fails when the process can't be started.
+    /// Fails if the process can't be started.
     pub async fn add_target(
         &mut self,
         name: &str,
@@ -162,11 +164,11 @@
         arguments: &[&str],
     ) -> Result<String, Error> {
         let log = self.dir().join(format!("{name}.log"));
-        let mut all = vec![format!("--name={name}"), format!("--log={}", log.display())];
-        all.extend(arguments.iter().map(ToString::to_string));
+        let mut all_arguments = vec![format!("--name={name}"), format!("--log={}", log.display())];
+        all_arguments.extend(arguments.iter().map(ToString::to_string));
         let mut target = Target {
             process: None,
-            arguments: all,
+            arguments: all_arguments,
             log,
             domain: domain.to_owned(),
             forwarder: self.start_forwarder(name, forwarded)?,
@@ -189,7 +191,7 @@
         let errors = self.dir().join(format!("{name}.err"));
         let mut arguments = target.arguments.clone();
         arguments.push(format!("--listen={}", target.listen_address));
-        let process = Process::start(&find("standin-target")?, arguments, &errors)
+        let process = Process::start(&find_program("standin-target")?, arguments, &errors)
             .await
             .map_err(|cause| failed("start", name, cause))?;
         process
@@ -203,12 +205,12 @@
         Ok(())
     }
 
-    /// Starts a VM and puts it on the platform's list; `fronted` places a forwarder before the
-    /// port at which its peers reach it.
+    /// Starts a VM and adds it to the platform's list; `forwarded` puts a forwarder in front of its
+    /// peer port.
     ///
     /// # Errors
     ///
-    /// Fails when the process can't be started.
+    /// Fails if the process can't be started.
     pub async fn add_vm(&mut self, name: &str, domain: &str, forwarded: bool) -> Result<(), Error> {
         let mut vm = Vm {
             process: None,
@@ -242,17 +244,17 @@
             .value("peer")
             .unwrap_or("")
             .clone_into(&mut vm.peer_address);
-        let mut listed = vm.peer_address.clone();
+        let mut listed_address = vm.peer_address.clone();
         if let Some(forwarder) = &vm.forwarder {
             forwarder.set_server(&vm.peer_address);
-            listed = forwarder.address.to_string();
+            listed_address = forwarder.address.to_string();
         }
         let id = process.id();
         self.owners.insert(name, id);
         vm.process = Some(process);
-        self.register(name, &listed, &vm.domain, "entry", "live")
+        self.register(name, &listed_address, &vm.domain, "entry", "live")
             .await?;
-        // The operator's commands read the same file: from now on it names the ports.
+        // Operator commands read the same file and need the actual ports.
         self.write_settings(name, vm)
     }
 
@@ -273,7 +275,7 @@
             self.platform_address(),
             self.seeds(name),
             self.dir().join(format!("{name}.log")).display(),
-            self.extra,
+            self.extra_settings,
         );
         fs::write(&vm.settings, text).map_err(|cause| failed("settings", name, cause))
     }
@@ -297,11 +299,11 @@
             .map_err(|cause| failed("forwarder", name, cause))
     }
 
-    /// Returns the forwarder before a VM or target that was started fronted.
+    /// Returns the forwarder in front of a VM or target.
     ///
     /// # Errors
     ///
-    /// Fails when there is none.
+    /// Fails if it was started without one.
     pub fn forwarder(&self, name: &str) -> Result<&Forwarder, Error> {
         let vm = self.vms.get(name).and_then(|vm| vm.forwarder.as_ref());
         let target = self.targets.get(name);
@@ -309,8 +311,8 @@
             .ok_or_else(|| Error::Unknown(name.to_owned()))
     }
 
-    /// Cuts a VM off from all fronted VMs and targets, and they from it, or mends that.
-    pub fn isolate(&self, name: &str, cut: bool) {
+    /// Blocks or unblocks the traffic of a VM with all VMs and targets that have a forwarder.
+    pub fn isolate(&self, name: &str, blocked: bool) {
         let vms = self.vms.iter().map(|(vm, entry)| (vm, &entry.forwarder));
         let targets = self.targets.iter();
         let targets = targets.map(|(target, entry)| (target, &entry.forwarder));
@@ -318,9 +320,9 @@
             let Some(forwarder) = forwarder else { continue };
             forwarder.update_rules(|rules| {
                 if other == name {
-                    rules.block_in = cut;
-                    rules.block_out = cut;
-                } else if cut {
+                    rules.block_in = blocked;
+                    rules.block_out = blocked;
+                } else if blocked {
                     rules.clients.insert(name.to_owned());
                 } else {
                     rules.clients.swap_remove(name);
@@ -344,7 +346,9 @@
             .ok_or_else(|| Error::Unknown(name.to_owned()))
     }
 
-    /// Returns whether a VM or target of this name runs, frozen or not.
+    /// Returns whether a VM or target was started and not killed or stopped by the fleet since.
+    ///
+    /// One that is frozen, or that exited by itself, still counts as running.
     pub fn is_running(&self, name: &str) -> bool {
         self.process(name).is_ok()
     }
@@ -353,22 +357,22 @@
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't run.
+    /// Fails if it doesn't run.
     pub fn process_id(&self, name: &str) -> Result<u32, Error> {
         Ok(self.process(name)?.id())
     }
 
-    /// Kills a VM or target at once. It stays on the platform's list until [`deregister`](Self::deregister).
+    /// Kills a VM or target. It stays on the platform's list until [`deregister`](Self::deregister).
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't run.
+    /// Fails if it doesn't run.
     pub fn kill(&mut self, name: &str) -> Result<(), Error> {
         self.take_process(name)?.kill();
         Ok(())
     }
 
-    /// Returns the targets that don't run, whether killed or ended by themselves.
+    /// Returns the targets that are not running, whether they were killed or exited by themselves.
     pub fn dead_targets(&mut self) -> Vec<String> {
         let targets = self.targets.iter_mut();
         let dead = targets.filter_map(|(name, target)| {
@@ -378,20 +382,20 @@
         dead.collect()
     }
 
-    /// Freezes a VM or target.
+    /// Freezes a VM or target with `SIGSTOP`.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't run.
+    /// Fails if it doesn't run.
     pub fn freeze(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::STOP)
     }
 
-    /// Lets a frozen VM or target go on.
+    /// Resumes a frozen VM or target.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't run.
+    /// Fails if it doesn't run.
     pub fn resume(&self, name: &str) -> Result<(), Error> {
         self.signal(name, Signal::CONT)
     }
@@ -402,23 +406,23 @@
         result.map_err(|cause| failed("signal", name, cause))
     }
 
-    /// Stops a VM or target as planned, and waits for its end.
+    /// Stops a VM or target gracefully with `SIGTERM` and waits until it has exited.
     ///
     /// # Errors
     ///
-    /// Fails when it doesn't run, or does not end.
+    /// Fails if it doesn't run, or doesn't exit before the timeout.
     pub async fn stop(&mut self, name: &str) -> Result<ExitStatus, Error> {
         self.signal(name, Signal::TERM)?;
         let mut process = self.take_process(name)?;
-        let ended = process.wait(STOP_TIMEOUT).await;
-        ended.map_err(|cause| failed("stop", name, cause))
+        let status = process.wait(STOP_TIMEOUT).await;
+        status.map_err(|cause| failed("stop", name, cause))
     }
 
-    /// Starts a VM or target again, at the same address and with the same settings.
+    /// Restarts a VM or target at the same address and with the same settings.
     ///
     /// # Errors
     ///
-    /// Fails when there is none of this name, or it can't be started.
+    /// Fails if there is none of this name, or it can't be started.
     pub async fn restart(&mut self, name: &str) -> Result<(), Error> {
         if self.is_running(name) {
             self.kill(name)?;
@@ -439,11 +443,11 @@
         result
     }
 
-    /// Returns what all targets ran, from their files, the dead ones' too.
+    /// Returns the runs of all targets from their log files, including targets that are not running.
     ///
     /// # Errors
     ///
-    /// Fails when a file can't be read.
+    /// Fails if a file can't be read.
     pub fn runs_of_targets(&self) -> Result<Vec<Run>, Error> {
         let mut runs = Vec::new();
         for (name, target) in &self.targets {
@@ -453,18 +457,18 @@
         Ok(runs)
     }
 
-    /// Returns the file of a VM's settings.
+    /// Returns the path of a VM's settings.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such VM.
+    /// Fails if there is no such VM.
     pub fn settings_path(&self, name: &str) -> Result<&Path, Error> {
         let vm = self.vms.get(name);
         vm.map(|vm| vm.settings.as_path())
             .ok_or_else(|| Error::Unknown(name.to_owned()))
     }
 
-    /// Returns the addresses for callers of the VMs that run.
+    /// Returns the addresses for callers of the running VMs.
     pub fn caller_addresses(&self) -> Vec<String> {
         let running = self.vms.values().filter(|vm| vm.process.is_some());
         running.map(|vm| vm.caller_address.clone()).collect()
@@ -476,7 +480,7 @@
     }
 }
 
-fn find(name: &str) -> Result<PathBuf, Error> {
+fn find_program(name: &str) -> Result<PathBuf, Error> {
     child::program(name).map_err(|cause| failed("find", name, cause))
 }
 
--- a/standins/src/fleet/control.rs
+++ b/standins/src/fleet/control.rs
@@ -1,4 +1,4 @@
-//! What a fleet asks of its stand-ins, and the operator's commands.
+//! Calls of a fleet to its stand-ins, and the operator's commands.
 
 use std::process::{Command, Output};
 
@@ -15,24 +15,24 @@
 };
 
 impl Fleet {
-    /// Runs an operator's command, `bramleypier` with these arguments, and waits for its end.
+    /// Runs the operator's command `bramleypier` with these arguments and waits until it exits.
     ///
     /// # Errors
     ///
-    /// Fails when it can't be started.
+    /// Fails if it can't be started.
     pub async fn run_command(&self, arguments: &[&str]) -> Result<Output, Error> {
         let mut command = Command::new(&self.program);
         command.args(arguments);
         let output = runtime::spawn_blocking(move || command.output()).await;
-        let output = output.unwrap_or_else(|_| Err(std::io::Error::other("reader failed")));
+        let output = output.unwrap_or_else(|_| Err(std::io::Error::other("command thread failed")));
         output.map_err(|cause| failed("operate", "bramleypier", cause))
     }
 
-    /// Writes an entry of the platform's list.
+    /// Adds or replaces an entry of the platform's list.
     ///
     /// # Errors
     ///
-    /// Fails when the platform doesn't answer.
+    /// Fails if the platform doesn't respond.
     pub async fn register(
         &self,
         name: &str,
@@ -48,7 +48,7 @@
             kind: kind.to_owned(),
             state: state.to_owned(),
         };
-        let body = json(&listing);
+        let body = to_json(&listing);
         let path = format!("/vms/{name}");
         let platform = self.platform_address();
         let call = self
@@ -57,11 +57,11 @@
         expect_ok(&platform, &call.await?)
     }
 
-    /// Takes a VM or target off the platform's list.
+    /// Removes a VM or target from the platform's list.
     ///
     /// # Errors
     ///
-    /// Fails when the platform doesn't answer.
+    /// Fails if the platform doesn't respond.
     pub async fn deregister(&self, name: &str) -> Result<(), Error> {
         let path = format!("/vms/{name}");
         let platform = self.platform_address();
@@ -75,10 +75,10 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform doesn't answer.
+    /// Fails if the platform doesn't respond.
     pub async fn platform_faults(&self, faults: &platform::Faults) -> Result<(), Error> {
         let platform = self.platform_address();
-        let call = self.client.post(&platform, "/fault", &[], json(faults));
+        let call = self.client.post(&platform, "/fault", &[], to_json(faults));
         expect_ok(&platform, &call.await?)
     }
 
@@ -86,28 +86,28 @@
     ///
     /// # Errors
     ///
-    /// Fails when there is no such target, or it doesn't answer.
+    /// Fails if there is no such target, or it doesn't respond.
     pub async fn target_faults(&self, name: &str, faults: &fault::Faults) -> Result<(), Error> {
-        let own = &self.target(name)?.listen_address;
-        let call = self.client.post(own, "/fault", &[], json(faults));
-        expect_ok(own, &call.await?)
+        let address = &self.target(name)?.listen_address;
+        let call = self.client.post(address, "/fault", &[], to_json(faults));
+        expect_ok(address, &call.await?)
     }
 
-    /// Reads a target's state, past any forwarder.
+    /// Reads a target's state directly, without its forwarder.
     ///
     /// # Errors
     ///
-    /// Fails when there is no such target, or it doesn't answer.
+    /// Fails if there is no such target, or it doesn't respond.
     pub async fn target_status(&self, name: &str) -> Result<Status, Error> {
-        let own = &self.target(name)?.listen_address;
-        Ok(self.client.get_json(own, "/bramleypier/state").await?)
+        let address = &self.target(name)?.listen_address;
+        Ok(self.client.get_json(address, "/bramleypier/state").await?)
     }
 
-    /// Returns the platform's counts of calls, by kind.
+    /// Returns how many calls the platform has received, by kind.
     ///
     /// # Errors
     ///
-    /// Fails when the platform doesn't answer.
+    /// Fails if the platform doesn't respond.
     pub async fn call_counts(&self) -> Result<IndexMap<String, u64>, Error> {
         Ok(self
             .client
@@ -116,7 +116,7 @@
     }
 }
 
-fn json<T>(value: &T) -> Vec<u8>
+fn to_json<T>(value: &T) -> Vec<u8>
 where
     T: Serialize,
 {
--- a/standins/src/measure.rs
+++ b/standins/src/measure.rs
@@ -110,7 +110,7 @@
         .collect()
 }
 
-/// Returns the keys whose last look-up served before a point in time was served by one of `targets`.
+/// Returns the keys that one of `targets` served, by the last served look-up sent before `before`.
 pub fn keys_served_by(
     samples: &[Sample],
     targets: &IndexSet<String>,
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,4 +1,6 @@
-//! The platform's stand-in: its key-value service, its list of VMs, and their faults.
+//! The platform's stand-in: the key-value store and the list of VMs and targets over HTTP.
+//!
+//! Tests can inject outages, delays, lost responses and a lagging list.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,27 +25,27 @@
     store::{Refusal, Store},
 };
 
-/// The header by which a client names itself.
+/// The request header that carries the client's name.
 pub const FROM: &str = "Bramleypier-From";
-/// The longest that a watch waits.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// How often a waiting watch looks for changes and faults.
-const WATCH_STEP: Duration = Duration::from_millis(5);
-/// How many old states of the list of VMs are kept for a lagging view.
-const LIST_HISTORY: usize = 10_000;
-/// The largest value.
-const VALUE_LIMIT: usize = 1 << 20;
+/// The longest time that a watch waits for a change.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+/// The interval at which a watch checks for changes and faults.
+const WATCH_POLL: Duration = Duration::from_millis(5);
+/// How many versions of the list are kept to serve a lagging one.
+const MAX_LIST_VERSIONS: usize = 10_000;
+/// The maximum size of a value.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// A VM or target on the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listing {
-    /// Its name; taken from the path when the list is written.
+    /// The name; taken from the path when an entry is written.
     #[serde(default)]
     pub name: String,
     /// `IP:port`.
     pub address: String,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: String,
     /// `entry` or `target`.
     pub kind: String,
@@ -51,26 +53,26 @@
     pub state: String,
 }
 
-/// The faults in force; setting them replaces all.
+/// The active faults of the platform; setting them replaces all previous ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Connections are closed without an answer and without an effect.
+    /// All calls fail: connections are closed without a response, and calls have no effect.
     pub down: bool,
-    /// As `down`, for the clients named only.
+    /// As `down`, but only for the clients of these names.
     pub partial: Vec<String>,
-    /// Each call waits this long before it takes effect.
+    /// The delay in milliseconds before a call takes effect.
     pub delay_ms: u64,
-    /// Each answer waits this long after the call took effect.
+    /// The delay in milliseconds of the response after the call has taken effect.
     pub answer_delay_ms: u64,
-    /// How many writes take effect and are then closed without an answer.
+    /// How many writes take effect but have their connection closed without a response.
     pub lose_answers: u32,
-    /// How far the list of VMs lags, from when this is set: the view stands still for that long.
+    /// The lag of the list in milliseconds. Once set, the list stays unchanged for that long.
     pub list_lag_ms: u64,
 }
 
 impl Faults {
-    /// Returns whether a client is cut off; a VM's name stands for each of its starts, `name#start`.
+    /// Returns whether calls of a client fail; a name matches all incarnations `name#start` of a VM.
     ///
     /// # Example
     ///
@@ -83,7 +85,7 @@
     /// ```
     pub fn blocks(&self, client: &str) -> bool {
         let name = client.split('#').next().unwrap_or(client);
-        self.down || self.partial.iter().any(|cut| cut == name)
+        self.down || self.partial.iter().any(|blocked| blocked == name)
     }
 }
 
@@ -91,9 +93,9 @@
 struct State {
     store: Store,
     list: IndexMap<String, Listing>,
-    history: VecDeque<(Duration, Vec<Listing>)>,
+    list_versions: VecDeque<(Duration, Vec<Listing>)>,
     faults: Faults,
-    lag_since: Duration,
+    lag_set_at: Duration,
     counts: IndexMap<String, u64>,
 }
 
@@ -104,20 +106,20 @@
     watches: Rc<Cell<u64>>,
 }
 
-/// Runs the platform on a listener for ever.
+/// Runs the platform on a listener forever.
 pub async fn run(listener: TcpListener) {
     let platform = Platform::default();
-    serve::run(listener, Duration::ZERO, move |request, _link| {
-        platform.clone().answer(request)
+    serve::run(listener, Duration::ZERO, move |request, _connection| {
+        platform.clone().handle(request)
     })
     .await;
 }
 
-/// Starts the platform on a free port of this runtime and returns its address.
+/// Starts the platform as a task of this runtime on a free port and returns its address.
 ///
 /// # Errors
 ///
-/// Fails when no port can be bound.
+/// Fails if no port can be bound.
 pub async fn spawn() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -126,7 +128,7 @@
 }
 
 impl Platform {
-    async fn answer(self, request: Request<Incoming>) -> Result<Response, CloseConnection> {
+    async fn handle(self, request: Request<Incoming>) -> Result<Response, CloseConnection> {
         let (parts, body) = request.into_parts();
         let body = body
             .collect()
@@ -135,36 +137,36 @@
             .to_bytes();
         let request = Request::from_parts(parts, body);
         if !request.uri().path().starts_with("/v1/") {
-            return Ok(self.control(&request));
+            return Ok(self.handle_control(&request));
         }
         let client = serve::header(&request, FROM).unwrap_or("").to_owned();
-        self.pass(&client)?;
-        self.wait(|faults| faults.delay_ms).await;
-        self.pass(&client)?;
-        self.count(kind(&request));
+        self.check_reachable(&client)?;
+        self.delay(|faults| faults.delay_ms).await;
+        self.check_reachable(&client)?;
+        self.count_call(kind(&request));
         if request.uri().path() == "/v1/watch" {
-            return self.watch(&request, &client).await;
+            return self.handle_watch(&request, &client).await;
         }
-        let response = self.call(&request);
+        let response = self.handle_call(&request);
         if request.method() != Method::GET && response.status().is_success() {
-            self.keep_answer()?;
+            self.check_response_kept()?;
         }
-        self.wait(|faults| faults.answer_delay_ms).await;
-        self.pass(&client)?;
+        self.delay(|faults| faults.answer_delay_ms).await;
+        self.check_reachable(&client)?;
         Ok(response)
     }
 
-    /// Fails while the client is cut off.
-    fn pass(&self, client: &str) -> Result<(), CloseConnection> {
+    /// Fails if calls of the client are to fail.
+    fn check_reachable(&self, client: &str) -> Result<(), CloseConnection> {
         if !self.state.borrow().faults.blocks(client) {
             return Ok(());
         }
-        self.count("cut");
+        self.count_call("cut");
         Err(CloseConnection)
     }
 
-    /// Fails while answers to writes are to be lost.
-    fn keep_answer(&self) -> Result<(), CloseConnection> {
+    /// Fails if the response to a write is to be lost, and uses up one count.
+    fn check_response_kept(&self) -> Result<(), CloseConnection> {
         let faults = &mut self.state.borrow_mut().faults;
         if faults.lose_answers == 0 {
             return Ok(());
@@ -173,7 +175,7 @@
         Err(CloseConnection)
     }
 
-    async fn wait<F>(&self, span: F)
+    async fn delay<F>(&self, span: F)
     where
         F: Fn(&Faults) -> u64,
     {
@@ -183,20 +185,20 @@
         }
     }
 
-    fn count(&self, kind: &str) {
+    fn count_call(&self, kind: &str) {
         let counts = &mut self.state.borrow_mut().counts;
         *counts.entry(kind.to_owned()).or_default() += 1;
     }
 
-    /// Answers a call on the service that neither waits nor fails.
-    fn call(&self, request: &Request<Bytes>) -> Response {
+    /// Handles a call other than a watch, without faults.
+    fn handle_call(&self, request: &Request<Bytes>) -> Response {
         let path = request.uri().path();
         let now = clock::now();
         if let Some(key) = path.strip_prefix("/v1/kv/") {
-            return self.value(now, &decode(key), request);
+            return self.handle_value(now, &decode(key), request);
         }
         if let Some(id) = path.strip_prefix("/v1/lease/") {
-            return self.lease(now, &decode(id), request);
+            return self.handle_lease(now, &decode(id), request);
         }
         let query = serve::query(request.uri());
         match (request.method().as_str(), path) {
@@ -222,7 +224,7 @@
         }
     }
 
-    fn value(&self, now: Duration, key: &str, request: &Request<Bytes>) -> Response {
+    fn handle_value(&self, now: Duration, key: &str, request: &Request<Bytes>) -> Response {
         let store = &mut self.state.borrow_mut().store;
         if request.method() == Method::GET {
             let Some(item) = store.get(now, key) else {
@@ -237,19 +239,19 @@
             return serve::empty(StatusCode::BAD_REQUEST);
         };
         match *request.method() {
-            Method::PUT if request.body().len() > VALUE_LIMIT => {
+            Method::PUT if request.body().len() > MAX_VALUE_BYTES => {
                 serve::empty(StatusCode::PAYLOAD_TOO_LARGE)
             }
             Method::PUT => {
                 let lease = serve::header(request, "Lease");
-                written(store.put(now, key, request.body().to_vec(), expected, lease))
+                write_response(store.put(now, key, request.body().to_vec(), expected, lease))
             }
-            Method::DELETE => written(store.delete(now, key, expected).map(|()| 0)),
+            Method::DELETE => write_response(store.delete(now, key, expected).map(|()| 0)),
             _ => serve::empty(StatusCode::METHOD_NOT_ALLOWED),
         }
     }
 
-    fn lease(&self, now: Duration, path: &str, request: &Request<Bytes>) -> Response {
+    fn handle_lease(&self, now: Duration, path: &str, request: &Request<Bytes>) -> Response {
         let store = &mut self.state.borrow_mut().store;
         match (request.method().as_str(), path.strip_suffix("/renew")) {
             ("POST", Some(id)) if store.renew(now, id) => serve::empty(StatusCode::OK),
@@ -261,7 +263,7 @@
         }
     }
 
-    async fn watch(
+    async fn handle_watch(
         &self,
         request: &Request<Bytes>,
         client: &str,
@@ -270,7 +272,7 @@
         let prefix = query.get("prefix").map_or("", String::as_str);
         let since = query.get("since").and_then(|text| text.parse().ok());
         let since = since.unwrap_or(0);
-        let end = clock::now() + WATCH_WAIT;
+        let end = clock::now() + WATCH_TIMEOUT;
         self.watches.set(self.watches.get() + 1);
         let page = loop {
             let now = clock::now();
@@ -281,14 +283,14 @@
             if !page.keys.is_empty() || now >= end {
                 break Ok(page);
             }
-            compio::time::sleep(WATCH_STEP).await;
+            compio::time::sleep(WATCH_POLL).await;
         };
         self.watches.set(self.watches.get() - 1);
         page.map(|page| serve::json(StatusCode::OK, &page))
     }
 
-    /// Answers what only tests ask: faults, the real list, the counts.
-    fn control(&self, request: &Request<Bytes>) -> Response {
+    /// Handles the calls that only tests make: set faults, edit the list, read the call counts.
+    fn handle_control(&self, request: &Request<Bytes>) -> Response {
         let path = request.uri().path();
         let body = request.body();
         let state = &mut *self.state.borrow_mut();
@@ -299,12 +301,12 @@
                 };
                 listing.name = decode(name);
                 state.list.insert(listing.name.clone(), listing);
-                state.keep_history();
+                state.record_list();
                 serve::empty(StatusCode::OK)
             }
             ("DELETE", Some(name)) => {
                 state.list.shift_remove(&decode(name));
-                state.keep_history();
+                state.record_list();
                 serve::empty(StatusCode::OK)
             }
             ("POST", None) if path == "/fault" => match serde_json::from_slice(body) {
@@ -323,31 +325,31 @@
 impl State {
     fn set_faults(&mut self, faults: Faults) {
         if faults.list_lag_ms != self.faults.list_lag_ms {
-            self.lag_since = clock::now();
+            self.lag_set_at = clock::now();
         }
         self.faults = faults;
     }
 
-    fn keep_history(&mut self) {
+    fn record_list(&mut self) {
         let list = self.list.values().cloned().collect();
-        self.history.push_back((clock::now(), list));
-        if self.history.len() > LIST_HISTORY {
-            self.history.pop_front();
+        self.list_versions.push_back((clock::now(), list));
+        if self.list_versions.len() > MAX_LIST_VERSIONS {
+            self.list_versions.pop_front();
         }
     }
 
     fn lagging_list(&self, now: Duration) -> Vec<Listing> {
         let lag = Duration::from_millis(self.faults.list_lag_ms);
-        let at = now.saturating_sub(lag).max(self.lag_since.min(now));
-        let mut states = self.history.iter().rev();
+        let view_time = now.saturating_sub(lag).max(self.lag_set_at.min(now));
+        let mut states = self.list_versions.iter().rev();
         states
-            .find(|(since, _)| *since <= at)
+            .find(|(since, _)| *since <= view_time)
             .map(|(_, list)| list.clone())
             .unwrap_or_default()
     }
 }
 
-/// Returns the kind under which a call is counted.
+/// Returns the kind of a call for the counts.
 fn kind(request: &Request<Bytes>) -> &'static str {
     let path = request.uri().path();
     let kinds = [
@@ -367,7 +369,7 @@
         .map_or("other", |(_, _, kind)| kind)
 }
 
-fn written(result: Result<u64, Refusal>) -> Response {
+fn write_response(result: Result<u64, Refusal>) -> Response {
     match result {
         Ok(version) => {
             let mut response = serve::empty(StatusCode::OK);
--- a/standins/src/services.rs
+++ b/standins/src/services.rs
@@ -1,4 +1,4 @@
-//! Services set up on a fleet, and the traffic of their callers.
+//! Sets up services on a fleet and generates the traffic of their callers.
 
 use std::{
     cell::Cell,
@@ -18,16 +18,16 @@
     fleet::{self, Fleet},
 };
 
-/// How often keys are asked while their services come up.
+/// The interval between checks while services start or requests complete.
 const READY_POLL: Duration = Duration::from_millis(100);
-/// How long the answers to the last requests may take.
-const LAST_ANSWERS: Duration = Duration::from_mins(1);
+/// How long to wait for requests in flight after traffic has been stopped.
+const STOP_TIMEOUT: Duration = Duration::from_mins(1);
 
 quick_error! {
     /// Why a service could not be set up.
     #[derive(Debug)]
     pub enum Error {
-        /// A step with the fleet failed.
+        /// An operation on the fleet failed.
         Fleet(cause: fleet::Error) {
             from()
             display("{cause}")
@@ -38,9 +38,9 @@
             display("{}: {cause}", path.display())
             source(cause)
         }
-        /// The operator's command refused a document.
-        Refused(service: String, said: String) {
-            display("document {service} refused: {said}")
+        /// The operator's command rejected a document; carries its output.
+        Refused(service: String, printed: String) {
+            display("document {service} refused: {printed}")
         }
         /// A key was not served in time.
         NotServed(service: String, key: String, reason: String) {
@@ -49,20 +49,20 @@
     }
 }
 
-/// How targets are started.
+/// Options for starting the targets of a document.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The mean time of work.
+    /// The mean processing time in milliseconds.
     pub work_ms: u64,
-    /// Whether a forwarder stands before each target.
+    /// Whether each target gets a forwarder in front of it.
     pub forwarded: bool,
 }
 
-/// Starts the targets of a document and returns it with their real addresses.
+/// Starts the targets of a document and returns it with their actual addresses.
 ///
 /// # Errors
 ///
-/// Fails when the document can't be read or a target can't be started.
+/// Fails if the document can't be read or a target can't be started.
 pub async fn start(fleet: &mut Fleet, path: &Path, setup: &Setup) -> Result<Document, Error> {
     let loaded = Document::load(path);
     let mut document = loaded.map_err(|cause| Error::File(path.to_owned(), cause))?;
@@ -77,11 +77,12 @@
     Ok(document)
 }
 
-/// Puts a document with the operator's command of a VM, and notes its version.
+/// Uploads a document with the operator's command, using the settings of a VM, and stores the new
+/// version in the document.
 ///
 /// # Errors
 ///
-/// Fails when the command refuses it; the error carries what it said.
+/// Fails if the command rejects it; the error carries the command's output.
 pub async fn put(fleet: &Fleet, vm: &str, document: &mut Document) -> Result<(), Error> {
     let path = fleet.dir().join(format!("{}.ini", document.service));
     let text = document.text().and_then(|text| fs::write(&path, text));
@@ -99,14 +100,14 @@
             Ok(())
         }
         _ => {
-            let said = [output.stdout, output.stderr].concat();
-            let said = String::from_utf8_lossy(&said).into_owned();
-            Err(Error::Refused(document.service.clone(), said))
+            let printed = [output.stdout, output.stderr].concat();
+            let printed = String::from_utf8_lossy(&printed).into_owned();
+            Err(Error::Refused(document.service.clone(), printed))
         }
     }
 }
 
-/// Returns the names of `count` keys of a service.
+/// Returns `count` key names for a service.
 ///
 /// # Example
 ///
@@ -120,18 +121,18 @@
     names.collect()
 }
 
-/// Waits until each key has been served.
+/// Waits until each key has been served once.
 ///
 /// # Errors
 ///
-/// Fails when one is not served in time.
+/// Fails if a key is not served before the timeout.
 pub async fn wait_ready(
     callers: &Callers,
     service: &str,
     keys: &[String],
-    span: Duration,
+    timeout: Duration,
 ) -> Result<(), Error> {
-    let end = clock::now() + span;
+    let end = clock::now() + timeout;
     for key in keys {
         loop {
             let sample = callers.look_up(service, key).await;
@@ -148,16 +149,16 @@
     Ok(())
 }
 
-/// Traffic that goes on until it is stopped; each request starts on time, whether or not the ones
-/// before it have been answered.
+/// Open-loop traffic that runs until it is stopped: each request starts on schedule, whether or not
+/// earlier ones have completed.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     stopped: Rc<Cell<bool>>,
-    open: Rc<Cell<usize>>,
+    in_flight: Rc<Cell<usize>>,
 }
 
 impl Traffic {
-    /// Starts a request every `period`; `request` makes each from its number.
+    /// Starts a request every `period`; `request` creates each one from its sequence number.
     pub fn every<F, G>(&self, period: Duration, request: F)
     where
         F: Fn(usize) -> G + 'static,
@@ -170,7 +171,7 @@
                 if traffic.stopped.get() {
                     return;
                 }
-                traffic.request(request(number));
+                traffic.spawn(request(number));
                 due += period;
                 compio::time::sleep(due.saturating_sub(clock::now())).await;
             }
@@ -178,31 +179,30 @@
         .detach();
     }
 
-    fn request<G>(&self, request: G)
+    fn spawn<G>(&self, request: G)
     where
         G: Future<Output = ()> + 'static,
     {
-        let open = Rc::clone(&self.open);
-        open.set(open.get() + 1);
+        let in_flight = Rc::clone(&self.in_flight);
+        in_flight.set(in_flight.get() + 1);
         runtime::spawn(async move {
             request.await;
-            open.set(open.get() - 1);
+            in_flight.set(in_flight.get() - 1);
         })
         .detach();
     }
 
-    /// Starts no more requests and waits, for a minute at the most, until those under way have
-    /// been answered.
+    /// Starts no more requests and waits up to a minute until those in flight have completed.
     pub async fn stop(&self) {
         self.stopped.set(true);
-        let end = clock::now() + LAST_ANSWERS;
-        while self.open.get() > 0 && clock::now() < end {
+        let end = clock::now() + STOP_TIMEOUT;
+        while self.in_flight.get() > 0 && clock::now() < end {
             compio::time::sleep(READY_POLL).await;
         }
     }
 }
 
-/// Looks each key up every `period`.
+/// Looks up each key every `period`.
 pub fn look_up_keys(
     traffic: &Traffic,
     callers: &Callers,
@@ -221,7 +221,7 @@
     }
 }
 
-/// Looks up one key after the other, one every `period`.
+/// Looks up the keys in turn, one every `period`.
 pub fn look_up_in_turn(
     traffic: &Traffic,
     callers: &Callers,
@@ -239,7 +239,7 @@
     });
 }
 
-/// Sends an order every `period`, for one key after the other.
+/// Sends an order every `period`, for the keys in turn.
 pub fn order_keys(
     traffic: &Traffic,
     callers: &Callers,
@@ -257,7 +257,7 @@
     });
 }
 
-/// Pulls a file of `size` bytes every `period`, for one key after the other.
+/// Downloads a file of `size` bytes every `period`, for the keys in turn.
 pub fn fetch_files(
     traffic: &Traffic,
     callers: &Callers,
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -1,55 +1,55 @@
-//! The key-value service's rules, free of I/O: compare-and-swap, leases, revisions.
+//! The rules of the platform's key-value store without I/O: compare-and-swap, leases and revisions.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// A value with its version and the lease that it hangs on.
+/// A value with its version and the lease that it is attached to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
     /// The value.
     pub value: Vec<u8>,
-    /// The store's revision at the write.
+    /// The store revision of the write.
     pub version: u64,
-    /// The lease whose end deletes it.
+    /// The lease whose end deletes the key.
     pub lease: Option<String>,
 }
 
-/// A key as lists and watches show it.
+/// A key in the response to a list or a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Listed {
     /// The key.
     pub key: String,
-    /// Its version; 0 when it is deleted.
+    /// The version; 0 if the key is deleted.
     pub version: u64,
 }
 
-/// The answer to a list or a watch.
+/// The response to a list or a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Page {
-    /// The store's revision.
+    /// The store revision.
     pub revision: u64,
     /// The keys.
     pub keys: Vec<Listed>,
 }
 
-/// Why a write did nothing.
+/// Why a write was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The key's version is another; here it is.
+    /// The key has this version instead of the expected one.
     Version(u64),
-    /// The lease is not live.
+    /// The lease doesn't exist or has expired.
     Lease,
 }
 
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    until: Duration,
+    expires_at: Duration,
 }
 
-/// The store.
+/// The key-value store.
 ///
 /// # Example
 ///
@@ -78,11 +78,11 @@
         self.items.get(key)
     }
 
-    /// Writes a value if the key's version is `expected`; 0 means that it must not exist.
+    /// Writes a value if the key's version is `expected`; 0 means that the key must not exist.
     ///
     /// # Errors
     ///
-    /// Fails on another version, or when the lease is not live; then nothing has changed.
+    /// Fails on another version, or if the lease is not live; nothing changes then.
     pub fn put(
         &mut self,
         now: Duration,
@@ -92,11 +92,11 @@
         lease: Option<&str>,
     ) -> Result<u64, Refusal> {
         self.expire(now);
-        self.check(key, expected)?;
+        self.check_version(key, expected)?;
         if lease.is_some_and(|id| !self.leases.contains_key(id)) {
             return Err(Refusal::Lease);
         }
-        let version = self.change(key);
+        let version = self.record_change(key);
         let lease = lease.map(str::to_owned);
         let item = Item {
             value,
@@ -111,12 +111,12 @@
     ///
     /// # Errors
     ///
-    /// Fails on another version; then nothing has changed.
+    /// Fails on another version; nothing changes then.
     pub fn delete(&mut self, now: Duration, key: &str, expected: u64) -> Result<(), Refusal> {
         self.expire(now);
-        self.check(key, expected)?;
+        self.check_version(key, expected)?;
         if self.items.shift_remove(key).is_some() {
-            self.change(key);
+            self.record_change(key);
         }
         Ok(())
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Lists the keys with a prefix that changed after a revision, deleted ones too.
+    /// Lists the keys with a prefix that changed after a revision, including deleted ones.
     pub fn changed(&mut self, now: Duration, prefix: &str, since: u64) -> Page {
         self.expire(now);
         let changes = self.changes.iter();
@@ -155,40 +155,40 @@
         }
     }
 
-    /// Opens a lease.
+    /// Creates a lease and returns its id.
     pub fn lease(&mut self, now: Duration, ttl: Duration) -> String {
         self.next_lease += 1;
         let id = format!("lease-{}", self.next_lease);
-        let until = now + ttl;
-        self.leases.insert(id.clone(), Lease { ttl, until });
+        let expires_at = now + ttl;
+        self.leases.insert(id.clone(), Lease { ttl, expires_at });
         id
     }
 
-    /// Renews a lease; returns whether it was still live.
+    /// Renews a lease and returns whether it was still live.
     pub fn renew(&mut self, now: Duration, id: &str) -> bool {
         self.expire(now);
         let Some(lease) = self.leases.get_mut(id) else {
             return false;
         };
-        lease.until = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         true
     }
 
-    /// Ends a lease and deletes its keys.
+    /// Revokes a lease and deletes its keys.
     pub fn revoke(&mut self, now: Duration, id: &str) {
         self.expire(now);
         self.end_lease(id);
     }
 
-    /// Ends the leases that have lapsed.
+    /// Ends all expired leases and deletes their keys.
     pub fn expire(&mut self, now: Duration) {
-        let lapsed: Vec<String> = self
+        let expired: Vec<String> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.until <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in lapsed {
+        for id in expired {
             self.end_lease(&id);
         }
     }
@@ -205,11 +205,11 @@
             .collect();
         for key in keys {
             self.items.shift_remove(&key);
-            self.change(&key);
+            self.record_change(&key);
         }
     }
 
-    fn check(&self, key: &str, expected: u64) -> Result<(), Refusal> {
+    fn check_version(&self, key: &str, expected: u64) -> Result<(), Refusal> {
         let version = self.items.get(key).map_or(0, |item| item.version);
         if version == expected {
             return Ok(());
@@ -217,7 +217,7 @@
         Err(Refusal::Version(version))
     }
 
-    fn change(&mut self, key: &str) -> u64 {
+    fn record_change(&mut self, key: &str) -> u64 {
         self.revision += 1;
         self.changes.insert(key.to_owned(), self.revision);
         self.revision
--- a/standins/src/target.rs
+++ b/standins/src/target.rs
@@ -1,4 +1,5 @@
-//! A target's stand-in: it holds grants, runs work in its slots, and fails on demand.
+//! A target's stand-in: a server that holds grants, runs requests in a limited number of slots, and
+//! shows faults that tests inject.
 
 use std::{cell::RefCell, io, path::PathBuf, rc::Rc, time::Duration};
 
@@ -20,28 +21,28 @@
     work,
 };
 
-/// What a target is started with.
+/// The configuration of a target.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Whether it checks grants.
+    /// Whether it rejects work that no grant covers.
     pub checks_grants: bool,
-    /// How many requests it runs at a time.
+    /// How many requests run concurrently.
     pub slots: usize,
-    /// How many requests wait for a slot before it sheds.
+    /// How many requests can be queued for a slot; further ones are rejected.
     pub queue: usize,
-    /// What each new connection costs, one after the other.
+    /// How long accepting a connection takes, during which no other is accepted.
     pub connect_cost: Duration,
-    /// The mean time of a request's work.
+    /// The mean processing time of a request.
     pub work_time: Duration,
-    /// Whether work takes an exponentially distributed time, or the same each time.
+    /// Whether processing times are exponentially distributed; otherwise all are equal.
     pub exponential: bool,
-    /// How long it is cold after its start.
+    /// How long the target is cold after its start.
     pub cold_time: Duration,
-    /// How much slower it works while it is cold.
+    /// The factor by which work takes longer while the target is cold.
     pub cold_factor: f64,
-    /// The file of its log.
+    /// The file for the log of runs, if one is written.
     pub log: Option<PathBuf>,
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// What the tasks of a target share.
+/// State shared by the tasks of a target.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) holder: Holder,
@@ -79,19 +80,19 @@
     pub(crate) config: Rc<Config>,
     pub(crate) boot: Rc<str>,
     pub(crate) state: Rc<RefCell<State>>,
-    origin: Duration,
+    started_at: Duration,
 }
 
-/// Runs a target on a listener for ever.
+/// Runs a target on a listener forever.
 ///
 /// # Errors
 ///
-/// Fails when its log can't be opened.
+/// Fails if the log can't be opened.
 pub async fn run(listener: TcpListener, config: Config) -> io::Result<()> {
     let target = Target::new(config)?;
     let cost = target.config.connect_cost;
-    serve::run(listener, cost, move |request, link| {
-        target.clone().answer(request, link)
+    serve::run(listener, cost, move |request, connection| {
+        target.clone().handle(request, connection)
     })
     .await;
     Ok(())
@@ -112,24 +113,24 @@
             config: Rc::new(config),
             boot: boot.into(),
             state: Rc::new(RefCell::new(state)),
-            origin: clock::now(),
+            started_at: clock::now(),
         })
     }
 
-    /// Returns the target's clock: the time since its start, freezes included.
+    /// Returns the target's clock: the time since its start, including time when it was frozen.
     pub(crate) fn now(&self) -> Duration {
-        clock::now().saturating_sub(self.origin)
+        clock::now().saturating_sub(self.started_at)
     }
 
-    /// Returns whether it is still cold.
+    /// Returns whether the target is still cold.
     pub(crate) fn is_cold(&self) -> bool {
         self.now() < self.config.cold_time
     }
 
-    async fn answer(
+    async fn handle(
         self,
         request: Request<Incoming>,
-        link: Connection,
+        connection: Connection,
     ) -> Result<Response, CloseConnection> {
         let (parts, body) = request.into_parts();
         let body = body
@@ -144,7 +145,7 @@
             return Ok(serve::empty(StatusCode::NO_CONTENT));
         }
         match (request.method().as_str(), path) {
-            ("POST", "/bramleypier/grant") => Ok(self.grant(request.body())),
+            ("POST", "/bramleypier/grant") => Ok(self.handle_grant(request.body())),
             ("GET", "/bramleypier/state") => {
                 Ok(serve::json(StatusCode::OK, &self.status(Vec::new())))
             }
@@ -153,15 +154,15 @@
                 let state = self.state.borrow();
                 Ok(serve::json(StatusCode::OK, &state.journal.runs()))
             }
-            _ => self.work(request, link).await,
+            _ => self.handle_work(request, connection).await,
         }
     }
 
-    /// Runs work in a task of its own, so that it goes on when the caller's connection closes.
-    async fn work(
+    /// Runs work in its own task, so that it continues if the caller closes the connection.
+    async fn handle_work(
         self,
         request: Request<Bytes>,
-        link: Connection,
+        connection: Connection,
     ) -> Result<Response, CloseConnection> {
         let size = request.body().len() as u64;
         self.state.borrow_mut().bytes_read += size;
@@ -171,15 +172,15 @@
             .faults
             .take(Fault::ResetBefore, request.method().as_str())
         {
-            link.reset();
+            connection.reset();
             return Err(CloseConnection);
         }
-        let (answer, answered) = oneshot::channel();
-        runtime::spawn(work::run(self, request, link, answer)).detach();
-        answered.await.unwrap_or(Err(CloseConnection))
+        let (sender, receiver) = oneshot::channel();
+        runtime::spawn(work::run(self, request, connection, sender)).detach();
+        receiver.await.unwrap_or(Err(CloseConnection))
     }
 
-    fn grant(&self, body: &Bytes) -> Response {
+    fn handle_grant(&self, body: &Bytes) -> Response {
         let Ok(grant) = serde_json::from_slice::<Grant>(body) else {
             return serve::empty(StatusCode::BAD_REQUEST);
         };
@@ -203,7 +204,7 @@
     fn status(&self, refused: Vec<EpochRange>) -> Status {
         let state = self.state.borrow();
         let phase = match &state.faults.health_lie {
-            Some(lie) => lie,
+            Some(phase) => phase,
             None if state.faults.drain => "draining",
             None if self.is_cold() => "cold",
             None => "ready",
--- a/standins/src/work.rs
+++ b/standins/src/work.rs
@@ -1,4 +1,4 @@
-//! One request's work at a target: wait for a slot, check the grant, run, answer.
+//! Processing of one request at a target: wait for a slot, check the grant, run, respond.
 
 use std::{future, pin::pin, process, time::Duration};
 
@@ -21,58 +21,64 @@
     target::Target,
 };
 
-/// The header that says whether work ran.
+/// The response header that says whether the request ran.
 pub const OUTCOME: &str = "Bramleypier-Outcome";
-/// The value of [`OUTCOME`] for work that did not start.
+/// The value of [`OUTCOME`] for a request that did not start.
 pub const NOT_RUN: &str = "not-run";
-/// The value of [`OUTCOME`] for work that was given up midway.
+/// The value of [`OUTCOME`] for a request that was cancelled or expired while it ran.
 pub const UNKNOWN: &str = "unknown";
-/// The header that sets the time of this request's work.
+/// The request header that sets the mean processing time of this request, in milliseconds.
 pub const WORK_MS: &str = "Standin-Work-Ms";
 
-/// The body of an answer to work, by which a caller tells that it is its own.
+/// The response body, from which a caller can tell that the response belongs to its request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Echo {
-    /// The target.
+    /// The name of the target.
     pub target: String,
     /// The key.
     pub key: String,
-    /// The caller's id.
+    /// The caller's idempotency key.
     pub idempotency: String,
     /// The path with its query.
     pub path: String,
-    /// How many bytes the request's body had.
+    /// The size of the request body in bytes.
     pub bytes: usize,
 }
 
-type Answer = oneshot::Sender<Result<Response, CloseConnection>>;
+type ResponseSender = oneshot::Sender<Result<Response, CloseConnection>>;
 
-/// A request's headers as its work needs them.
+/// The parsed headers of a request.
 struct Job {
     run: Run,
     deadline: Option<Duration>,
-    kill: bool,
+    aborts: bool,
 }
 
-/// Runs one request and sends its answer.
-pub(crate) async fn run(target: Target, request: Request<Bytes>, link: Connection, answer: Answer) {
-    let job = job(&target, &request);
+/// Processes one request and sends its response.
+pub(crate) async fn run(
+    target: Target,
+    request: Request<Bytes>,
+    connection: Connection,
+    sender: ResponseSender,
+) {
+    let job = parse_job(&target, &request);
     let (cancel, mut cancelled) = oneshot::channel();
     let id = cancel_id(&job);
     target.state.borrow_mut().cancels.insert(id.clone(), cancel);
     if let Err(refusal) = wait_slot(&target, &job, &mut cancelled).await {
         target.state.borrow_mut().cancels.swap_remove(&id);
-        drop(answer.send(Ok(refusal)));
+        drop(sender.send(Ok(refusal)));
         return;
     }
-    in_slot(&target, &request, &link, job, cancelled, answer).await;
+    run_in_slot(&target, &request, &connection, job, cancelled, sender).await;
     let state = &mut *target.state.borrow_mut();
     state.cancels.swap_remove(&id);
     state.slots.release();
 }
 
-/// Returns the id under which a request can be cancelled; one without an id never can be.
+/// Returns the id under which a request can be cancelled: its attempt id, or a random one that no
+/// caller knows.
 fn cancel_id(job: &Job) -> String {
     match job.run.request.as_str() {
         "" => Uuid::now_v7().to_string(),
@@ -80,7 +86,7 @@
     }
 }
 
-fn job(target: &Target, request: &Request<Bytes>) -> Job {
+fn parse_job(target: &Target, request: &Request<Bytes>) -> Job {
     let text = |name: &str| serve::header(request, name).unwrap_or("").to_owned();
     let number = |name: &str| serve::header(request, name).and_then(|text| text.parse().ok());
     let run = Run {
@@ -98,34 +104,34 @@
         path: request.uri().to_string(),
         ..Run::default()
     };
-    let left = number("Bramleypier-Deadline").map(Duration::from_millis);
+    let remaining = number("Bramleypier-Deadline").map(Duration::from_millis);
     let kill_key = &target.state.borrow().faults.kill_key;
     Job {
-        kill: kill_key.as_ref().is_some_and(|key| *key == run.key),
-        deadline: left.map(|left| clock::now() + left),
+        aborts: kill_key.as_ref().is_some_and(|key| *key == run.key),
+        deadline: remaining.map(|remaining| clock::now() + remaining),
         run,
     }
 }
 
-/// Waits for a slot; fails with the refusal of what never started.
+/// Waits for a slot; fails with the response to a request that can't start.
 async fn wait_slot(
     target: &Target,
     job: &Job,
     cancelled: &mut oneshot::Receiver<()>,
 ) -> Result<(), Response> {
-    let place = {
+    let admission = {
         let state = &mut *target.state.borrow_mut();
         if state.faults.shed || state.faults.drain {
             return Err(refusal(StatusCode::SERVICE_UNAVAILABLE));
         }
         state.slots.acquire()
     };
-    match place {
+    match admission {
         Admission::Slot => Ok(()),
         Admission::Full => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
-        Admission::Queued(turn) => {
-            let gone = pin!(cancelled_or_expired(job.deadline, cancelled));
-            match select(turn, gone).await {
+        Admission::Queued(admitted) => {
+            let cancelled_or_expired = pin!(cancelled_or_expired(job.deadline, cancelled));
+            match select(admitted, cancelled_or_expired).await {
                 Either::Left(_) => Ok(()),
                 Either::Right(_) => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
             }
@@ -133,7 +139,7 @@
     }
 }
 
-/// Waits until a request is cancelled or its deadline has passed.
+/// Waits until the request is cancelled or its deadline has passed.
 async fn cancelled_or_expired(
     deadline: Option<Duration>,
     cancelled: &mut oneshot::Receiver<()>,
@@ -152,72 +158,80 @@
     }
 }
 
-/// Checks and runs a request that has its slot.
-async fn in_slot(
+/// Checks the deadline and the grant of a request that has a slot, and runs it.
+async fn run_in_slot(
     target: &Target,
     request: &Request<Bytes>,
-    link: &Connection,
+    connection: &Connection,
     mut job: Job,
     mut cancelled: oneshot::Receiver<()>,
-    answer: Answer,
+    sender: ResponseSender,
 ) {
     let expired = job
         .deadline
         .is_some_and(|deadline| deadline <= clock::now());
     if expired {
-        drop(answer.send(Ok(refusal(StatusCode::SERVICE_UNAVAILABLE))));
+        drop(sender.send(Ok(refusal(StatusCode::SERVICE_UNAVAILABLE))));
         return;
     }
-    // The grant counts as the work starts, not as the request arrived.
-    if target.config.checks_grants && !admitted(target, &job.run) {
-        drop(answer.send(Ok(refusal(StatusCode::MISDIRECTED_REQUEST))));
+    // A grant that was valid on arrival may have expired in the queue, so it is checked here.
+    if target.config.checks_grants && !is_granted(target, &job.run) {
+        drop(sender.send(Ok(refusal(StatusCode::MISDIRECTED_REQUEST))));
         return;
     }
     job.run.started_ms = clock::millis(clock::now());
-    let Some(number) = start(target, &job.run) else {
-        drop(answer.send(Ok(refusal(StatusCode::SERVICE_UNAVAILABLE))));
+    let Some(number) = record_start(target, &job.run) else {
+        drop(sender.send(Ok(refusal(StatusCode::SERVICE_UNAVAILABLE))));
         return;
     };
-    if job.kill {
+    if job.aborts {
         process::abort();
     }
-    let mut answer = Some(answer);
-    let end = perform(target, request, link, &job, &mut cancelled, &mut answer).await;
-    finish(target, number, end);
-    if let Some(answer) = answer {
-        drop(answer.send(reply(target, request, link, &job.run, end)));
+    let mut sender = Some(sender);
+    let end = perform(
+        target,
+        request,
+        connection,
+        &job,
+        &mut cancelled,
+        &mut sender,
+    )
+    .await;
+    record_end(target, number, end);
+    if let Some(sender) = sender {
+        drop(sender.send(run_response(target, request, connection, &job.run, end)));
     }
 }
 
-fn admitted(target: &Target, run: &Run) -> bool {
+fn is_granted(target: &Target, run: &Run) -> bool {
     let state = target.state.borrow();
     state.holder.admits(target.now(), run.hash, run.epoch)
 }
 
-fn start(target: &Target, run: &Run) -> Option<u64> {
+fn record_start(target: &Target, run: &Run) -> Option<u64> {
     let state = &mut *target.state.borrow_mut();
     let number = state.journal.start(run.clone()).ok()?;
     state.holder.start(number, run.hash, run.epoch);
     Some(number)
 }
 
-fn finish(target: &Target, number: u64, end: End) {
+fn record_end(target: &Target, number: u64, end: End) {
     let state = &mut *target.state.borrow_mut();
     state.holder.end(number);
     let now = clock::millis(clock::now());
     drop(state.journal.end(number, now, end));
 }
 
-/// Spends the time of the work, or less when it is given up.
+/// Spends the processing time of the request, or less if it is cancelled or expires.
 async fn perform(
     target: &Target,
     request: &Request<Bytes>,
-    link: &Connection,
+    connection: &Connection,
     job: &Job,
     cancelled: &mut oneshot::Receiver<()>,
-    answer: &mut Option<Answer>,
+    sender: &mut Option<ResponseSender>,
 ) -> End {
-    let span = work_time(target, request);
+    let duration = work_time(target, request);
     let take = |fault| {
         let faults = &mut target.state.borrow_mut().faults;
         faults.take(fault, request.method().as_str())
@@ -225,50 +239,50 @@
     let hangs = take(Fault::Hang);
     let resets = take(Fault::ResetDuring);
     let work = pin!(async {
-        compio::time::sleep(span / 2).await;
-        if resets && let Some(answer) = answer.take() {
-            link.reset();
-            drop(answer.send(Err(CloseConnection)));
+        compio::time::sleep(duration / 2).await;
+        if resets && let Some(sender) = sender.take() {
+            connection.reset();
+            drop(sender.send(Err(CloseConnection)));
         }
-        compio::time::sleep(span / 2).await;
+        compio::time::sleep(duration / 2).await;
         if hangs {
             future::pending::<()>().await;
         }
     });
     let deadline = if hangs { None } else { job.deadline };
-    let gone = pin!(cancelled_or_expired(deadline, cancelled));
-    match select(work, gone).await {
+    let cancelled_or_expired = pin!(cancelled_or_expired(deadline, cancelled));
+    match select(work, cancelled_or_expired).await {
         Either::Left(_) => End::Done,
         Either::Right((end, _)) => end,
     }
 }
 
 fn work_time(target: &Target, request: &Request<Bytes>) -> Duration {
-    let named = serve::header(request, WORK_MS).and_then(|text| text.parse().ok());
-    let mean = named.map_or(target.config.work_time, Duration::from_millis);
+    let requested = serve::header(request, WORK_MS).and_then(|text| text.parse().ok());
+    let mean = requested.map_or(target.config.work_time, Duration::from_millis);
     let mut factor = target.state.borrow().faults.slow_factor.unwrap_or(1.0);
     if target.is_cold() {
         factor *= target.config.cold_factor;
     }
     if target.config.exponential {
-        let chance: f64 = rand::rng().random();
-        factor *= -(1.0 - chance).ln();
+        let sample: f64 = rand::rng().random();
+        factor *= -(1.0 - sample).ln();
     }
     mean.mul_f64(factor)
 }
 
-/// Returns the answer to work that started.
-fn reply(
+/// Returns the response to a request that started.
+fn run_response(
     target: &Target,
     request: &Request<Bytes>,
-    link: &Connection,
+    connection: &Connection,
     run: &Run,
     end: End,
 ) -> Result<Response, CloseConnection> {
     let method = run.method.as_str();
     let take = |fault| target.state.borrow_mut().faults.take(fault, method);
     if take(Fault::ResetAfter) {
-        link.reset();
+        connection.reset();
         return Err(CloseConnection);
     }
     if end != End::Done {
@@ -276,18 +290,18 @@
         set_outcome(&mut response, UNKNOWN);
         return Ok(response);
     }
-    let mut payload = payload(request, run);
+    let mut body = response_body(request, run);
     if take(Fault::CutBody) {
-        payload = payload.truncated();
+        body = body.truncated();
     }
-    let mut response = Response::new(payload);
+    let mut response = Response::new(body);
     if take(Fault::WrongStatus) {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
     Ok(response)
 }
 
-fn payload(request: &Request<Bytes>, run: &Run) -> Payload {
+fn response_body(request: &Request<Bytes>, run: &Run) -> Payload {
     let query = serve::query(request.uri());
     let size = query.get("bytes").and_then(|text| text.parse().ok());
     if let Some(size) = size.filter(|_| request.uri().path().ends_with("/file")) {
@@ -303,7 +317,7 @@
     Payload::whole(serde_json::to_vec(&echo).unwrap_or_default())
 }
 
-/// Returns an answer for work that did not start.
+/// Returns the response to a request that did not start.
 fn refusal(status: StatusCode) -> Response {
     let mut response = serve::empty(status);
     set_outcome(&mut response, NOT_RUN);
