--- a/standins/tests/audit.rs
+++ b/standins/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The audit's findings, as a table of what callers were told and what targets ran.
+//! Tables of what callers were told and what targets ran, with the findings that the audit reports.
 
 use bramleypier_standins::{
     audit::{self, Call, Findings, ReportedOutcome},
@@ -16,9 +16,13 @@
 }
 
 fn run(id: &str, started_ms: u64) -> Run {
-    let tagged = id.starts_with("look");
+    let is_look_up = id.starts_with("look");
     Run {
-        idempotency: if tagged { String::new() } else { id.to_owned() },
+        idempotency: if is_look_up {
+            String::new()
+        } else {
+            id.to_owned()
+        },
         path: format!("/status?tag={id}"),
         key: "key".to_owned(),
         boot: "boot".to_owned(),
@@ -28,7 +32,7 @@
     }
 }
 
-fn held(boot: &str, epoch: u64, started_ms: u64) -> Run {
+fn run_at(boot: &str, epoch: u64, started_ms: u64) -> Run {
     Run {
         boot: boot.to_owned(),
         epoch,
@@ -36,8 +40,8 @@
     }
 }
 
-/// Names the lists that are not empty.
-fn names(findings: &Findings) -> String {
+/// Returns the names of the lists that are not empty.
+fn finding_names(findings: &Findings) -> String {
     let lists = [
         ("doubled", &findings.doubled),
         ("lost", &findings.lost),
@@ -57,12 +61,12 @@
     let table = [
         ("ran once", vec![("o", 1, Ran)], vec![("o", 2)], ""),
         (
-            "no answer, ran",
+            "no response, ran",
             vec![("o", 1, Unknown)],
             vec![("o", 2)],
             "",
         ),
-        ("no answer, not ran", vec![("o", 1, Unknown)], vec![], ""),
+        ("no response, not run", vec![("o", 1, Unknown)], vec![], ""),
         ("refused", vec![("o", 1, NotRun)], vec![], ""),
         (
             "order twice",
@@ -90,43 +94,43 @@
             "untrue",
         ),
         (
-            "refused, sent again",
+            "refused, retried",
             vec![("o", 1, NotRun), ("o", 5, Ran)],
             vec![("o", 6)],
             "",
         ),
         (
-            "refused, ran, sent again",
+            "refused, ran, retried",
             vec![("o", 1, NotRun), ("o", 5, Ran)],
             vec![("o", 3)],
             "untrue",
         ),
         (
-            "ran, then told refused",
+            "ran, retry refused",
             vec![("o", 1, Unknown), ("o", 5, NotRun)],
             vec![("o", 3)],
             "untrue",
         ),
         (
-            "look-up ran, the same again refused",
+            "look-up ran, retry refused",
             vec![("look", 1, Unknown), ("look", 5, NotRun)],
             vec![("look", 3)],
             "",
         ),
         (
-            "first runs as second is refused",
+            "first attempt runs after the retry is refused",
             vec![("o", 1, Unknown), ("o", 5, NotRun)],
             vec![("o", 6)],
             "",
         ),
         (
-            "both refused, ran",
+            "both attempts refused, ran",
             vec![("o", 1, NotRun), ("o", 5, NotRun)],
             vec![("o", 6)],
             "untrue",
         ),
         (
-            "order sent again, ran again",
+            "order retried, ran twice",
             vec![("o", 1, Unknown), ("o", 5, Ran)],
             vec![("o", 2), ("o", 6)],
             "doubled",
@@ -138,18 +142,22 @@
             .map(|(id, at, reported)| call(id, *at, *reported))
             .collect();
         let runs: Vec<Run> = runs.iter().map(|(id, at)| run(id, *at)).collect();
-        assert_eq!(names(&audit::audit(&calls, &runs)), expected, "{name}");
+        assert_eq!(
+            finding_names(&audit::audit(&calls, &runs)),
+            expected,
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn unsound_answers() {
-    let cut = Call {
+    let truncated = Call {
         sound: false,
         ..call("o", 1, ReportedOutcome::Ran)
     };
-    let findings = audit::audit(&[cut], &[run("o", 2)]);
-    assert_eq!(names(&findings), "unsound");
+    let findings = audit::audit(&[truncated], &[run("o", 2)]);
+    assert_eq!(finding_names(&findings), "unsound");
 }
 
 #[test]
@@ -158,12 +166,12 @@
         ("one owner", vec![("a", 1, 10), ("a", 1, 20)], ""),
         ("a move", vec![("a", 1, 10), ("b", 2, 20)], ""),
         (
-            "a move and back",
+            "a move there and back",
             vec![("a", 1, 10), ("b", 2, 20), ("a", 3, 30)],
             "",
         ),
         (
-            "old owner goes on",
+            "old owner continues",
             vec![("a", 1, 10), ("b", 2, 20), ("a", 1, 30)],
             "two-owners",
         ),
@@ -173,7 +181,7 @@
             "two-owners",
         ),
         (
-            "one epoch, two starts of a target",
+            "one epoch, two incarnations of a target",
             vec![("a#1", 1, 10), ("a#2", 1, 20)],
             "two-owners",
         ),
@@ -185,8 +193,10 @@
         ),
     ];
     for (name, runs, expected) in table {
-        let runs = runs.iter().map(|(boot, epoch, at)| held(boot, *epoch, *at));
+        let runs = runs
+            .iter()
+            .map(|(boot, epoch, at)| run_at(boot, *epoch, *at));
         let runs: Vec<Run> = runs.collect();
-        assert_eq!(names(&audit::audit(&[], &runs)), expected, "{name}");
+        assert_eq!(finding_names(&audit::audit(&[], &runs)), expected, "{name}");
     }
 }
--- a/standins/tests/contract.rs
+++ b/standins/tests/contract.rs
@@ -1,4 +1,4 @@
-//! bramleypier's own clients against the stand-ins: both sides of `docs/CONTRACTS.md`.
+//! Runs bramleypier's clients against the stand-ins, which covers both sides of `docs/CONTRACTS.md`.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,7 +20,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Bytes;
 
-const SPAN: Duration = Duration::from_secs(2);
+const TIMEOUT: Duration = Duration::from_secs(2);
 
 struct Service {
     address: SocketAddr,
@@ -36,7 +36,7 @@
 }
 
 impl Service {
-    async fn set(&self, faults: Faults) {
+    async fn set_faults(&self, faults: Faults) {
         let body = serde_json::to_vec(&faults).unwrap();
         let address = self.address.to_string();
         let reply = Client::default().post(&address, "/fault", &[], body).await;
@@ -79,9 +79,9 @@
     assert_eq!(service.read("group/a").await, None);
 }
 
-/// Each key must be told apart from the others, whatever it is made of.
+/// Keys must stay distinct whatever characters they contain, such as `#`, `?`, `%` and `/`.
 #[compio::test]
-async fn keys_of_any_letters() {
+async fn keys_with_any_characters() {
     let service = service().await;
     let keys = [
         "vm-1", "vm-1#1", "vm-1#2", "vm 1", "vm-1?x=1", "vm%2D1", "vm/1", "ñandú",
@@ -121,16 +121,16 @@
         .iter()
         .map(|key| (key.key.as_str(), key.version))
         .collect();
-    assert_eq!(changed, [("session/a", 0)], "the lease lapsed");
+    assert_eq!(changed, [("session/a", 0)], "the lease has expired");
     assert!(!client.renew(&lease).await.unwrap());
-    let late = client.put_leased("session/a", &lease, value("1")).await;
-    assert!(late.is_err(), "{late:?}");
+    let expired = client.put_leased("session/a", &lease, value("1")).await;
+    assert!(expired.is_err(), "{expired:?}");
     assert_eq!(service.read("session/a").await, None);
 }
 
 #[compio::test]
 async fn faults() {
-    // The fault, what the caller is told of a write, whether the write is there afterwards.
+    // The fault, the result of a write at the client, and whether the value is stored afterwards.
     let table = [
         ("none", Faults::default(), "won", true),
         (
@@ -143,7 +143,7 @@
             false,
         ),
         (
-            "cut off",
+            "this client blocked",
             Faults {
                 partial: vec!["vm-1".into()],
                 ..Faults::default()
@@ -152,7 +152,7 @@
             false,
         ),
         (
-            "another is cut off",
+            "another client blocked",
             Faults {
                 partial: vec!["vm-2".into()],
                 ..Faults::default()
@@ -161,7 +161,7 @@
             true,
         ),
         (
-            "answer lost",
+            "response lost",
             Faults {
                 lose_answers: 1,
                 ..Faults::default()
@@ -170,7 +170,7 @@
             true,
         ),
         (
-            "slow answer",
+            "slow response",
             Faults {
                 answer_delay_ms: 3_000,
                 ..Faults::default()
@@ -190,16 +190,16 @@
     ];
     for (name, faults, expected, written) in table {
         let service = service().await;
-        service.set(faults).await;
-        let told = match service.client.put("k", 0, value("1")).await {
+        service.set_faults(faults).await;
+        let result = match service.client.put("k", 0, value("1")).await {
             Ok(Put::Won(_)) => "won",
             Ok(Put::Lost(_)) => "lost",
             Err(Error::Failed(..)) => "failed",
             Err(Error::Doubt(..)) => "doubt",
         };
-        // A write may always be called doubtful, but never failed when it is there.
-        assert_eq!(told, expected, "{name}");
-        service.set(Faults::default()).await;
+        // A write may be reported as doubtful at any time, but never as failed if it took effect.
+        assert_eq!(result, expected, "{name}");
+        service.set_faults(Faults::default()).await;
         assert_eq!(service.read("k").await.is_some(), written, "{name}");
     }
 }
@@ -241,11 +241,11 @@
         key: key.to_owned(),
         point: key::point(key),
         epoch: Some(epoch),
-        left: SPAN,
+        left: TIMEOUT,
     }
 }
 
-/// Sends work and returns its status, its outcome, and its body as JSON.
+/// Sends work and returns the status, the outcome header and the body as JSON.
 async fn send(peer: SocketAddr, work: &Work) -> (u16, String, serde_json::Value) {
     let sender = Sender::new(Clock::real(), 4);
     let response = sender
@@ -267,9 +267,9 @@
 async fn grants_and_work() {
     let peer = target().await;
     let control = Control::new(Clock::real());
-    let status: Status = control.state(peer, SPAN).await.unwrap();
+    let status: Status = control.state(peer, TIMEOUT).await.unwrap();
     let mut grant = Grant {
-        boot: "another start".to_owned(),
+        boot: "another incarnation".to_owned(),
         until_ms: status.clock_ms + 60_000,
         ranges: vec![EpochRange {
             start: 0,
@@ -278,14 +278,14 @@
         }],
         release: Vec::new(),
     };
-    let refused: Status = control.grant(peer, &grant, SPAN).await.unwrap();
+    let refused: Status = control.grant(peer, &grant, TIMEOUT).await.unwrap();
     assert!(
         refused.held.is_empty(),
-        "a grant for another start holds nothing"
+        "a grant for another incarnation is ignored"
     );
     assert_eq!(refused.boot, status.boot);
     grant.boot = status.boot;
-    let held: Status = control.grant(peer, &grant, SPAN).await.unwrap();
+    let held: Status = control.grant(peer, &grant, TIMEOUT).await.unwrap();
     assert_eq!((held.held[0].end, held.held[0].epoch), (u64::MAX, 3));
     for key in ["letter-1", "señora López/7"] {
         let (status, outcome, echo) = send(peer, &work(key, 3)).await;
@@ -303,7 +303,7 @@
         "another epoch"
     );
     grant.release = std::mem::take(&mut grant.ranges);
-    let released: Status = control.grant(peer, &grant, SPAN).await.unwrap();
+    let released: Status = control.grant(peer, &grant, TIMEOUT).await.unwrap();
     assert_eq!(released.released, grant.release);
     let (status, outcome, _) = send(peer, &work("letter-1", 3)).await;
     assert_eq!((status, outcome.as_str()), (421, "not-run"), "released");
--- a/standins/tests/forwarder.rs
+++ b/standins/tests/forwarder.rs
@@ -1,4 +1,4 @@
-//! Cuts by the process that connects.
+//! Blocking of connections by the process that opened them.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const WAIT: Duration = Duration::from_millis(300);
 
 #[compio::test]
-async fn only_the_named_process_is_cut() {
+async fn only_the_named_process_is_blocked() {
     let owners = SocketOwners::default();
     owners.insert("self", std::process::id());
     let forwarder = Forwarder::start(owners).unwrap();
@@ -21,18 +21,22 @@
             .await
             .is_ok_and(|reply| reply.is_ok())
     };
-    // One connection is open before the rule, the other is made under it.
+    // One connection is opened before the rule applies, the other while it does.
     let open = Client::default();
     assert!(passes(&open).await);
     for (name, expected) in [("other", true), ("self", false)] {
         forwarder.update_rules(|rules| rules.clients = [name.to_owned()].into());
-        assert_eq!(passes(&open).await, expected, "open, {name} is cut");
+        assert_eq!(
+            passes(&open).await,
+            expected,
+            "open connection, {name} is blocked"
+        );
         assert_eq!(
             passes(&Client::default()).await,
             expected,
-            "new, {name} is cut"
+            "new connection, {name} is blocked"
         );
     }
     forwarder.update_rules(|rules| rules.clients.clear());
-    assert!(passes(&Client::default()).await, "mended");
+    assert!(passes(&Client::default()).await, "unblocked");
 }
--- a/standins/tests/holder.rs
+++ b/standins/tests/holder.rs
@@ -1,4 +1,4 @@
-//! The rules of a target that holds grants, as tables.
+//! The rules by which a target accepts grants, as tables and as a property test.
 
 use std::{env, time::Duration};
 
@@ -8,7 +8,7 @@
     test_runner::{Config, RngSeed},
 };
 
-fn span((start, end, epoch): (u64, u64, u64)) -> EpochRange {
+fn range((start, end, epoch): (u64, u64, u64)) -> EpochRange {
     EpochRange { start, end, epoch }
 }
 
@@ -16,19 +16,19 @@
     Grant {
         boot: String::new(),
         until_ms,
-        ranges: ranges.iter().copied().map(span).collect(),
-        release: release.iter().copied().map(span).collect(),
+        ranges: ranges.iter().copied().map(range).collect(),
+        release: release.iter().copied().map(range).collect(),
     }
 }
 
-/// Ranges, then releases, then how many of the ranges are refused.
+/// Granted ranges, released ranges, and the number of ranges that are refused.
 type Step = (
     &'static [(u64, u64, u64)],
     &'static [(u64, u64, u64)],
     usize,
 );
 
-/// A name, steps, then work: a hash, an epoch, and whether it is admitted.
+/// A name, the steps, and work after them: a hash, an epoch, and whether it is admitted.
 type Case = (&'static str, &'static [Step], &'static [(u64, u64, bool)]);
 
 #[test]
@@ -41,7 +41,7 @@
             &[(9, 1, false), (10, 1, true), (20, 1, true), (21, 1, false)],
         ),
         (
-            "work names the very epoch",
+            "work must name the exact epoch",
             &[(&[(0, 9, 2)], &[], 0)],
             &[(5, 1, false), (5, 2, true), (5, 3, false)],
         ),
@@ -51,12 +51,12 @@
             &[(5, 1, false), (5, 2, true)],
         ),
         (
-            "a higher epoch ends the lower",
+            "a higher epoch replaces the lower",
             &[(&[(0, 9, 1)], &[], 0), (&[(0, 9, 2)], &[], 0)],
             &[(5, 1, false), (5, 2, true)],
         ),
         (
-            "a released epoch is refused for ever",
+            "a released epoch is refused from then on",
             &[
                 (&[(0, 9, 1)], &[], 0),
                 (&[], &[(0, 9, 1)], 0),
@@ -70,7 +70,7 @@
             &[(5, 1, false)],
         ),
         (
-            "a release of what was never held binds too",
+            "a release of a range that was never held counts too",
             &[
                 (&[], &[(0, 9, 3)], 0),
                 (&[(0, 9, 3)], &[], 1),
@@ -79,12 +79,12 @@
             &[(5, 3, false), (5, 4, true)],
         ),
         (
-            "a late release of an older epoch leaves the newer",
+            "a late release of an older epoch keeps the newer",
             &[(&[(0, 9, 4)], &[], 0), (&[], &[(0, 9, 3)], 0)],
             &[(5, 4, true)],
         ),
         (
-            "a split above its parent",
+            "a split at epochs above its parent's",
             &[(&[(0, 9, 1)], &[], 0), (&[(0, 4, 2), (5, 9, 3)], &[], 0)],
             &[(3, 1, false), (3, 2, true), (7, 3, true), (7, 2, false)],
         ),
@@ -99,7 +99,7 @@
             &[(7, 2, true), (15, 1, false)],
         ),
         (
-            "neighbours don't meet",
+            "adjacent ranges don't overlap",
             &[(&[(0, 9, 5), (10, 19, 1)], &[], 0)],
             &[(9, 5, true), (10, 1, true)],
         ),
@@ -118,31 +118,31 @@
 }
 
 #[test]
-fn until() {
+fn expiry() {
     let table = [
         ("one grant", vec![(1, 100)], (99, 1, true)),
-        ("lapses", vec![(1, 100)], (100, 1, false)),
+        ("expires", vec![(1, 100)], (100, 1, false)),
         (
-            "the latest counts",
+            "the latest expiry counts",
             vec![(1, 100), (1, 200)],
             (150, 1, true),
         ),
         (
-            "an earlier one shortens nothing",
+            "an earlier expiry shortens nothing",
             vec![(1, 200), (1, 100)],
             (150, 1, true),
         ),
         (
-            "a new epoch has its own",
+            "a new epoch has its own expiry",
             vec![(1, 200), (2, 100)],
             (150, 2, false),
         ),
         (
-            "renewed after it lapsed",
+            "renewed after it expired",
             vec![(1, 100), (1, 300)],
             (250, 1, true),
         ),
-        ("born lapsed", vec![(1, 10)], (50, 1, false)),
+        ("expired on arrival", vec![(1, 10)], (50, 1, false)),
     ];
     for (name, grants, (now, epoch, admitted)) in table {
         let mut holder = Holder::default();
@@ -161,10 +161,10 @@
     holder.start(1, 5, 1);
     holder.start(2, 15, 1);
     holder.grant(&grant(100, &[], &[(0, 9, 1)]));
-    assert!(holder.released().is_empty(), "work for it still runs");
+    assert!(holder.released().is_empty(), "its work still runs");
     holder.end(1);
-    assert_eq!(holder.released(), [span((0, 9, 1))]);
-    assert_eq!(holder.running(), 1, "other ranges' work goes on");
+    assert_eq!(holder.released(), [range((0, 9, 1))]);
+    assert_eq!(holder.running(), 1, "work of other ranges continues");
 }
 
 fn config() -> Config {
@@ -177,19 +177,19 @@
     }
 }
 
-/// Ranges within a hash space of 16 points, at epochs from 1 to 6.
-fn any_span() -> impl Strategy<Value = (u64, u64, u64)> {
+/// Generates ranges of a hash space of 16 points at epochs from 1 to 6.
+fn any_range() -> impl Strategy<Value = (u64, u64, u64)> {
     (0..16_u64, 0..16_u64, 1..=6_u64).prop_map(|(a, b, epoch)| (a.min(b), a.max(b), epoch))
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever the order of messages, an epoch below one seen, or one released, admits nothing.
+    /// In any order of messages, an epoch below one already granted, or one released, admits no work.
     #[test]
-    fn old_epochs_never_come_back(steps in prop::collection::vec((any::<bool>(), any_span()), 1..40)) {
+    fn old_epochs_are_never_admitted_again(steps in prop::collection::vec((any::<bool>(), any_range()), 1..40)) {
         let mut holder = Holder::default();
-        let mut seen = [0_u64; 16];
+        let mut granted = [0_u64; 16];
         let mut released = [0_u64; 16];
         for (is_release, step) in steps {
             let (start, end, epoch) = step;
@@ -200,7 +200,7 @@
                 grant(100, &[step], &[])
             };
             let refused = holder.grant(&message);
-            let map = if is_release { &mut released } else { &mut seen };
+            let map = if is_release { &mut released } else { &mut granted };
             for point in points.filter(|_| refused.is_empty()) {
                 map[point] = map[point].max(epoch);
             }
@@ -209,7 +209,7 @@
                 let admitted: Vec<u64> = (1..=6).filter(admitted).collect();
                 prop_assert!(admitted.len() <= 1, "{hash} under {admitted:?}");
                 for epoch in admitted {
-                    prop_assert!(epoch >= seen[point], "{hash} under {epoch}, {} was seen", seen[point]);
+                    prop_assert!(epoch >= granted[point], "{hash} under {epoch}, {} was granted", granted[point]);
                     prop_assert!(epoch > released[point], "{hash} under {epoch}, released");
                 }
             }
--- a/standins/tests/measure.rs
+++ b/standins/tests/measure.rs
@@ -1,12 +1,12 @@
-//! The measures, as tables of look-ups and runs.
+//! The measurements, as tables of look-ups and runs.
 
 use std::time::Duration;
 
 use bramleypier_standins::{caller::Sample, journal::Run, measure};
 use indexmap::IndexSet;
 
-fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 fn sample(sent: u64, took: u64, target: &str) -> Sample {
@@ -40,17 +40,17 @@
             20,
         ),
         (
-            "late counts as failed",
+            "a slow one counts as failed",
             vec![(0, 900, "t"), (20, 5, "t")],
             20,
         ),
         (
-            "the longest of two",
+            "the longest of two gaps",
             vec![(0, 5, ""), (20, 5, "t"), (40, 5, ""), (90, 5, "t")],
             50,
         ),
         (
-            "answers out of order",
+            "look-ups out of order",
             vec![(40, 5, "t"), (20, 5, ""), (0, 5, "t")],
             20,
         ),
@@ -94,7 +94,7 @@
         run("k", "a", 2, 1),
         run("k", "b", 4, 2),
         run("l", "a", 1, 1),
-        // Shared services have no owners, so nothing moves.
+        // Keys of shared services have no owners (epoch 0), so they don't count as moved.
         run("m", "a", 1, 0),
         run("m", "b", 2, 0),
     ];
--- a/standins/tests/process.rs
+++ b/standins/tests/process.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes: faults over HTTP, freezes, kills and cuts.
+//! The stand-ins as processes: faults over HTTP, freezes, kills and blocked connections.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use http::Method;
 use serde_json::json;
 
-/// A fleet without VMs: the program of the VMs is never started.
+/// Starts a fleet without VMs; the program given for VMs is never run.
 async fn fleet() -> Fleet {
     let program = child::program("standin-platform").unwrap();
     Fleet::start(Some(program)).await.unwrap()
@@ -31,16 +31,16 @@
 }
 
 async fn work(fleet: &Fleet, target: &str, headers: &[(&str, &str)]) -> Result<Reply, Error> {
-    let mut all = vec![("Bramleypier-Hash", "5"), ("Bramleypier-Epoch", "1")];
-    all.extend_from_slice(headers);
+    let mut all_headers = vec![("Bramleypier-Hash", "5"), ("Bramleypier-Epoch", "1")];
+    all_headers.extend_from_slice(headers);
     let address = &fleet.targets[target].address;
     fleet
         .client()
-        .call(address, Method::POST, "/print", &all, "letter")
+        .call(address, Method::POST, "/print", &all_headers, "letter")
         .await
 }
 
-async fn grant(fleet: &Fleet, target: &str, span_ms: u64) {
+async fn grant(fleet: &Fleet, target: &str, duration_ms: u64) {
     let status = fleet.target_status(target).await.unwrap();
     let range = EpochRange {
         start: 0,
@@ -49,14 +49,14 @@
     };
     let body = json!({
         "boot": status.boot,
-        "until_ms": status.clock_ms + span_ms,
+        "until_ms": status.clock_ms + duration_ms,
         "ranges": [range],
     });
-    let own = &fleet.targets[target].listen_address;
+    let address = &fleet.targets[target].listen_address;
     let body = serde_json::to_vec(&body).unwrap();
     let reply = fleet
         .client()
-        .post(own, "/bramleypier/grant", &[], body)
+        .post(address, "/bramleypier/grant", &[], body)
         .await
         .unwrap();
     assert_eq!(reply.status, 200);
@@ -89,13 +89,13 @@
     let refused = put(&fleet, "a/b", "9", "").await.unwrap();
     assert_eq!(
         refused.status, 412,
-        "a write without effect loses no answer"
+        "a rejected write still gets its response"
     );
     assert!(put(&fleet, "lost", "0", "").await.is_err());
     assert_eq!(
         put(&fleet, "lost", "0", "").await.unwrap().status,
         412,
-        "it took effect"
+        "the write took effect"
     );
     fleet
         .platform_faults(&Faults {
@@ -109,7 +109,7 @@
     assert_eq!(
         put(&fleet, "down", "0", "").await.unwrap().status,
         200,
-        "it had no effect"
+        "the write had no effect"
     );
     let counts = fleet.call_counts().await.unwrap();
     assert_eq!((counts["put"], counts["cut"]), (6, 2));
@@ -139,7 +139,7 @@
         .unwrap();
     compio::time::sleep(Duration::from_millis(250)).await;
     fleet.deregister("vm-1").await.unwrap();
-    assert_eq!(names().await, 1, "the view lags");
+    assert_eq!(names().await, 1, "the list lags");
     compio::time::sleep(Duration::from_millis(250)).await;
     assert_eq!(names().await, 0);
 }
@@ -195,7 +195,7 @@
     let count = |fault: &str| serde_json::from_value::<fault::Faults>(json!({ fault: 1 })).unwrap();
     let flag =
         |fault: &str| serde_json::from_value::<fault::Faults>(json!({ fault: true })).unwrap();
-    // Status (0: no whole answer), the header, whether it started.
+    // The fault, the status (0 without a complete response), the outcome, and whether work started.
     let table = [
         (fault::Faults::default(), 200, "", true),
         (flag("shed"), 503, "not-run", false),
@@ -210,10 +210,10 @@
         fleet.target_faults("t", &faults).await.unwrap();
         let before = fleet.runs_of_targets().unwrap().len();
         let reply = work(&fleet, "t", &[]).await;
-        let told = reply.map_or((0, String::new()), |reply| {
+        let result = reply.map_or((0, String::new()), |reply| {
             (reply.status, reply.header("Bramleypier-Outcome").to_owned())
         });
-        assert_eq!(told, (status, outcome.to_owned()), "{faults:?}");
+        assert_eq!(result, (status, outcome.to_owned()), "{faults:?}");
         let after = fleet.runs_of_targets().unwrap().len();
         assert_eq!(after - before, usize::from(started), "{faults:?}");
     }
@@ -234,19 +234,19 @@
     assert_eq!(
         first.unwrap().header("Bramleypier-Outcome"),
         "unknown",
-        "given up midway"
+        "expired while it ran"
     );
     assert_eq!(
         second.unwrap().header("Bramleypier-Outcome"),
         "not-run",
         "expired in the queue"
     );
-    let own = fleet.targets["t"].listen_address.clone();
+    let address = fleet.targets["t"].listen_address.clone();
     let cancel = async {
         compio::time::sleep(Duration::from_millis(50)).await;
         let reply = fleet
             .client()
-            .post(&own, "/bramleypier/cancel/r-1", &[], "")
+            .post(&address, "/bramleypier/cancel/r-1", &[], "")
             .await;
         assert_eq!(reply.unwrap().status, 204);
     };
@@ -263,7 +263,7 @@
 }
 
 #[compio::test]
-async fn freeze_outlives_the_grant() {
+async fn grant_expires_during_a_freeze() {
     let mut fleet = fleet().await;
     fleet
         .add_target("t", "uio-sur", false, &["--work-ms=1", "--fixed"])
@@ -275,7 +275,7 @@
     compio::time::sleep(Duration::from_millis(400)).await;
     fleet.resume("t").unwrap();
     let reply = work(&fleet, "t", &[]).await.unwrap();
-    assert_eq!(reply.status, 421, "the clock ran on");
+    assert_eq!(reply.status, 421, "the clock advanced during the freeze");
 }
 
 #[compio::test]
@@ -303,16 +303,16 @@
     assert_eq!(
         (runs.len(), runs[1].end),
         (2, None),
-        "its start is in the file"
+        "the start is in the log file"
     );
     fleet.restart("t").await.unwrap();
     let status = fleet.target_status("t").await.unwrap();
     assert_ne!(status.boot, boot);
-    assert!(status.held.is_empty(), "a new start holds nothing");
+    assert!(status.held.is_empty(), "a new incarnation holds no grants");
 }
 
 #[compio::test]
-async fn cut_and_delay() {
+async fn block_and_delay() {
     let mut fleet = fleet().await;
     fleet
         .add_target("t", "uio-sur", true, &["--work-ms=1", "--fixed"])
@@ -320,7 +320,7 @@
         .unwrap();
     grant(&fleet, "t", 60_000).await;
     let started = |fleet: &Fleet| fleet.runs_of_targets().unwrap().len();
-    // Whether requests get in, whether answers get out, what was started.
+    // Whether requests are blocked, whether responses are blocked, and how many requests start.
     for (block_in, block_out, starts) in [(true, true, 0), (true, false, 0), (false, true, 1)] {
         fleet.forwarder("t").unwrap().update_rules(|rules| {
             rules.block_in = block_in;
@@ -343,6 +343,6 @@
     assert_eq!(work(&fleet, "t", &[]).await.unwrap().status, 200);
     assert!(
         clock::now() >= before + Duration::from_millis(60),
-        "delayed both ways"
+        "delayed in both directions"
     );
 }
--- a/standins/tests/resize.rs
+++ b/standins/tests/resize.rs
@@ -1,4 +1,6 @@
-//! What a record's splits and joins mean to a target that checks grants.
+//! Splits and joins of a record's ranges, as seen by a target that checks grants.
+//!
+//! Guards against a split that keeps the epoch of its range: the owner would refuse the new parts.
 
 use std::time::Duration;
 
@@ -24,9 +26,9 @@
     }
 }
 
-/// Grants all of a record to one target; returns how many ranges it refuses.
+/// Grants all ranges of a record to one target and returns how many it refuses.
 fn grant(holder: &mut Holder, record: &Record) -> usize {
-    let span = |entry: &Entry| EpochRange {
+    let range = |entry: &Entry| EpochRange {
         start: entry.range.start,
         end: entry.range.end,
         epoch: entry.epoch,
@@ -34,7 +36,7 @@
     let grant = Grant {
         boot: String::new(),
         until_ms: UNTIL_MS,
-        ranges: record.ranges.iter().map(span).collect(),
+        ranges: record.ranges.iter().map(range).collect(),
         release: Vec::new(),
     };
     holder.grant(&grant).len()
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn an_owner_takes_the_parts_of_a_split_and_the_whole_of_a_join() {
+fn an_owner_accepts_the_parts_of_a_split_and_the_whole_of_a_join() {
     type Step = fn(&mut Record) -> bool;
     let steps: [(&str, Step); 4] = [
         ("split", |record| resize::split(record, 1_000)),
@@ -68,6 +70,6 @@
         assert_eq!(grant(&mut holder, &record), 0, "{name}: refused");
         assert!(admits_all(&holder, &record), "{name}: not admitted");
         let after = record.ranges.iter().map(|entry| entry.epoch).max().unwrap();
-        assert!(after >= before, "{name}: the epoch went back");
+        assert!(after >= before, "{name}: the epoch decreased");
     }
 }
--- a/standins/tests/store.rs
+++ b/standins/tests/store.rs
@@ -1,4 +1,4 @@
-//! The key-value service's rules.
+//! The rules of the key-value store.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     assert_eq!(store.delete(at(0), "k", 1), Err(Refusal::Version(2)));
     assert_eq!(store.delete(at(0), "k", 2), Ok(()));
     assert!(store.get(at(0), "k").is_none());
-    // The version grows over a deletion.
+    // The version keeps increasing after a deletion.
     assert_eq!(store.put(at(0), "k", vec![], 0, None), Ok(4));
 }
 
@@ -35,13 +35,13 @@
     assert!(store.get(at(199), "k").is_none());
     assert!(
         !store.renew(at(199), &lease),
-        "a lapsed lease is gone for good"
+        "an expired lease can't be renewed"
     );
     let late = store.put(at(199), "k", vec![], 0, Some(&lease));
     assert_eq!(late, Err(Refusal::Lease));
     assert!(
         store.get(at(199), "k").is_none(),
-        "a refused write changes nothing"
+        "a rejected write changes nothing"
     );
 }
 
@@ -53,7 +53,7 @@
     store.put(at(0), "a", vec![], 0, Some(&first)).unwrap();
     store.put(at(0), "b", vec![], 0, Some(&second)).unwrap();
     store.put(at(0), "c", vec![], 0, Some(&first)).unwrap();
-    // Written again without the lease, a key no longer hangs on it.
+    // A key that is written again without the lease is no longer attached to it.
     store.put(at(0), "c", vec![], 3, None).unwrap();
     store.revoke(at(1), &first);
     let keys = store.list(at(1), "").keys;
--- a/standins/tests/vms.rs
+++ b/standins/tests/vms.rs
@@ -1,12 +1,12 @@
-//! VMs of bramleypier as processes, on a fleet of stand-ins, with traffic while things break.
+//! Drills with VMs of bramleypier as processes on a fleet of stand-ins.
 //!
-//! The program `bramleypier` must have been built: a test run of the whole workspace does so.
+//! The program `bramleypier` must have been built; a test run of the whole workspace does so.
 
 use std::time::Duration;
 
 use bramleypier_standins::drill::{self, Options, Scenario, Step};
 
-/// Runs a scenario and checks what must hold whatever breaks.
+/// Runs a scenario and checks that the audit is clean and all keys are served at the end.
 async fn check(name: &'static str, steps: &'static [Step]) {
     let scenario = Scenario {
         name,
