--- a/standins/src/bin/bramleypier-demo.rs
+++ b/standins/src/bin/bramleypier-demo.rs
@@ -153,7 +153,7 @@
 async fn start_targets(fleet: &mut Fleet, examples: &Path) -> Result<Vec<Document>, BoxError> {
     let setup = Setup {
         work_ms: 5,
-        forwarded: false,
+        proxied: false,
     };
     let mut documents = Vec::new();
     for path in document_files(examples)? {
--- a/standins/src/drill.rs
+++ b/standins/src/drill.rs
@@ -152,18 +152,18 @@
 }
 
 impl Drill {
-    async fn start(options: &Options, forwarded: bool) -> Result<Self, BoxError> {
+    async fn start(options: &Options, proxied: bool) -> Result<Self, BoxError> {
         let mut fleet = Fleet::start(options.program.clone()).await?;
         fleet.add_settings(&options.settings);
         let path = fleet.dir().join("drill-template.ini");
         std::fs::write(&path, document_text(options.checks_grants))?;
         let setup = Setup {
             work_ms: 2,
-            forwarded,
+            proxied,
         };
         let mut document = services::start(&mut fleet, &path, &setup).await?;
         for (name, domain) in VMS {
-            fleet.add_vm(name, domain, forwarded).await?;
+            fleet.add_vm(name, domain, proxied).await?;
         }
         services::put(&fleet, VMS[0].0, &mut document).await?;
         let callers = Callers::new(fleet.caller_addresses(), measure::SERVED_WITHIN);
@@ -384,8 +384,8 @@
 
 fn last_work(runs: &[Run], lost_targets: &IndexSet<String>, start: Duration) -> Duration {
     let lost = runs.iter().filter(|run| lost_targets.contains(&run.target));
-    let last = lost.map(|run| run.started_ms).max().unwrap_or(0);
-    Duration::from_millis(last).saturating_sub(start)
+    let latest = lost.map(|run| run.started_ms).max().unwrap_or(0);
+    Duration::from_millis(latest).saturating_sub(start)
 }
 
 /// Returns the service document with placeholder addresses.
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -151,7 +151,7 @@
         self.platform.value("listening").unwrap_or("").to_owned()
     }
 
-    /// Starts a target and adds it to the platform's list; `forwarded` puts a forwarder in front of it.
+    /// Starts a target and adds it to the platform's list; `proxied` puts a forwarder in front of it.
     ///
     /// # Errors
     ///
@@ -160,7 +160,7 @@
         &mut self,
         name: &str,
         domain: &str,
-        forwarded: bool,
+        proxied: bool,
         arguments: &[&str],
     ) -> Result<String, Error> {
         let log = self.dir().join(format!("{name}.log"));
@@ -171,7 +171,7 @@
             arguments: all_arguments,
             log,
             domain: domain.to_owned(),
-            forwarder: self.start_forwarder(name, forwarded)?,
+            forwarder: self.start_forwarder(name, proxied)?,
             address: String::new(),
             listen_address: "127.0.0.1:0".to_owned(),
         };
@@ -205,18 +205,18 @@
         Ok(())
     }
 
-    /// Starts a VM and adds it to the platform's list; `forwarded` puts a forwarder in front of its
+    /// Starts a VM and adds it to the platform's list; `proxied` puts a forwarder in front of its
     /// peer port.
     ///
     /// # Errors
     ///
     /// Fails if the process can't be started.
-    pub async fn add_vm(&mut self, name: &str, domain: &str, forwarded: bool) -> Result<(), Error> {
+    pub async fn add_vm(&mut self, name: &str, domain: &str, proxied: bool) -> Result<(), Error> {
         let mut vm = Vm {
             process: None,
             settings: self.dir().join(format!("{name}.ini")),
             domain: domain.to_owned(),
-            forwarder: self.start_forwarder(name, forwarded)?,
+            forwarder: self.start_forwarder(name, proxied)?,
             caller_address: "127.0.0.1:0".to_owned(),
             peer_address: "127.0.0.1:0".to_owned(),
         };
@@ -289,8 +289,8 @@
         addresses.take(3).collect::<Vec<_>>().join(",")
     }
 
-    fn start_forwarder(&self, name: &str, forwarded: bool) -> Result<Option<Forwarder>, Error> {
-        if !forwarded {
+    fn start_forwarder(&self, name: &str, proxied: bool) -> Result<Option<Forwarder>, Error> {
+        if !proxied {
             return Ok(None);
         }
         let forwarder = Forwarder::start(self.owners.clone());
--- a/standins/src/services.rs
+++ b/standins/src/services.rs
@@ -55,7 +55,7 @@
     /// The mean processing time in milliseconds.
     pub work_ms: u64,
     /// Whether each target gets a forwarder in front of it.
-    pub forwarded: bool,
+    pub proxied: bool,
 }
 
 /// Starts the targets of a document and returns it with their actual addresses.
@@ -71,7 +71,7 @@
         let slots = format!("--slots={}", target.slots);
         let work = format!("--work-ms={}", setup.work_ms);
         let arguments = [checks.as_str(), &slots, &work];
-        let started = fleet.add_target(&name, &target.domain, setup.forwarded, &arguments);
+        let started = fleet.add_target(&name, &target.domain, setup.proxied, &arguments);
         document.set_address(&name, &started.await?);
     }
     Ok(document)
