--- a/standins/src/audit.rs
+++ b/standins/src/audit.rs
@@ -128,22 +128,22 @@
 
 /// Returns whether an attempt was falsely reported as not run.
 ///
-/// That is so if a run can only belong to this attempt, that is, no other attempt sent before the
-/// run had a different outcome. For a request that is not idempotent, a run before the attempt
-/// counts too.
+/// A run proves this if no attempt with another outcome was sent before it, since only an attempt
+/// reported as not run can have caused it then. For an idempotent request, the run must also have
+/// started after this attempt was sent; for any other, a run that started earlier is proof as well.
 fn is_false_not_run(call: &Call, attempts: &[&Call], runs: &[&Run]) -> bool {
     if call.reported != ReportedOutcome::NotRun {
         return false;
     }
     runs.iter().any(|run| {
-        let excused = attempts.iter().any(|other| {
+        let explained = attempts.iter().any(|other| {
             other.reported != ReportedOutcome::NotRun && other.sent_ms <= run.started_ms
         });
         let ran_before = run.started_ms < call.sent_ms;
         if call.idempotent {
-            return !ran_before && !excused;
+            return !ran_before && !explained;
         }
-        ran_before || !excused
+        ran_before || !explained
     })
 }
 
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -45,7 +45,7 @@
             source(cause)
         }
         /// A call got an unexpected status.
-        Answer(peer: String, status: u16) {
+        UnexpectedStatus(peer: String, status: u16) {
             display("peer={peer} status={status}")
         }
         /// There is no process, or no forwarder, of this name.
--- a/standins/src/fleet/control.rs
+++ b/standins/src/fleet/control.rs
@@ -127,5 +127,5 @@
     if reply.status == 200 {
         return Ok(());
     }
-    Err(Error::Answer(peer.to_owned(), reply.status))
+    Err(Error::UnexpectedStatus(peer.to_owned(), reply.status))
 }
--- a/standins/src/work.rs
+++ b/standins/src/work.rs
@@ -66,7 +66,7 @@
     let (cancel, mut cancelled) = oneshot::channel();
     let id = cancel_id(&job);
     target.state.borrow_mut().cancels.insert(id.clone(), cancel);
-    if let Err(refusal) = wait_slot(&target, &job, &mut cancelled).await {
+    if let Err(refusal) = wait_for_slot(&target, &job, &mut cancelled).await {
         target.state.borrow_mut().cancels.swap_remove(&id);
         drop(sender.send(Ok(refusal)));
         return;
@@ -114,7 +114,7 @@
 }
 
 /// Waits for a slot; fails with the response to a request that can't start.
-async fn wait_slot(
+async fn wait_for_slot(
     target: &Target,
     job: &Job,
     cancelled: &mut oneshot::Receiver<()>,
@@ -130,8 +130,8 @@
         Admission::Slot => Ok(()),
         Admission::Full => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
         Admission::Queued(admitted) => {
-            let cancelled_or_expired = pin!(cancelled_or_expired(job.deadline, cancelled));
-            match select(admitted, cancelled_or_expired).await {
+            let ended_early = pin!(cancelled_or_expired(job.deadline, cancelled));
+            match select(admitted, ended_early).await {
                 Either::Left(_) => Ok(()),
                 Either::Right(_) => Err(refusal(StatusCode::SERVICE_UNAVAILABLE)),
             }
@@ -250,8 +250,8 @@
         }
     });
     let deadline = if hangs { None } else { job.deadline };
-    let cancelled_or_expired = pin!(cancelled_or_expired(deadline, cancelled));
-    match select(work, cancelled_or_expired).await {
+    let ended_early = pin!(cancelled_or_expired(deadline, cancelled));
+    match select(work, ended_early).await {
         Either::Left(_) => End::Done,
         Either::Right((end, _)) => end,
     }
