--- a/standins/src/drill/scenario.rs
+++ b/standins/src/drill/scenario.rs
@@ -5,7 +5,7 @@
 pub enum Step {
     /// Waits for a time in milliseconds.
     Wait(u64),
-    /// Kills the drilled target.
+    /// Kills the target under test.
     KillTarget,
     /// Kills a grantor of the target.
     KillGrantor,
--- a/standins/src/socket_owners.rs
+++ b/standins/src/socket_owners.rs
@@ -41,7 +41,7 @@
         lock(&self.processes).shift_remove(name);
     }
 
-    /// Returns the name of the process at the `local` end of a connection that is open since `since`.
+    /// Returns the name of the process at the `local` end of a connection opened at `since`.
     ///
     /// The name is empty for a process that isn't registered; `None` means that the tables have not
     /// been read since the connection was opened.
