--- a/src/balance.rs
+++ b/src/balance.rs
@@ -71,10 +71,10 @@
 /// use bramleypier::{balance, group::Record};
 ///
 /// let mut record = Record::default();
-/// balance::leave(&mut record, |_| true, |_| false);
+/// balance::drain_targets(&mut record, |_| true, |_| false);
 /// assert_eq!(record, Record::default());
 /// ```
-pub fn leave<T, D>(record: &mut Record, tends: T, drains: D)
+pub fn drain_targets<T, D>(record: &mut Record, tends: T, drains: D)
 where
     T: Fn(&str) -> bool,
     D: Fn(&str) -> bool,
--- a/src/entry/router/admission.rs
+++ b/src/entry/router/admission.rs
@@ -8,14 +8,14 @@
     entry::ticket::{Ask, COME_BACK, Message, Permit, Reply, Ticket},
     id::BootId,
     limit::{
-        Gate,
-        cap::{self, Sample, Slots},
-        gate::{self, Why},
+        AdmissionQueue,
+        admission::{self, RefusalReason},
+        concurrency::{self, Sample, Slots},
     },
     metrics,
-    quarantine::{self, Check, Death},
+    quarantine::{self, Decision, Incarnation},
     request::{Step, Verdict},
-    retry::Try,
+    retry::FailedAttempt,
     timeline::stamp,
 };
 
@@ -38,11 +38,11 @@
             // The owner is changing; nothing ran, and the request waits for the new one.
             return self.wait_owner(ask, reply, Step::Grant, "the key's owner is changing");
         }
-        let tried = Try {
-            count: ask.history.count,
+        let tried = FailedAttempt {
+            number: ask.history.count,
             outcome: last.outcome,
             idempotent: ask.plan.idempotent,
-            after: last.after,
+            retry_after: last.after,
         };
         let dice = self.dice();
         let now = self.parts.clock.now();
@@ -88,9 +88,9 @@
             .quarantine
             .check(stamp::wall(), ask.print, &goal.target)
         {
-            Check::Free | Check::Alone => self.enter(now, ask, reply, goal),
-            Check::Wait(pause) => self.again(ask, reply, pause),
-            Check::Refuse(wait) => {
+            Decision::Allow | Decision::RunAlone => self.enter(now, ask, reply, goal),
+            Decision::Wait(pause) => self.again(ask, reply, pause),
+            Decision::Refuse(wait) => {
                 let reason = "a target died while it ran this request";
                 let step = Step::Quarantine;
                 let verdict = Verdict::not_run(&ask.proof, 503, step, &goal.target, reason);
@@ -105,13 +105,13 @@
         let ticket = self.next_ticket;
         let name = (ask.service.clone(), goal.target.clone());
         let class = ask.plan.document.classes.get_index(ask.plan.class);
-        let event = gate::Event::Ask {
+        let event = admission::Event::Request {
             ticket,
             class: class.map(|(name, _)| name.clone()).unwrap_or_default(),
             deadline: ask.deadline,
         };
         if !self.gates.contains_key(&name) {
-            let gate = Gate::new(goal.slots, &ask.plan.document.classes);
+            let gate = AdmissionQueue::new(goal.slots, &ask.plan.document.classes);
             self.gates.insert(name.clone(), gate);
         }
         self.waiting.insert(ticket, Waiting { ask, reply, goal });
@@ -119,14 +119,18 @@
     }
 
     /// Feeds a gate, and carries out what it decides.
-    pub(super) fn gate(&mut self, now: Duration, name: &Name, event: gate::Event) {
+    pub(super) fn gate(&mut self, now: Duration, name: &Name, event: admission::Event) {
         let Some(gate) = self.gates.get_mut(name) else {
             return;
         };
         for effect in gate.on(now, event) {
             match effect {
-                gate::Effect::Admit(ticket) => self.send(now, ticket),
-                gate::Effect::Refuse { ticket, why, retry } => self.refuse(ticket, why, retry),
+                admission::Effect::Admit(ticket) => self.send(now, ticket),
+                admission::Effect::Refuse {
+                    ticket,
+                    reason,
+                    retry_after,
+                } => self.refuse(ticket, reason, retry_after),
             }
         }
     }
@@ -140,10 +144,10 @@
         let check = self
             .quarantine
             .check(stamp::wall(), ask.print, &goal.target);
-        if let Check::Wait(pause) | Check::Refuse(pause) = check {
+        if let Decision::Wait(pause) | Decision::Refuse(pause) = check {
             let name = (ask.service.clone(), goal.target.clone());
             let sample = Sample::Cancelled;
-            self.gate(now, &name, gate::Event::Done { ticket, sample });
+            self.gate(now, &name, admission::Event::Ended { ticket, sample });
             return self.again(ask, reply, pause.min(SUSPECT_PAUSE));
         }
         if let Some(owner) = &goal.owner {
@@ -167,12 +171,16 @@
             let class = class.map_or("", |(name, _)| name.as_str());
             pool.started(now, &goal.target, class, ticket);
         }
-        let on = Death {
+        let incarnation = Incarnation {
             target: goal.target.clone(),
             boot,
         };
-        let print = ask.print;
-        let sent = quarantine::Event::Sent { ticket, print, on };
+        let fingerprint = ask.print;
+        let sent = quarantine::Event::Sent {
+            ticket,
+            fingerprint,
+            incarnation,
+        };
         self.quarantine.on(stamp::wall(), sent);
         let router = self.parts.tasks.router.clone();
         let owner = goal.owner.as_ref();
@@ -181,24 +189,24 @@
         let _ = reply.send(Ok(permit));
     }
 
-    pub(super) fn refuse(&mut self, ticket: Ticket, why: Why, retry: Duration) {
+    pub(super) fn refuse(&mut self, ticket: Ticket, why: RefusalReason, retry: Duration) {
         let Some(Waiting { ask, reply, goal }) = self.waiting.swap_remove(&ticket) else {
             return;
         };
         let (status, step, reason) = match why {
-            Why::Class => (
+            RefusalReason::UnknownClass => (
                 404,
                 Step::Route,
                 "the service no longer has the request's class",
             ),
-            Why::Queue => (
+            RefusalReason::QueueFull => (
                 429,
                 Step::Limit,
                 "the target is busy, and the wait would be too long",
             ),
-            Why::Late => (503, Step::Queue, "the target stayed busy"),
-            Why::Closed => (503, Step::Connect, "the target can't be reached"),
-            Why::Drain => (503, Step::Drain, "the target is leaving"),
+            RefusalReason::QueueTimeout => (503, Step::Queue, "the target stayed busy"),
+            RefusalReason::Unreachable => (503, Step::Connect, "the target can't be reached"),
+            RefusalReason::Draining => (503, Step::Drain, "the target is leaving"),
         };
         let verdict = Verdict::not_run(&ask.proof, status, step, &goal.target, reason);
         let _ = reply.send(Err(verdict.retry_after(retry)));
@@ -299,7 +307,7 @@
         let pause = waited
             .clamp(OWNER_PAUSE, OWNER_PAUSE_MAX)
             .min(longest.saturating_sub(waited));
-        let pause = cap::jitter(pause, self.dice());
+        let pause = concurrency::jitter(pause, self.dice());
         self.again(ask, reply, pause);
     }
 
@@ -334,12 +342,12 @@
             .collect();
         for (ticket, name) in left {
             self.waiting.swap_remove(&ticket);
-            self.gate(now, &name, gate::Event::Dropped { ticket });
+            self.gate(now, &name, admission::Event::Cancelled { ticket });
         }
         let busy = self.gates.iter().filter(|(_, gate)| gate.waiting() > 0);
         let busy: Vec<Name> = busy.map(|(name, _)| name.clone()).collect();
         for name in busy {
-            self.gate(now, &name, gate::Event::Tick);
+            self.gate(now, &name, admission::Event::Tick);
         }
     }
 }
--- a/src/entry/router/ending.rs
+++ b/src/entry/router/ending.rs
@@ -8,9 +8,9 @@
 use crate::{
     entry::ticket::{Report, Ticket},
     id::{BootId, Version},
-    limit::{cap::Sample, gate},
+    limit::{admission, concurrency::Sample},
     peer,
-    quarantine::{self, Death, End},
+    quarantine::{self, End, Incarnation},
     spread::{Id, Item, Kind},
     timeline::{self, Duty, stamp},
     vm::news,
@@ -48,7 +48,7 @@
         }
         let end = match report {
             Report::Answered(_) | Report::Ended => End::Completed,
-            Report::Lost | Report::Abandoned => End::Broken,
+            Report::Lost | Report::Abandoned => End::Lost,
             Report::Refused(_) | Report::Unsent(_) => End::NotRun,
         };
         let event = quarantine::Event::Ended { ticket, end };
@@ -58,12 +58,16 @@
             // Nobody listens there any more: whatever was in flight is suspect.
             self.died(&flight.name, flight.boot);
         }
-        self.gate(now, &flight.name, gate::Event::Done { ticket, sample });
+        self.gate(
+            now,
+            &flight.name,
+            admission::Event::Ended { ticket, sample },
+        );
     }
 
     pub(super) fn died(&mut self, name: &Name, boot: BootId) {
         let target = name.1.clone();
-        let death = Death { target, boot };
+        let death = Incarnation { target, boot };
         let items = self
             .quarantine
             .on(stamp::wall(), quarantine::Event::Died(death));
@@ -71,20 +75,20 @@
             let kind = timeline::Kind::Quarantined;
             let event = timeline::Event::new(Duty::Entry, "quarantine", kind);
             let event = event.service(name.0.as_str()).target(name.1.as_str());
-            let cause = format!("suspect={:x} boot={}", item.print, item.death.boot);
+            let cause = format!("suspect={:x} boot={}", item.fingerprint, item.death.boot);
             self.parts.recorder.event(event.cause(cause.as_str()));
         }
         self.spread(items);
     }
 
     /// Tells the fleet of suspects; a cleared one is a newer version of the same item.
-    pub(super) fn spread(&self, items: Vec<quarantine::Item>) {
+    pub(super) fn spread(&self, items: Vec<quarantine::Suspect>) {
         for item in items {
             let Ok(bytes) = peer::encode(&vec![item.clone()]) else {
                 continue;
             };
             let death = &item.death;
-            let name = format!("{:x}/{}/{}", item.print, death.target, death.boot);
+            let name = format!("{:x}/{}/{}", item.fingerprint, death.target, death.boot);
             let version = 1 + Version::from(item.cleared);
             let item = Item::new(Id::new(Kind::Suspect, name), version, bytes.to_vec());
             let item = item.lasting(quarantine::EXPIRY);
@@ -96,9 +100,9 @@
         }
     }
 
-    pub(super) fn hear(&mut self, items: Vec<quarantine::Item>) {
+    pub(super) fn hear(&mut self, items: Vec<quarantine::Suspect>) {
         let wall = stamp::wall();
-        self.quarantine.on(wall, quarantine::Event::Heard(items));
+        self.quarantine.on(wall, quarantine::Event::Received(items));
     }
 }
 
--- a/src/entry/router/known.rs
+++ b/src/entry/router/known.rs
@@ -9,7 +9,7 @@
     group::{Record, build},
     id::{GroupId, TargetId, Version},
     key::Point,
-    limit::{Pool, cap::Slots, gate, pick::Policy},
+    limit::{Pool, admission, concurrency::Slots, pick::Policy},
     request::{Call, Proof, Step, Verdict},
     route::Owner,
     vm::{notes, owners},
@@ -61,7 +61,7 @@
         let names: Vec<TargetId> = serving.map(|(name, _)| name.clone()).collect();
         let pool = self.pools.entry(document.service.clone());
         let pool = pool.or_insert_with(|| Pool::new(Policy::default()));
-        pool.set(names);
+        pool.set_targets(names);
     }
 
     /// Takes targets that leave out of the pools; an exclusive one is left to its grantors.
@@ -84,7 +84,7 @@
             let document = self.documents.get(&name.0);
             let slots = document.and_then(|document| slots(document, &name.1, self.vms));
             if let Some(slots) = slots {
-                self.gate(now, &name, gate::Event::Slots(slots));
+                self.gate(now, &name, admission::Event::Slots(slots));
             }
         }
     }
@@ -100,7 +100,7 @@
             let before = self.boots.insert(name.clone(), member.boot.clone());
             if let Some(boot) = before.filter(|boot| *boot != member.boot) {
                 self.died(&name, boot);
-                self.gate(self.parts.clock.now(), &name, gate::Event::Cold);
+                self.gate(self.parts.clock.now(), &name, admission::Event::ColdStart);
             }
         }
         let table = self.tables.entry(group.clone()).or_default();
@@ -131,7 +131,9 @@
         point: Point,
         owner: &Owner,
     ) -> Option<Duration> {
-        self.tables.get(&group_of(document, point))?.until(owner)
+        self.tables
+            .get(&group_of(document, point))?
+            .valid_until(owner)
     }
 }
 
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -275,7 +275,7 @@
     /// The platform's list says that the VMs of these targets are leaving.
     Leaving(Vec<TargetId>),
     /// Suspect requests were heard of.
-    Suspects(Vec<quarantine::Item>),
+    Suspects(Vec<quarantine::Suspect>),
 }
 
 /// Asks what the document says of a request.
--- a/src/grantor/house.rs
+++ b/src/grantor/house.rs
@@ -421,7 +421,7 @@
         };
         let tends = |target: &str| self.tends(target);
         let drains = |target: &str| self.drains(now, target);
-        balance::leave(next, tends, drains);
+        balance::drain_targets(next, tends, drains);
         if now < self.balanced {
             return;
         }
--- a/src/limit/gate.rs
+++ b/src/limit/admission.rs
@@ -5,8 +5,8 @@
 use indexmap::IndexMap;
 
 use super::{
-    Cap, blend,
-    cap::{self, Sample, Slots},
+    ConcurrencyLimit, blend,
+    concurrency::{self, Sample, Slots},
     share::{self, Lane},
 };
 use crate::{document::Class, request::Deadline};
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A request came in.
-    Ask {
+    Request {
         /// Its number.
         ticket: Ticket,
         /// Its class.
@@ -41,21 +41,21 @@
         deadline: Deadline,
     },
     /// A request that was admitted has ended.
-    Done {
+    Ended {
         /// Its number.
         ticket: Ticket,
         /// How.
         sample: Sample,
     },
     /// The caller of a request that waits went away.
-    Dropped {
+    Cancelled {
         /// Its number.
         ticket: Ticket,
     },
     /// The target has started and is cold.
-    Cold,
+    ColdStart,
     /// The target says that it is overloaded.
-    Busy,
+    Overloaded,
     /// The target gets no new work.
     Drain,
     /// The document, or the number of VMs, changed.
@@ -74,31 +74,31 @@
         /// Its number.
         ticket: Ticket,
         /// Why.
-        why: Why,
+        reason: RefusalReason,
         /// When to come back.
-        retry: Duration,
+        retry_after: Duration,
     },
 }
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// The service has no such class.
-    Class,
+    UnknownClass,
     /// It would wait for longer than its class or its deadline allows.
-    Queue,
+    QueueFull,
     /// Its time ended while it waited.
-    Late,
+    QueueTimeout,
     /// The target can't be reached.
-    Closed,
+    Unreachable,
     /// The target is leaving.
-    Drain,
+    Draining,
 }
 
 /// The state of the way to one target.
 #[derive(Debug)]
-pub struct Gate {
-    cap: Cap,
+pub struct AdmissionQueue {
+    cap: ConcurrencyLimit,
     lanes: IndexMap<String, Queue>,
     flying: IndexMap<Ticket, Flight>,
     draining: bool,
@@ -167,16 +167,16 @@
     }
 }
 
-impl Gate {
+impl AdmissionQueue {
     /// Creates the gate of a target for the classes of its service.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::{Gate, cap::Slots};
+    /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots};
     /// use indexmap::IndexMap;
     ///
-    /// let gate = Gate::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
+    /// let gate = AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
     /// assert_eq!(gate.in_flight(), 0);
     /// ```
     pub fn new(slots: Slots, classes: &IndexMap<String, Class>) -> Self {
@@ -190,7 +190,7 @@
             rate: Rate::default(),
         };
         Self {
-            cap: Cap::new(slots),
+            cap: ConcurrencyLimit::new(slots),
             lanes: classes
                 .iter()
                 .map(|(name, class)| (name.clone(), queue(class)))
@@ -205,10 +205,10 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::{Gate, cap::Slots};
+    /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots};
     /// use indexmap::IndexMap;
     ///
-    /// assert_eq!(Gate::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).in_flight(), 0);
+    /// assert_eq!(AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).in_flight(), 0);
     /// ```
     pub fn in_flight(&self) -> usize {
         self.flying.len()
@@ -219,10 +219,10 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::{Gate, cap::Slots};
+    /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots};
     /// use indexmap::IndexMap;
     ///
-    /// assert_eq!(Gate::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).waiting(), 0);
+    /// assert_eq!(AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).waiting(), 0);
     /// ```
     pub fn waiting(&self) -> usize {
         self.lanes.values().map(|lane| lane.waiting.len()).sum()
@@ -233,10 +233,10 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::{Gate, cap::Slots};
+    /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots};
     /// use indexmap::IndexMap;
     ///
-    /// assert_eq!(Gate::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).limit(), 3);
+    /// assert_eq!(AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).limit(), 3);
     /// ```
     pub fn limit(&self) -> u32 {
         self.cap.limit()
@@ -249,28 +249,28 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::limit::{Gate, cap::Slots, gate::{Effect, Event, Why}};
+    /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots, admission::{Effect, Event, RefusalReason}};
     /// use bramleypier::request::Deadline;
     /// use indexmap::IndexMap;
     ///
-    /// let mut gate = Gate::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
+    /// let mut gate = AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
     /// let deadline = Deadline { at: Duration::from_secs(1) };
-    /// let ask = Event::Ask { ticket: 1, class: "look-up".into(), deadline };
+    /// let ask = Event::Request { ticket: 1, class: "look-up".into(), deadline };
     /// let effects = gate.on(Duration::ZERO, ask);
-    /// assert!(matches!(effects[..], [Effect::Refuse { why: Why::Class, .. }]));
+    /// assert!(matches!(effects[..], [Effect::Refuse { reason: RefusalReason::UnknownClass, .. }]));
     /// ```
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
-            Event::Ask {
+            Event::Request {
                 ticket,
                 class,
                 deadline,
             } => effects.extend(self.ask(now, ticket, &class, deadline)),
-            Event::Done { ticket, sample } => self.done(now, ticket, sample),
-            Event::Dropped { ticket } => self.dropped(ticket),
-            Event::Cold => self.cap.warm_up(),
-            Event::Busy => self.cap.hint_busy(),
+            Event::Ended { ticket, sample } => self.done(now, ticket, sample),
+            Event::Cancelled { ticket } => self.dropped(ticket),
+            Event::ColdStart => self.cap.warm_up(),
+            Event::Overloaded => self.cap.hint_busy(),
             Event::Drain => effects.extend(self.drain()),
             Event::Slots(slots) => self.cap.resize(slots),
             Event::Tick => {}
@@ -287,23 +287,29 @@
         class: &str,
         deadline: Deadline,
     ) -> Option<Effect> {
-        let refuse = |why, retry| Some(Effect::Refuse { ticket, why, retry });
+        let refuse = |reason, retry_after| {
+            Some(Effect::Refuse {
+                ticket,
+                reason,
+                retry_after,
+            })
+        };
         if self.draining {
-            return refuse(Why::Drain, RETRY_MIN);
+            return refuse(RefusalReason::Draining, RETRY_MIN);
         }
         let Some(index) = self.lanes.get_index_of(class) else {
-            return refuse(Why::Class, Duration::ZERO);
+            return refuse(RefusalReason::UnknownClass, Duration::ZERO);
         };
         let left = deadline.at.saturating_sub(now);
         let longest = self.lanes[index].longest.min(left);
         let closed = self.cap.closed(now).map(|until| until.saturating_sub(now));
         if let Some(wait) = closed.filter(|wait| *wait > longest) {
-            return refuse(Why::Closed, wait);
+            return refuse(RefusalReason::Unreachable, wait);
         }
         self.level(index);
         if !self.would_send(index, now) && self.expected(index).is_none_or(|wait| wait > longest) {
             self.cap.used_up();
-            return refuse(Why::Queue, self.retry(index, ticket));
+            return refuse(RefusalReason::QueueFull, self.retry(index, ticket));
         }
         let lane = &mut self.lanes[index];
         if lane.is_idle() {
@@ -365,7 +371,7 @@
 
     fn retry(&self, index: usize, ticket: Ticket) -> Duration {
         let wait = self.expected(index).unwrap_or(RETRY_MIN);
-        cap::jitter(2 * wait, ticket.wrapping_mul(0x9e37_79b9)).clamp(RETRY_MIN, RETRY_MAX)
+        concurrency::jitter(2 * wait, ticket.wrapping_mul(0x9e37_79b9)).clamp(RETRY_MIN, RETRY_MAX)
     }
 
     fn done(&mut self, now: Duration, ticket: Ticket, sample: Sample) {
@@ -399,8 +405,8 @@
             .flat_map(|lane| lane.waiting.drain(..));
         let refuse = |waiting: Waiting| Effect::Refuse {
             ticket: waiting.ticket,
-            why: Why::Drain,
-            retry: RETRY_MIN,
+            reason: RefusalReason::Draining,
+            retry_after: RETRY_MIN,
         };
         waiting.map(refuse).collect()
     }
@@ -415,8 +421,8 @@
             waiting.retain(|one| one.until > now);
             effects.extend(late.into_iter().map(|ticket| Effect::Refuse {
                 ticket,
-                why: Why::Late,
-                retry: self.retry(index, ticket),
+                reason: RefusalReason::QueueTimeout,
+                retry_after: self.retry(index, ticket),
             }));
         }
         effects
--- a/src/limit/cap.rs
+++ b/src/limit/concurrency.rs
@@ -57,13 +57,13 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::limit::cap::{Cap, Slots};
+/// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
 ///
-/// assert_eq!(Cap::new(Slots { slots: 2, vms: 1 }).limit(), 3);
-/// assert_eq!(Cap::new(Slots { slots: 2, vms: 12 }).limit(), 1);
+/// assert_eq!(ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).limit(), 3);
+/// assert_eq!(ConcurrencyLimit::new(Slots { slots: 2, vms: 12 }).limit(), 1);
 /// ```
 #[derive(Clone, Debug)]
-pub struct Cap {
+pub struct ConcurrencyLimit {
     slots: Slots,
     limit: f64,
     most: f64,
@@ -104,15 +104,15 @@
     }
 }
 
-impl Cap {
+impl ConcurrencyLimit {
     /// Creates the cap for a target that nothing is known of but its slots.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::cap::{Cap, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// assert_eq!(Cap::new(Slots { slots: 8, vms: 2 }).limit(), 5);
+    /// assert_eq!(ConcurrencyLimit::new(Slots { slots: 8, vms: 2 }).limit(), 5);
     /// ```
     pub fn new(slots: Slots) -> Self {
         let part = f64::from(slots.slots) / f64::from(slots.vms.max(1));
@@ -136,9 +136,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::cap::{Cap, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// let mut cap = Cap::new(Slots { slots: 2, vms: 1 });
+    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
     /// cap.resize(Slots { slots: 4, vms: 1 });
     /// assert_eq!(cap.limit(), 5);
     /// ```
@@ -157,9 +157,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::cap::{Cap, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// let mut cap = Cap::new(Slots { slots: 2, vms: 1 });
+    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
     /// cap.warm_up();
     /// assert_eq!(cap.limit(), 1);
     /// ```
@@ -182,9 +182,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::limit::cap::{Cap, Sample, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Sample, Slots};
     ///
-    /// let mut cap = Cap::new(Slots { slots: 2, vms: 1 });
+    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
     /// cap.learn(Duration::ZERO, "look-up", Sample::Unreachable, 7);
     /// assert!(cap.closed(Duration::ZERO).is_some());
     /// assert!(cap.closed(Duration::from_secs(1)).is_none());
@@ -198,9 +198,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::cap::{Cap, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// let mut cap = Cap::new(Slots { slots: 2, vms: 1 });
+    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
     /// cap.warm_up();
     /// assert_eq!(cap.limit(), 1);
     /// ```
@@ -214,9 +214,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::cap::{Cap, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// Cap::new(Slots { slots: 2, vms: 1 }).used_up();
+    /// ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).used_up();
     /// ```
     pub fn used_up(&mut self) {
         self.used_up = true;
@@ -229,9 +229,9 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::limit::cap::{Cap, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// Cap::new(Slots { slots: 2, vms: 1 }).hint_busy();
+    /// ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).hint_busy();
     /// ```
     pub fn hint_busy(&mut self) {
         self.used_up = false;
@@ -244,9 +244,9 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::limit::cap::{Cap, Sample, Slots};
+    /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Sample, Slots};
     ///
-    /// let mut cap = Cap::new(Slots { slots: 10, vms: 1 });
+    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 10, vms: 1 });
     /// cap.learn(Duration::from_secs(1), "look-up", Sample::Shed, 7);
     /// assert_eq!(cap.limit(), 6);
     /// ```
@@ -311,9 +311,9 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier::limit::cap;
+/// use bramleypier::limit::concurrency;
 ///
-/// let wait = cap::jitter(Duration::from_millis(100), 7);
+/// let wait = concurrency::jitter(Duration::from_millis(100), 7);
 /// assert!(wait >= Duration::from_millis(50) && wait <= Duration::from_millis(100));
 /// ```
 pub fn jitter(wait: Duration, dice: u64) -> Duration {
--- a/src/limit/pick.rs
+++ b/src/limit/pick.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::{blend, cap::Sample};
+use super::{blend, concurrency::Sample};
 use crate::{id::TargetId, key};
 
 /// The part of a new sample in the averages.
@@ -36,7 +36,7 @@
     TwoChoices,
     /// The one with the fewest of our requests in flight, ties by hash, outliers set apart.
     #[default]
-    Least,
+    LeastRequests,
 }
 
 /// The targets of a shared service, as this VM sees them.
@@ -48,8 +48,8 @@
 ///
 /// use bramleypier::limit::{Pool, pick::Policy};
 ///
-/// let mut pool = Pool::new(Policy::Least);
-/// pool.set(["a".to_string(), "b".to_string()]);
+/// let mut pool = Pool::new(Policy::LeastRequests);
+/// pool.set_targets(["a".to_string(), "b".to_string()]);
 /// let first = pool.pick(Duration::ZERO, 1).unwrap();
 /// pool.started(Duration::ZERO, &first, "look-up", 1);
 /// assert_ne!(pool.pick(Duration::ZERO, 1), Some(first));
@@ -91,7 +91,7 @@
     ///
     /// use bramleypier::limit::{Pool, pick::Policy};
     ///
-    /// assert_eq!(Pool::new(Policy::Least).pick(Duration::ZERO, 1), None);
+    /// assert_eq!(Pool::new(Policy::LeastRequests).pick(Duration::ZERO, 1), None);
     /// ```
     pub fn new(policy: Policy) -> Self {
         Self {
@@ -107,9 +107,9 @@
     /// ```
     /// use bramleypier::limit::Pool;
     ///
-    /// Pool::default().set(["a".to_string()]);
+    /// Pool::default().set_targets(["a".to_string()]);
     /// ```
-    pub fn set<T>(&mut self, targets: T)
+    pub fn set_targets<T>(&mut self, targets: T)
     where
         T: IntoIterator<Item = TargetId>,
     {
@@ -130,7 +130,7 @@
     /// use bramleypier::limit::Pool;
     ///
     /// let mut pool = Pool::default();
-    /// pool.set(["a".to_string()]);
+    /// pool.set_targets(["a".to_string()]);
     /// assert_eq!(pool.pick(Duration::ZERO, 1).as_deref(), Some("a"));
     /// ```
     pub fn pick(&self, now: Duration, dice: u64) -> Option<TargetId> {
@@ -145,7 +145,7 @@
                 let load = |index: usize| self.targets[index].flying.len();
                 if load(two) < load(one) { two } else { one }
             }
-            Policy::Least => self.least(now, dice)?,
+            Policy::LeastRequests => self.least(now, dice)?,
         };
         self.targets.get_index(index).map(|(name, _)| name.clone())
     }
@@ -176,7 +176,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::limit::{Pool, cap::Sample};
+    /// use bramleypier::limit::{Pool, concurrency::Sample};
     ///
     /// Pool::default().ended(Duration::ZERO, "a", 1, Sample::Lost, true);
     /// ```
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -47,7 +47,7 @@
 /// One start of a target, which ended in its death.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Death {
+pub struct Incarnation {
     /// The target.
     pub target: TargetId,
     /// Its start.
@@ -57,11 +57,12 @@
 /// A piece of news, for all VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Item {
+pub struct Suspect {
     /// The request.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// The death that it is, or was, a suspect of.
-    pub death: Death,
+    pub death: Incarnation,
     /// When the death was seen, by the wall clock of the VM that saw it.
     pub at: Duration,
     /// Whether the request completed later, and is no suspect of it any more.
@@ -74,7 +75,7 @@
     /// The target answered.
     Completed,
     /// The connection broke, or no answer came.
-    Broken,
+    Lost,
     /// It never reached the target's work: refused, or not sent.
     NotRun,
 }
@@ -87,9 +88,9 @@
         /// The request's number; never used twice.
         ticket: u64,
         /// The request.
-        print: Fingerprint,
+        fingerprint: Fingerprint,
         /// The target, and its start as far as is known.
-        on: Death,
+        incarnation: Incarnation,
     },
     /// A request has ended.
     Ended {
@@ -99,18 +100,18 @@
         end: End,
     },
     /// A target's process died, or a new start of it was seen.
-    Died(Death),
+    Died(Incarnation),
     /// Other VMs told of suspects.
-    Heard(Vec<Item>),
+    Received(Vec<Suspect>),
 }
 
 /// What a request may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Check {
+pub enum Decision {
     /// Anything.
-    Free,
+    Allow,
     /// Run, but say so with [`Event::Sent`] before anything else is checked for that target.
-    Alone,
+    RunAlone,
     /// Wait for another suspect that runs alone on the target.
     Wait(Duration),
     /// Nothing: it kills targets. The time after which it may be tried again.
@@ -120,7 +121,7 @@
 /// The suspects that one VM knows, and its own requests in flight.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    suspects: IndexMap<Fingerprint, IndexMap<Death, Suspicion>>,
+    suspects: IndexMap<Fingerprint, IndexMap<Incarnation, Suspicion>>,
     count: usize,
     flying: IndexMap<u64, Flight>,
     broken: IndexMap<u64, (Duration, Flight)>,
@@ -134,8 +135,8 @@
 
 #[derive(Clone, Debug)]
 struct Flight {
-    print: Fingerprint,
-    on: Death,
+    fingerprint: Fingerprint,
+    incarnation: Incarnation,
 }
 
 impl Quarantine {
@@ -146,31 +147,33 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::quarantine::{Check, Quarantine};
+    /// use bramleypier::quarantine::{Decision, Quarantine};
     ///
-    /// assert_eq!(Quarantine::default().check(Duration::ZERO, 7, "a"), Check::Free);
+    /// assert_eq!(Quarantine::default().check(Duration::ZERO, 7, "a"), Decision::Allow);
     /// ```
-    pub fn check(&self, wall: Duration, print: Fingerprint, target: &str) -> Check {
-        let deaths = self.deaths(wall, print);
+    pub fn check(&self, wall: Duration, fingerprint: Fingerprint, target: &str) -> Decision {
+        let deaths = self.deaths(wall, fingerprint);
         let Some(last) = deaths.values().max().copied() else {
-            return Check::Free;
+            return Decision::Allow;
         };
         let until = match deaths.len() {
             1 if self.is_alone(wall, &deaths) => last + SOLE,
             1 => Duration::ZERO,
-            2 if self.has_double(wall, print, &deaths) => last + DOUBLE + stagger(print),
+            2 if self.has_double(wall, fingerprint, &deaths) => {
+                last + DOUBLE + stagger(fingerprint)
+            }
             _ => last + EXPIRY,
         };
         if wall < until {
-            return Check::Refuse(until.saturating_sub(wall));
+            return Decision::Refuse(until.saturating_sub(wall));
         }
         let trial = |flight: &Flight| {
-            flight.on.target == target && !self.deaths(wall, flight.print).is_empty()
+            flight.incarnation.target == target && !self.deaths(wall, flight.fingerprint).is_empty()
         };
         if self.flying.values().any(trial) {
-            return Check::Wait(TURN);
+            return Decision::Wait(TURN);
         }
-        Check::Alone
+        Decision::RunAlone
     }
 
     /// Takes an event; returns the news for all other VMs.
@@ -180,26 +183,36 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::quarantine::{Check, Death, Event, Quarantine};
+    /// use bramleypier::quarantine::{Decision, Incarnation, Event, Quarantine};
     ///
-    /// let on = Death { target: "a".into(), boot: "1".into() };
+    /// let on = Incarnation { target: "a".into(), boot: "1".into() };
     /// let mut here = Quarantine::default();
     /// let wall = Duration::from_secs(1);
-    /// here.on(wall, Event::Sent { ticket: 1, print: 7, on: on.clone() });
+    /// here.on(wall, Event::Sent { ticket: 1, fingerprint: 7, incarnation: on.clone() });
     /// let news = here.on(wall, Event::Died(on));
     /// let mut there = Quarantine::default();
-    /// there.on(wall, Event::Heard(news));
-    /// assert!(matches!(there.check(wall, 7, "b"), Check::Refuse(_)));
+    /// there.on(wall, Event::Received(news));
+    /// assert!(matches!(there.check(wall, 7, "b"), Decision::Refuse(_)));
     /// ```
-    pub fn on(&mut self, wall: Duration, event: Event) -> Vec<Item> {
+    pub fn on(&mut self, wall: Duration, event: Event) -> Vec<Suspect> {
         match event {
-            Event::Sent { ticket, print, on } => {
-                self.flying.insert(ticket, Flight { print, on });
+            Event::Sent {
+                ticket,
+                fingerprint,
+                incarnation,
+            } => {
+                self.flying.insert(
+                    ticket,
+                    Flight {
+                        fingerprint,
+                        incarnation,
+                    },
+                );
                 Vec::new()
             }
             Event::Ended { ticket, end } => self.ended(wall, ticket, end),
             Event::Died(death) => self.died(wall, &death),
-            Event::Heard(items) => {
+            Event::Received(items) => {
                 for item in &items {
                     self.take(wall, item);
                 }
@@ -217,11 +230,11 @@
     ///
     /// assert!(Quarantine::default().items().is_empty());
     /// ```
-    pub fn items(&self) -> Vec<Item> {
+    pub fn items(&self) -> Vec<Suspect> {
         let suspects = self.suspects.iter();
-        let items = suspects.flat_map(|(print, deaths)| {
-            deaths.iter().map(|(death, it)| Item {
-                print: *print,
+        let items = suspects.flat_map(|(fingerprint, deaths)| {
+            deaths.iter().map(|(death, it)| Suspect {
+                fingerprint: *fingerprint,
                 death: death.clone(),
                 at: it.at,
                 cleared: it.cleared,
@@ -230,14 +243,14 @@
         items.collect()
     }
 
-    fn ended(&mut self, wall: Duration, ticket: u64, end: End) -> Vec<Item> {
+    fn ended(&mut self, wall: Duration, ticket: u64, end: End) -> Vec<Suspect> {
         let broken = self.broken.shift_remove(&ticket).map(|(_, flight)| flight);
         let Some(flight) = self.flying.swap_remove(&ticket).or(broken) else {
             return Vec::new();
         };
         match end {
-            End::Completed => self.clear(wall, flight.print),
-            End::Broken => {
+            End::Completed => self.clear(wall, flight.fingerprint),
+            End::Lost => {
                 self.keep(wall, ticket, flight);
                 Vec::new()
             }
@@ -254,10 +267,10 @@
     }
 
     /// Clears a request of the deaths it was a suspect of, since it has completed.
-    fn clear(&mut self, wall: Duration, print: Fingerprint) -> Vec<Item> {
-        let deaths = self.deaths(wall, print);
-        let items = deaths.into_iter().map(|(death, at)| Item {
-            print,
+    fn clear(&mut self, wall: Duration, fingerprint: Fingerprint) -> Vec<Suspect> {
+        let deaths = self.deaths(wall, fingerprint);
+        let items = deaths.into_iter().map(|(death, at)| Suspect {
+            fingerprint,
             death,
             at,
             cleared: true,
@@ -269,9 +282,12 @@
         items
     }
 
-    fn died(&mut self, wall: Duration, death: &Death) -> Vec<Item> {
+    fn died(&mut self, wall: Duration, death: &Incarnation) -> Vec<Suspect> {
         self.broken.retain(|_, (at, _)| wall < *at + BEFORE);
-        let flying = self.flying.iter().filter(|(_, flight)| flight.on == *death);
+        let flying = self
+            .flying
+            .iter()
+            .filter(|(_, flight)| flight.incarnation == *death);
         let tickets: Vec<_> = flying.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             if let Some(flight) = self.flying.swap_remove(&ticket) {
@@ -279,10 +295,10 @@
             }
         }
         let broken = self.broken.values().map(|(_, flight)| flight);
-        let there = broken.filter(|flight| flight.on == *death);
-        let prints: IndexSet<_> = there.map(|flight| flight.print).collect();
-        let items = prints.into_iter().map(|print| Item {
-            print,
+        let there = broken.filter(|flight| flight.incarnation == *death);
+        let prints: IndexSet<_> = there.map(|flight| flight.fingerprint).collect();
+        let items = prints.into_iter().map(|fingerprint| Suspect {
+            fingerprint,
             death: death.clone(),
             at: wall,
             cleared: false,
@@ -296,14 +312,14 @@
 
     /// Takes a piece of news. The earliest time of a death and any clearing win, so that order and
     /// repetition change nothing.
-    fn take(&mut self, wall: Duration, item: &Item) {
+    fn take(&mut self, wall: Duration, item: &Suspect) {
         if item.at + EXPIRY <= wall {
             return;
         }
         if self.count >= KEPT {
             self.forget(wall);
         }
-        let deaths = self.suspects.entry(item.print).or_default();
+        let deaths = self.suspects.entry(item.fingerprint).or_default();
         let known = deaths.len();
         let suspicion = deaths.entry(item.death.clone()).or_insert(Suspicion {
             at: item.at,
@@ -331,14 +347,14 @@
     }
 
     /// Returns the deaths that a request is a suspect of, with their times.
-    fn deaths(&self, wall: Duration, print: Fingerprint) -> IndexMap<Death, Duration> {
-        let known = self.suspects.get(&print).into_iter().flatten();
+    fn deaths(&self, wall: Duration, fingerprint: Fingerprint) -> IndexMap<Incarnation, Duration> {
+        let known = self.suspects.get(&fingerprint).into_iter().flatten();
         let live = known.filter(|(_, it)| !it.cleared && wall < it.at + EXPIRY);
         live.map(|(death, it)| (death.clone(), it.at)).collect()
     }
 
     /// Returns whether no other request is, or ever was, a suspect of the death.
-    fn is_alone(&self, wall: Duration, deaths: &IndexMap<Death, Duration>) -> bool {
+    fn is_alone(&self, wall: Duration, deaths: &IndexMap<Incarnation, Duration>) -> bool {
         let suspects = self.suspects.values();
         let here = suspects.filter(|other| {
             let mut live = other.iter().filter(|(_, it)| wall < it.at + EXPIRY);
@@ -351,10 +367,10 @@
     fn has_double(
         &self,
         wall: Duration,
-        print: Fingerprint,
-        deaths: &IndexMap<Death, Duration>,
+        fingerprint: Fingerprint,
+        deaths: &IndexMap<Incarnation, Duration>,
     ) -> bool {
-        let mut others = self.suspects.keys().filter(|other| **other != print);
+        let mut others = self.suspects.keys().filter(|other| **other != fingerprint);
         others.any(|other| {
             let theirs = self.deaths(wall, *other);
             deaths.keys().all(|death| theirs.contains_key(death))
@@ -363,7 +379,7 @@
 }
 
 /// Spreads the times at which requests that look alike are tried again.
-fn stagger(print: Fingerprint) -> Duration {
-    let part = u32::try_from(print % 1_024).unwrap_or(0);
+fn stagger(fingerprint: Fingerprint) -> Duration {
+    let part = u32::try_from(fingerprint % 1_024).unwrap_or(0);
     DOUBLE * part / 1_024
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -7,7 +7,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use crate::{
-    limit::cap,
+    limit::concurrency,
     request::{Deadline, Outcome},
 };
 
@@ -31,14 +31,14 @@
 /// ```
 /// use std::time::Duration;
 ///
-/// use bramleypier::{request::{Deadline, Outcome}, retry::{Budget, Try}};
+/// use bramleypier::{request::{Deadline, Outcome}, retry::{Budget, FailedAttempt}};
 ///
 /// let mut budget = Budget::default();
-/// let tried = Try {
-///     count: 1,
+/// let tried = FailedAttempt {
+///     number: 1,
 ///     outcome: Outcome::Unknown,
 ///     idempotent: false,
-///     after: None,
+///     retry_after: None,
 /// };
 /// let deadline = Deadline { at: Duration::from_secs(1) };
 /// assert_eq!(budget.retry(Duration::ZERO, &tried, deadline, 7), None); // it may have run
@@ -58,15 +58,15 @@
 
 /// A try that did not end well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct FailedAttempt {
     /// Which one it was, from 1.
-    pub count: u32,
+    pub number: u32,
     /// How it ended.
     pub outcome: Outcome,
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// How long the target asks to be left alone.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Budget {
@@ -94,14 +94,14 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::{request::{Deadline, Outcome}, retry::{Budget, Try}};
+    /// use bramleypier::{request::{Deadline, Outcome}, retry::{Budget, FailedAttempt}};
     ///
     /// let mut budget = Budget::default();
-    /// let tried = Try {
-    ///     count: 1,
+    /// let tried = FailedAttempt {
+    ///     number: 1,
     ///     outcome: Outcome::NotRun,
     ///     idempotent: false,
-    ///     after: None,
+    ///     retry_after: None,
     /// };
     /// let deadline = Deadline { at: Duration::from_secs(1) };
     /// assert!(budget.retry(Duration::ZERO, &tried, deadline, 7).is_some());
@@ -109,7 +109,7 @@
     pub fn retry(
         &mut self,
         now: Duration,
-        tried: &Try,
+        tried: &FailedAttempt,
         deadline: Deadline,
         dice: u64,
     ) -> Option<Duration> {
@@ -118,11 +118,12 @@
             Outcome::NotRun => true,
             Outcome::Unknown => tried.idempotent,
         };
-        if !harmless || tried.count >= TRIES || !self.has_room(now) {
+        if !harmless || tried.number >= TRIES || !self.has_room(now) {
             return None;
         }
-        let doubled = FIRST.saturating_mul(1 << tried.count.saturating_sub(1).min(16));
-        let wait = cap::jitter(doubled.min(LONGEST), dice).max(tried.after.unwrap_or_default());
+        let doubled = FIRST.saturating_mul(1 << tried.number.saturating_sub(1).min(16));
+        let wait = concurrency::jitter(doubled.min(LONGEST), dice)
+            .max(tried.retry_after.unwrap_or_default());
         // A try that could only begin as the time ends would be work for nothing.
         deadline.remaining(now + 2 * wait)?;
         self.second(now).retries += 1;
--- a/src/route.rs
+++ b/src/route.rs
@@ -200,9 +200,9 @@
     ///     fencing: Fencing::Unchecked,
     ///     moving: false,
     /// };
-    /// assert_eq!(Table::default().until(&owner), None);
+    /// assert_eq!(Table::default().valid_until(&owner), None);
     /// ```
-    pub fn until(&self, owner: &Owner) -> Option<Duration> {
+    pub fn valid_until(&self, owner: &Owner) -> Option<Duration> {
         if owner.fencing == Fencing::Checked {
             return Some(Duration::MAX);
         }
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -145,7 +145,7 @@
 fn all_ranges_of_a_leaving_target_move_at_once() {
     let (_, mut record) = fleet(6);
     record.members["t0"].leaving = true;
-    balance::leave(&mut record, |_| true, |_| false);
+    balance::drain_targets(&mut record, |_| true, |_| false);
     hand_over(&mut record);
     assert!(record.ranges.iter().all(|entry| entry.chain[0] != "t0"));
     assert!(balance::imbalance(&record, &[]) < 1.3);
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -5,14 +5,14 @@
 use bramleypier::{
     document::Class,
     limit::{
-        Cap, Gate, Pool,
-        cap::{Sample, Slots},
-        gate::{Effect, Event, Why},
+        AdmissionQueue, ConcurrencyLimit, Pool,
+        admission::{Effect, Event, RefusalReason},
+        concurrency::{Sample, Slots},
         pick::Policy,
         share::{self, Lane},
     },
     request::{Deadline, Outcome},
-    retry::{Budget, Try},
+    retry::{Budget, FailedAttempt},
 };
 use indexmap::IndexMap;
 
@@ -31,20 +31,20 @@
     }
 }
 
-fn gate(slots: u32) -> Gate {
+fn gate(slots: u32) -> AdmissionQueue {
     let classes = IndexMap::from([
         ("look-up".into(), class(60, 50)),
         ("order".into(), class(30, 200)),
         ("file".into(), class(10, 2_000)),
     ]);
-    Gate::new(Slots { slots, vms: 1 }, &classes)
+    AdmissionQueue::new(Slots { slots, vms: 1 }, &classes)
 }
 
-fn ask(gate: &mut Gate, now: u64, ticket: u64, class: &str) -> Vec<Effect> {
+fn ask(gate: &mut AdmissionQueue, now: u64, ticket: u64, class: &str) -> Vec<Effect> {
     let deadline = Deadline {
         at: ms(now + 10_000),
     };
-    let event = Event::Ask {
+    let event = Event::Request {
         ticket,
         class: class.into(),
         deadline,
@@ -52,12 +52,12 @@
     gate.on(ms(now), event)
 }
 
-fn done(gate: &mut Gate, now: u64, ticket: u64, sample: Sample) -> Vec<Effect> {
-    gate.on(ms(now), Event::Done { ticket, sample })
+fn done(gate: &mut AdmissionQueue, now: u64, ticket: u64, sample: Sample) -> Vec<Effect> {
+    gate.on(ms(now), Event::Ended { ticket, sample })
 }
 
 /// Runs `count` requests of a class one after the other, so that its latency is known.
-fn teach(gate: &mut Gate, class: &str, count: u64, latency: u64) {
+fn teach(gate: &mut AdmissionQueue, class: &str, count: u64, latency: u64) {
     for step in 0..count {
         let ticket = 1_000_000 + step;
         assert_eq!(
@@ -110,8 +110,13 @@
     let mut refused = Vec::new();
     for ticket in 0..40 {
         for effect in ask(&mut gate, 1_000, ticket, "look-up") {
-            if let Effect::Refuse { why, retry, .. } = effect {
-                refused.push((why, retry));
+            if let Effect::Refuse {
+                reason,
+                retry_after,
+                ..
+            } = effect
+            {
+                refused.push((reason, retry_after));
             }
         }
     }
@@ -120,7 +125,11 @@
         "{}",
         gate.waiting()
     );
-    assert!(refused.iter().all(|(why, _)| *why == Why::Queue));
+    assert!(
+        refused
+            .iter()
+            .all(|(why, _)| *why == RefusalReason::QueueFull)
+    );
     assert!(refused.iter().all(|(_, retry)| *retry >= ms(50)));
     assert!(refused.len() > 25);
 }
@@ -134,27 +143,36 @@
     for ticket in 2..5 {
         assert!(ask(&mut gate, 0, ticket, "look-up").is_empty());
     }
-    assert!(gate.on(ms(1), Event::Dropped { ticket: 3 }).is_empty());
+    assert!(gate.on(ms(1), Event::Cancelled { ticket: 3 }).is_empty());
     let late = gate.on(ms(50), Event::Tick);
     let why = |effect: &Effect| match effect {
-        Effect::Refuse { ticket, why, .. } => (*ticket, *why),
+        Effect::Refuse { ticket, reason, .. } => (*ticket, *reason),
         Effect::Admit(ticket) => panic!("{ticket} was admitted"),
     };
     let late: Vec<_> = late.iter().map(why).collect();
-    assert_eq!(late, [(2, Why::Late), (4, Why::Late)]);
+    assert_eq!(
+        late,
+        [
+            (2, RefusalReason::QueueTimeout),
+            (4, RefusalReason::QueueTimeout)
+        ]
+    );
     assert!(ask(&mut gate, 60, 6, "look-up").is_empty());
     let drained = gate.on(ms(61), Event::Drain);
     assert_eq!(
         drained.iter().map(why).collect::<Vec<_>>(),
-        [(6, Why::Drain)]
+        [(6, RefusalReason::Draining)]
+    );
+    assert_eq!(
+        why(&ask(&mut gate, 62, 7, "look-up")[0]),
+        (7, RefusalReason::Draining)
     );
-    assert_eq!(why(&ask(&mut gate, 62, 7, "look-up")[0]), (7, Why::Drain));
     assert_eq!(gate.in_flight(), 2);
 }
 
 #[test]
 fn a_target_that_is_not_reached_is_left_alone_for_longer_each_time() {
-    let mut cap = Cap::new(Slots { slots: 4, vms: 1 });
+    let mut cap = ConcurrencyLimit::new(Slots { slots: 4, vms: 1 });
     let mut now = Duration::ZERO;
     let mut waits = Vec::new();
     for _ in 0..12 {
@@ -173,7 +191,7 @@
 
 #[test]
 fn the_cap_grows_to_what_pays_and_shrinks_under_pressure() {
-    let mut cap = Cap::new(Slots { slots: 2, vms: 1 });
+    let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
     let mut feed = |latency, count| {
         for _ in 0..count {
             cap.used_up();
@@ -184,7 +202,7 @@
     assert_eq!(feed(10, 16), 4);
     assert_eq!(feed(10, 160), 8); // four times the slots at the most
     assert!(feed(25, 64) < 5); // queueing at the target
-    let mut cap = Cap::new(Slots { slots: 10, vms: 1 });
+    let mut cap = ConcurrencyLimit::new(Slots { slots: 10, vms: 1 });
     for at in [1_000, 1_001, 1_002] {
         cap.learn(ms(at), "look-up", Sample::Shed, 0);
     }
@@ -197,7 +215,7 @@
 
 #[test]
 fn a_cold_target_is_warmed_up() {
-    let mut cap = Cap::new(Slots { slots: 4, vms: 1 });
+    let mut cap = ConcurrencyLimit::new(Slots { slots: 4, vms: 1 });
     cap.warm_up();
     let limits = (0..24).map(|_| {
         cap.learn(ms(0), "look-up", Sample::Answered(ms(10)), 0);
@@ -272,7 +290,7 @@
 fn contend(classes: &[(&str, u32, u64)], count: usize) -> Vec<usize> {
     let named = |(name, share, _): &(&str, u32, u64)| ((*name).into(), class(*share, 1_000_000));
     let lanes = classes.iter().map(named).collect();
-    let mut gate = Gate::new(Slots { slots: 1, vms: 12 }, &lanes);
+    let mut gate = AdmissionQueue::new(Slots { slots: 1, vms: 12 }, &lanes);
     teach(&mut gate, "look-up", 100, 10);
     let mut now = 1_000;
     let kinds = classes.len() as u64;
@@ -320,7 +338,7 @@
 fn a_class_that_used_less_than_its_share_is_owed_nothing() {
     let lanes = [("order", 40), ("look-up", 60)];
     let lanes = lanes.map(|(name, share)| (name.into(), class(share, 1_000_000)));
-    let mut gate = Gate::new(Slots { slots: 9, vms: 1 }, &IndexMap::from(lanes));
+    let mut gate = AdmissionQueue::new(Slots { slots: 9, vms: 1 }, &IndexMap::from(lanes));
     let mut seen = Vec::new();
     let mut take = |effects: Vec<Effect>| seen.extend(effects);
     // Look-ups borrow; of the four slots of orders one is used all the time. Orders are even.
@@ -361,7 +379,7 @@
 
 fn pool(policy: Policy) -> Pool {
     let mut pool = Pool::new(policy);
-    pool.set(["a", "b", "c", "d"].map(String::from));
+    pool.set_targets(["a", "b", "c", "d"].map(String::from));
     pool
 }
 
@@ -395,19 +413,27 @@
         ("shedding", Sample::Shed, false),
     ];
     for (name, sample, error) in cases {
-        assert_eq!(serve(&mut pool(Policy::Least), sample, error), 0, "{name}");
+        assert_eq!(
+            serve(&mut pool(Policy::LeastRequests), sample, error),
+            0,
+            "{name}"
+        );
         assert!(
             serve(&mut pool(Policy::Random), sample, error) > 10,
             "{name}"
         );
     }
-    let fair = serve(&mut pool(Policy::Least), Sample::Answered(ms(12)), false);
+    let fair = serve(
+        &mut pool(Policy::LeastRequests),
+        Sample::Answered(ms(12)),
+        false,
+    );
     assert!((10..40).contains(&fair), "{fair}");
 }
 
 #[test]
 fn a_hanging_target_gets_nothing_more_and_a_long_file_is_no_hang() {
-    let mut pool = pool(Policy::Least);
+    let mut pool = pool(Policy::LeastRequests);
     serve(&mut pool, Sample::Answered(ms(10)), false);
     pool.started(ms(200), "a", "look-up", 900);
     assert!(!pool.is_apart(ms(400), "a"));
@@ -419,7 +445,7 @@
 
 #[test]
 fn if_all_are_bad_the_fault_is_not_theirs() {
-    let mut pool = pool(Policy::Least);
+    let mut pool = pool(Policy::LeastRequests);
     for ticket in 0..100 {
         let target = pool.pick(ms(ticket), ticket).expect("one is always picked");
         pool.started(ms(ticket), &target, "look-up", ticket);
@@ -429,7 +455,7 @@
 
 #[test]
 fn a_target_comes_back_once_it_answers_well() {
-    let mut pool = pool(Policy::Least);
+    let mut pool = pool(Policy::LeastRequests);
     serve(&mut pool, Sample::Answered(ms(0)), true);
     assert!(pool.is_apart(ms(200), "a"));
     let later = ms(60_000);
@@ -438,7 +464,7 @@
     pool.ended(later, "a", 900, Sample::Answered(ms(10)), false);
     assert!(!pool.is_apart(later, "a"));
     // A single bad answer on trial sets it apart again.
-    let mut pool = self::pool(Policy::Least);
+    let mut pool = self::pool(Policy::LeastRequests);
     serve(&mut pool, Sample::Answered(ms(0)), true);
     pool.started(later, "a", "look-up", 900);
     pool.ended(later, "a", 900, Sample::Answered(ms(0)), true);
@@ -448,11 +474,11 @@
 #[test]
 fn retries_keep_to_their_rules() {
     let deadline = Deadline { at: ms(1_000) };
-    let tried = |outcome, idempotent, count| Try {
-        count,
+    let tried = |outcome, idempotent, number| FailedAttempt {
+        number,
         outcome,
         idempotent,
-        after: None,
+        retry_after: None,
     };
     let cases = [
         (tried(Outcome::NotRun, false, 1), true),
@@ -466,8 +492,8 @@
         let wait = Budget::default().retry(ms(0), &tried, deadline, 7);
         assert_eq!(wait.is_some(), expected, "{tried:?}");
     }
-    let asked = Try {
-        after: Some(ms(600)),
+    let asked = FailedAttempt {
+        retry_after: Some(ms(600)),
         ..tried(Outcome::NotRun, true, 1)
     };
     assert_eq!(Budget::default().retry(ms(0), &asked, deadline, 7), None);
@@ -477,11 +503,11 @@
 
 #[test]
 fn retries_are_a_tenth_of_recent_successes() {
-    let tried = Try {
-        count: 1,
+    let tried = FailedAttempt {
+        number: 1,
         outcome: Outcome::NotRun,
         idempotent: true,
-        after: None,
+        retry_after: None,
     };
     let deadline = Deadline { at: ms(100_000) };
     let mut budget = Budget::default();
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -564,7 +564,7 @@
                 };
                 let live = vm
                     .table
-                    .until(&owner)
+                    .valid_until(&owner)
                     .is_some_and(|until| vm.clock.read(time) < until);
                 if owner.fencing == Fencing::Unchecked && live {
                     owners.push((point, owner.epoch, owner.target, true));
@@ -591,7 +591,7 @@
             let leases = |vm: &Vm| {
                 let owner = vm.table.owner(*point);
                 owner.is_some_and(|owner| {
-                    let until = vm.table.until(&owner);
+                    let until = vm.table.valid_until(&owner);
                     let server = &self.servers[&owner.target];
                     owner.fencing == Fencing::Unchecked
                         && until.is_some_and(|until| vm.clock.read(time) < until)
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use bramleypier::quarantine::{Check, DOUBLE, Death, EXPIRY, End, Event, Item, Quarantine};
+use bramleypier::quarantine::{
+    DOUBLE, Decision, EXPIRY, End, Event, Incarnation, Quarantine, Suspect,
+};
 use proptest::{
     collection,
     prelude::*,
@@ -16,19 +18,26 @@
     Duration::from_millis(1_000_000 + ms)
 }
 
-fn death(target: &str, boot: u32) -> Death {
-    Death {
+fn death(target: &str, boot: u32) -> Incarnation {
+    Incarnation {
         target: target.into(),
         boot: boot.to_string(),
     }
 }
 
-fn send(vm: &mut Quarantine, ms: u64, ticket: u64, print: u128, on: &Death) {
-    let on = on.clone();
-    vm.on(at(ms), Event::Sent { ticket, print, on });
+fn send(vm: &mut Quarantine, ms: u64, ticket: u64, fingerprint: u128, incarnation: &Incarnation) {
+    let incarnation = incarnation.clone();
+    vm.on(
+        at(ms),
+        Event::Sent {
+            ticket,
+            fingerprint,
+            incarnation,
+        },
+    );
 }
 
-fn end(vm: &mut Quarantine, ms: u64, ticket: u64, end: End) -> Vec<Item> {
+fn end(vm: &mut Quarantine, ms: u64, ticket: u64, end: End) -> Vec<Suspect> {
     vm.on(at(ms), Event::Ended { ticket, end })
 }
 
@@ -42,15 +51,15 @@
         let vm = usize::try_from(step % 2).unwrap();
         if matches!(
             vms[vm].check(at(now), KILLER, "a"),
-            Check::Refuse(_) | Check::Wait(_)
+            Decision::Refuse(_) | Decision::Wait(_)
         ) {
             continue;
         }
         let on = death("a", deaths);
         send(&mut vms[vm], now, step, KILLER, &on);
-        end(&mut vms[vm], now + 1, step, End::Broken);
+        end(&mut vms[vm], now + 1, step, End::Lost);
         let news = vms[vm].on(at(now + 2), Event::Died(on));
-        vms[1 - vm].on(at(now + 3), Event::Heard(news));
+        vms[1 - vm].on(at(now + 3), Event::Received(news));
         deaths += 1;
         if now < 600_000 {
             assert!(deaths <= 2, "{deaths} deaths by {now} ms");
@@ -68,30 +77,30 @@
     send(&mut there, 0, 1, INNOCENT, &on);
     let news = here.on(at(5), Event::Died(on.clone()));
     let more = there.on(at(6), Event::Died(on));
-    here.on(at(7), Event::Heard(more));
-    there.on(at(7), Event::Heard(news));
+    here.on(at(7), Event::Received(more));
+    there.on(at(7), Event::Received(news));
     for vm in [&here, &there] {
-        assert_eq!(vm.check(at(10), INNOCENT, "b"), Check::Alone);
-        assert_eq!(vm.check(at(10), KILLER, "b"), Check::Alone);
+        assert_eq!(vm.check(at(10), INNOCENT, "b"), Decision::RunAlone);
+        assert_eq!(vm.check(at(10), KILLER, "b"), Decision::RunAlone);
     }
     let next = death("b", 1);
     send(&mut here, 20, 2, INNOCENT, &next);
-    assert!(matches!(here.check(at(21), KILLER, "b"), Check::Wait(_)));
-    assert_eq!(here.check(at(21), KILLER, "c"), Check::Alone);
+    assert!(matches!(here.check(at(21), KILLER, "b"), Decision::Wait(_)));
+    assert_eq!(here.check(at(21), KILLER, "c"), Decision::RunAlone);
     let cleared = end(&mut here, 25, 2, End::Completed);
-    assert_eq!(here.check(at(26), INNOCENT, "b"), Check::Free);
-    there.on(at(27), Event::Heard(cleared));
-    assert_eq!(there.check(at(28), INNOCENT, "b"), Check::Free);
+    assert_eq!(here.check(at(26), INNOCENT, "b"), Decision::Allow);
+    there.on(at(27), Event::Received(cleared));
+    assert_eq!(there.check(at(28), INNOCENT, "b"), Decision::Allow);
     // The killer's own turn is its second death, and its last.
     send(&mut here, 30, 3, KILLER, &next);
     let news = here.on(at(31), Event::Died(next));
-    there.on(at(32), Event::Heard(news));
+    there.on(at(32), Event::Received(news));
     for vm in [&here, &there] {
         assert!(matches!(
             vm.check(at(40_000), KILLER, "c"),
-            Check::Refuse(_)
+            Decision::Refuse(_)
         ));
-        assert_eq!(vm.check(at(40), INNOCENT, "c"), Check::Free);
+        assert_eq!(vm.check(at(40), INNOCENT, "c"), Decision::Allow);
     }
 }
 
@@ -103,22 +112,22 @@
         let ticket = u64::from(boot) * 2;
         send(&mut vm, 0, ticket, KILLER, &on);
         send(&mut vm, 0, ticket + 1, INNOCENT, &on);
-        end(&mut vm, 1, ticket, End::Broken);
-        end(&mut vm, 1, ticket + 1, End::Broken);
+        end(&mut vm, 1, ticket, End::Lost);
+        end(&mut vm, 1, ticket + 1, End::Lost);
         vm.on(at(2), Event::Died(on));
     }
-    let waits = [KILLER, INNOCENT].map(|print| match vm.check(at(3), print, "a") {
-        Check::Refuse(wait) => wait,
+    let waits = [KILLER, INNOCENT].map(|fingerprint| match vm.check(at(3), fingerprint, "a") {
+        Decision::Refuse(wait) => wait,
         other => panic!("{other:?}"),
     });
     assert!(waits[0] != waits[1] && waits.iter().all(|wait| *wait <= 2 * DOUBLE));
     let on = death("a", 2);
     send(&mut vm, 61_000, 10, INNOCENT, &on);
     end(&mut vm, 61_001, 10, End::Completed);
-    assert_eq!(vm.check(at(61_002), INNOCENT, "a"), Check::Free);
+    assert_eq!(vm.check(at(61_002), INNOCENT, "a"), Decision::Allow);
     assert!(matches!(
         vm.check(at(61_002), KILLER, "a"),
-        Check::Refuse(_)
+        Decision::Refuse(_)
     ));
 }
 
@@ -129,27 +138,27 @@
     let cases = [
         (10, Some(End::NotRun), 100, false),
         (11, Some(End::Completed), 100, false),
-        (12, Some(End::Broken), 100, true),
+        (12, Some(End::Lost), 100, true),
         (13, None, 100, true),
-        (14, Some(End::Broken), 6_000, false),
+        (14, Some(End::Lost), 6_000, false),
     ];
-    for (print, how, before, _) in cases {
-        let ticket = u64::try_from(print).unwrap();
-        send(&mut vm, 10_000 - before, ticket, print, &on);
+    for (fingerprint, how, before, _) in cases {
+        let ticket = u64::try_from(fingerprint).unwrap();
+        send(&mut vm, 10_000 - before, ticket, fingerprint, &on);
         if let Some(how) = how {
             end(&mut vm, 10_000 - before, ticket, how);
         }
     }
     send(&mut vm, 10_000, 99, 15, &death("b", 1));
     let news = vm.on(at(10_000), Event::Died(on));
-    for (print, _, _, expected) in cases {
+    for (fingerprint, _, _, expected) in cases {
         assert_eq!(
-            news.iter().any(|item| item.print == print),
+            news.iter().any(|item| item.fingerprint == fingerprint),
             expected,
-            "{print}"
+            "{fingerprint}"
         );
     }
-    assert_eq!(vm.check(at(10_001), 15, "b"), Check::Free);
+    assert_eq!(vm.check(at(10_001), 15, "b"), Decision::Allow);
 }
 
 #[test]
@@ -158,26 +167,28 @@
     let on = death("a", 1);
     send(&mut vm, 0, 1, KILLER, &on);
     vm.on(at(0), Event::Died(on));
-    assert_eq!(vm.check(at(30_000), KILLER, "a"), Check::Alone);
-    assert_eq!(vm.check(at(0) + EXPIRY, KILLER, "a"), Check::Free);
+    assert_eq!(vm.check(at(30_000), KILLER, "a"), Decision::RunAlone);
+    assert_eq!(vm.check(at(0) + EXPIRY, KILLER, "a"), Decision::Allow);
     for step in 0..40_000 {
-        let item = Item {
-            print: step,
+        let item = Suspect {
+            fingerprint: step,
             death: death("a", 2),
             at: at(1),
             cleared: false,
         };
-        vm.on(at(2), Event::Heard(vec![item]));
+        vm.on(at(2), Event::Received(vec![item]));
     }
     assert!(vm.items().len() <= 16_384);
 }
 
-fn item() -> impl Strategy<Value = Item> {
-    (0u128..4, 0u32..4, 0u64..100, any::<bool>()).prop_map(|(print, boot, ms, cleared)| Item {
-        print,
-        death: death("a", boot),
-        at: at(ms),
-        cleared,
+fn item() -> impl Strategy<Value = Suspect> {
+    (0u128..4, 0u32..4, 0u64..100, any::<bool>()).prop_map(|(fingerprint, boot, ms, cleared)| {
+        Suspect {
+            fingerprint,
+            death: death("a", boot),
+            at: at(ms),
+            cleared,
+        }
     })
 }
 
@@ -195,15 +206,15 @@
         order in any::<u64>(),
     ) {
         let mut one = Quarantine::default();
-        one.on(at(200), Event::Heard(items.clone()));
+        one.on(at(200), Event::Received(items.clone()));
         let mut other = Quarantine::default();
         let turn = usize::try_from(order % 31).unwrap() % items.len().max(1);
         let turned = items[turn..].iter().chain(&items[..turn]).chain(items.iter().rev());
         for item in turned.cloned() {
-            other.on(at(200), Event::Heard(vec![item]));
+            other.on(at(200), Event::Received(vec![item]));
         }
-        for print in 0..4 {
-            prop_assert_eq!(one.check(at(300), print, "a"), other.check(at(300), print, "a"));
+        for fingerprint in 0..4 {
+            prop_assert_eq!(one.check(at(300), fingerprint, "a"), other.check(at(300), fingerprint, "a"));
         }
     }
 }
