--- a/src/entry/desk.rs
+++ b/src/entry/desk.rs
@@ -16,7 +16,7 @@
     metrics,
     order::{
         self, Answer, Effect, Ledger, Order, Starter, Views, ledger, plan,
-        starter::{self, Decision, End, Why},
+        starter::{self, Decision, End, UnknownReason},
     },
     peer,
     platform::{self, Put},
@@ -163,7 +163,7 @@
             .collect();
         for token in left {
             self.waiting.swap_remove(&token);
-            self.starter(starter::Event::Dropped { token });
+            self.starter(starter::Event::Cancelled { token });
         }
     }
 
@@ -290,7 +290,7 @@
             self.parts.recorder.count(&metrics::ORDERS_DOUBLE, None);
         }
         if let Err((token, Decision::Run)) = reply.send((token, decision)) {
-            self.starter(starter::Event::Dropped { token });
+            self.starter(starter::Event::Cancelled { token });
         }
     }
 
@@ -344,7 +344,7 @@
 
     /// Records changes of views: one event for all shards that change alike.
     fn note(&self, notes: &[order::Note]) {
-        let mut alike: IndexMap<(order::Change, order::Number), Vec<String>> = IndexMap::new();
+        let mut alike: IndexMap<(order::Change, order::ViewNumber), Vec<String>> = IndexMap::new();
         for note in notes {
             let shards = alike.entry((note.change, note.view)).or_default();
             shards.push(note.shard.to_string());
@@ -418,8 +418,8 @@
     let id = job.call.id.as_ref()?;
     Some(Order {
         id: format!("{}/{id}", job.call.service),
-        made: call::made_at(id),
-        print: request::fingerprint(&job.call.method, &job.call.uri, bytes),
+        created_at: call::made_at(id),
+        fingerprint: request::fingerprint(&job.call.method, &job.call.uri, bytes),
     })
 }
 
@@ -431,27 +431,31 @@
     let (reply, answer) = oneshot::channel();
     let message = Message::Begin { order, left, reply };
     let _ = context.desk.unbounded_send(message);
-    answer.await.unwrap_or((0, Decision::Unknown(Why::Silent)))
+    answer
+        .await
+        .unwrap_or((0, Decision::Unknown(UnknownReason::NoReply)))
 }
 
-fn unknown(why: Why) -> Verdict {
+fn unknown(why: UnknownReason) -> Verdict {
     let (status, reason) = match why {
-        Why::Lost => (502, "it may have run before; nobody knows any more"),
-        Why::Running => (409, "it is still running"),
-        Why::Silent => (
+        UnknownReason::Lost => (502, "it may have run before; nobody knows any more"),
+        UnknownReason::Running => (409, "it is still running"),
+        UnknownReason::NoReply => (
             503,
             "who remembers it did not answer; this attempt did not run",
         ),
-        Why::Full => (
+        UnknownReason::MemoryFull => (
             503,
             "there is no room to remember it; this attempt did not run",
         ),
-        Why::Ahead => (400, "its id is dated too far ahead"),
+        UnknownReason::DatedAhead => (400, "its id is dated too far ahead"),
     };
     let verdict = Verdict::unknown(status, Step::Order, SELF, reason);
     match why {
-        Why::Running | Why::Silent | Why::Full => verdict.retry_after(COME_BACK),
-        Why::Lost | Why::Ahead => verdict,
+        UnknownReason::Running | UnknownReason::NoReply | UnknownReason::MemoryFull => {
+            verdict.retry_after(COME_BACK)
+        }
+        UnknownReason::Lost | UnknownReason::DatedAhead => verdict,
     }
 }
 
--- a/src/grantor/mod.rs
+++ b/src/grantor/mod.rs
@@ -12,7 +12,7 @@
     balance::Load,
     document::Document,
     group::{self, Record, build::Candidate, merge},
-    handover::{Facts, Handover},
+    handover::{Handover, Handovers},
     id::{DomainId, Epoch, GroupId, TargetId, Term, Version, VmId},
     range::Range,
 };
@@ -63,7 +63,7 @@
     /// The record with the facts laid over it.
     view: Record,
     /// Handovers that the record doesn't carry yet.
-    facts: Facts,
+    facts: Handovers,
     /// When facts were last spread again.
     spread: Duration,
     /// Words got, by giver and failure domain, with their ends.
@@ -148,7 +148,7 @@
             flaw: Flaw::None,
             record: None,
             view: Record::default(),
-            facts: Facts::new(),
+            facts: Handovers::new(),
             spread: Duration::ZERO,
             words: IndexMap::new(),
             reads: IndexMap::new(),
--- a/src/grantor/release.rs
+++ b/src/grantor/release.rs
@@ -8,7 +8,7 @@
     document::Fencing,
     grantor::{Effect, Grantor, Kind, Mark, flaw::Flaw, note, starts_stopped, watch::Watch},
     group::{self, Entry},
-    handover::{Handover, Heir},
+    handover::{Handover, Successor},
     id::TargetId,
 };
 
@@ -99,12 +99,12 @@
     ) -> bool {
         let heir = |target: &TargetId| {
             let member = self.view.members.get(target)?;
-            Some(Heir {
+            Some(Successor {
                 target: target.clone(),
                 term: member.term,
             })
         };
-        let chain: Option<Vec<Heir>> = entry.chain.iter().skip(1).map(heir).collect();
+        let chain: Option<Vec<Successor>> = entry.chain.iter().skip(1).map(heir).collect();
         let Some(chain) = chain.filter(|chain| !chain.is_empty()) else {
             return false;
         };
--- a/src/group/merge.rs
+++ b/src/group/merge.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     group::{Entry, Record},
-    handover::{Facts, Handover},
+    handover::{Handover, Handovers},
     id::TargetId,
     range::Range,
 };
@@ -12,12 +12,12 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::{group::{Record, merge}, handover::Facts};
+/// use bramleypier::{group::{Record, merge}, handover::Handovers};
 ///
 /// let record = Record::default();
-/// assert_eq!(merge::view(&record, &Facts::new()), record);
+/// assert_eq!(merge::view(&record, &Handovers::new()), record);
 /// ```
-pub fn view(record: &Record, facts: &Facts) -> Record {
+pub fn view(record: &Record, facts: &Handovers) -> Record {
     let mut view = record.clone();
     let mut order: Vec<&Handover> = facts.values().collect();
     order.sort_by_key(|fact| fact.epoch);
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -22,13 +22,13 @@
     /// The new owner's epoch.
     pub epoch: Epoch,
     /// The new owner, then its heirs in order.
-    pub chain: Vec<Heir>,
+    pub chain: Vec<Successor>,
 }
 
 /// A target under one term of its membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Heir {
+pub struct Successor {
     /// The target.
     pub target: TargetId,
     /// Its term.
@@ -36,4 +36,4 @@
 }
 
 /// Handovers by range and epoch.
-pub type Facts = IndexMap<(Range, Epoch), Handover>;
+pub type Handovers = IndexMap<(Range, Epoch), Handover>;
--- a/src/order/decision.rs
+++ b/src/order/decision.rs
@@ -11,22 +11,22 @@
     /// It ran before; this is its answer.
     Ran(Answer),
     /// It may have run before. It is safe to send it again with the same id.
-    Unknown(Why),
+    Unknown(UnknownReason),
     /// The id was used for something else; this attempt was not run, and the caller is at fault.
     Mismatch,
 }
 
 /// Why it can't be said whether an order ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum UnknownReason {
     /// It may have run, and nobody knows any more.
     Lost,
     /// It was still running when the caller's time ended.
     Running,
     /// The members of its shard gave no answer in time.
-    Silent,
+    NoReply,
     /// The members' memory is full.
-    Full,
+    MemoryFull,
     /// The id is dated too far ahead.
-    Ahead,
+    DatedAhead,
 }
--- a/src/order/entry.rs
+++ b/src/order/entry.rs
@@ -17,7 +17,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Entry {
     /// The time that its id carries.
-    pub made: Option<Duration>,
+    #[serde(rename = "made")]
+    pub created_at: Option<Duration>,
     /// How long ago it last changed, where the entry travels.
     pub age: Duration,
     /// The attempts.
@@ -29,7 +30,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Trial {
     /// What it asked for.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
     /// What became of it.
     pub fate: Fate,
 }
--- a/src/order/ledger.rs
+++ b/src/order/ledger.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use super::{
-    Attempt, Change, Effect, Fate, Flaw, Message, Number, Order, Reply, Shard, View, Views,
+    Attempt, Change, Effect, Fate, Flaw, Message, Order, Reply, Shard, View, ViewNumber, Views,
     memory::{Limits, Memory},
     plan::{Member, Peers},
     replica::{Replica, Resign, Role, note, reply},
@@ -268,7 +268,7 @@
         now: Duration,
         order: Order,
         attempt: Attempt,
-        view: Number,
+        view: ViewNumber,
         wall: Duration,
     ) -> Vec<Effect> {
         let retention = self.limits.retention;
@@ -450,7 +450,7 @@
         })
     }
 
-    fn replica(&mut self, shard: Shard, view: Number) -> Option<&mut Replica> {
+    fn replica(&mut self, shard: Shard, view: ViewNumber) -> Option<&mut Replica> {
         let replica = self.shards.get_mut(shard)?;
         (replica.view.number == view).then_some(replica)
     }
--- a/src/order/memory.rs
+++ b/src/order/memory.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 pub use super::entry::{Entry, Standing, Trial};
-use super::{Attempt, Fate, Flaw, Order, OrderId, entry::ENTRY_BYTES, held::Held};
+use super::{Attempt, Fate, Flaw, Order, OrderId, entry::ENTRY_BYTES, stored::StoredOrder};
 use crate::id::VmId;
 
 /// How much is remembered, and for how long.
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     limits: Limits,
-    entries: IndexMap<OrderId, Held>,
+    entries: IndexMap<OrderId, StoredOrder>,
     /// Ids by arrival, for forgetting; one that is gone from `entries` is skipped.
     arrivals: VecDeque<OrderId>,
     /// The orders with an open attempt: few, and looked through often.
@@ -177,7 +177,7 @@
         old.flat_map(|(id, held)| {
             let attempts = held.entry.attempts.iter();
             let open = attempts.filter(|(_, trial)| trial.fate == Fate::Open);
-            open.map(|(attempt, trial)| (held.order(id, trial.print), attempt.clone()))
+            open.map(|(attempt, trial)| (held.order(id, trial.fingerprint), attempt.clone()))
         })
     }
 
@@ -188,14 +188,16 @@
     /// ```
     /// use bramleypier::order::{Attempt, Order, memory::{Memory, Standing}};
     ///
-    /// let order = Order { id: "dispatch/1".into(), made: None, print: 1 };
+    /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
     /// let attempt = Attempt { vm: "a#1".into(), seq: 1 };
     /// assert_eq!(Memory::default().standing(&order, &attempt), Standing::Free);
     /// ```
     pub fn standing(&self, order: &Order, attempt: &Attempt) -> Standing {
         let held = self.entries.get(&order.id);
         let standing = held.and_then(|held| held.standing(order, attempt, self.flaw));
-        let forgotten = order.made.is_some_and(|made| made <= self.floor);
+        let forgotten = order
+            .created_at
+            .is_some_and(|created_at| created_at <= self.floor);
         match standing {
             Some(Standing::Mismatch) if forgotten => Standing::Unknown,
             Some(standing) => standing,
@@ -214,7 +216,7 @@
     /// use bramleypier::order::{Attempt, Fate, Order, memory::{Memory, Standing}};
     ///
     /// let mut memory = Memory::default();
-    /// let order = Order { id: "dispatch/1".into(), made: None, print: 1 };
+    /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
     /// let [first, second] = [1, 2].map(|seq| Attempt { vm: "a#1".into(), seq });
     /// memory.learn(Duration::ZERO, &order, first, Fate::Open);
     /// assert_eq!(memory.standing(&order, &second), Standing::Running);
@@ -227,9 +229,9 @@
         let held = self
             .entries
             .entry(order.id.clone())
-            .or_insert_with(|| Held::new(order.made));
+            .or_insert_with(|| StoredOrder::new(order.created_at));
         let trial = held.entry.attempts.entry(attempt).or_insert(Trial {
-            print: order.print,
+            fingerprint: order.fingerprint,
             fate: Fate::Open,
         });
         let news = trial.fate.merge(fate) || !known;
@@ -264,8 +266,8 @@
         for (attempt, trial) in entry.attempts {
             let order = Order {
                 id: id.into(),
-                made: entry.made,
-                print: trial.print,
+                created_at: entry.created_at,
+                fingerprint: trial.fingerprint,
             };
             self.learn(changed, &order, attempt, trial.fate);
         }
@@ -304,7 +306,7 @@
         }
         let entries = &self.entries;
         self.open
-            .retain(|id| entries.get(id).is_some_and(Held::is_open));
+            .retain(|id| entries.get(id).is_some_and(StoredOrder::is_open));
         given
     }
 
@@ -380,6 +382,6 @@
         };
         self.bytes -= held.bytes;
         self.forgotten += 1;
-        self.raise_floor(held.entry.made.unwrap_or_default());
+        self.raise_floor(held.entry.created_at.unwrap_or_default());
     }
 }
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -17,13 +17,13 @@
 
 pub mod decision;
 pub mod entry;
-mod held;
 pub mod ledger;
 pub mod memory;
 mod pending;
 pub mod plan;
 mod replica;
 pub mod starter;
+mod stored;
 pub mod view;
 
 use std::time::Duration;
@@ -43,7 +43,7 @@
 /// The index of a shard.
 pub type Shard = usize;
 /// The number of a view of one shard; it only grows.
-pub type Number = u64;
+pub type ViewNumber = u64;
 
 /// How far an id's time may be ahead of the clock of the VM that takes it.
 pub const AHEAD: Duration = Duration::from_secs(15);
@@ -146,9 +146,11 @@
     /// Its id.
     pub id: OrderId,
     /// The time that its id carries, since the Unix epoch.
-    pub made: Option<Duration>,
+    #[serde(rename = "made")]
+    pub created_at: Option<Duration>,
     /// What it asks for.
-    pub print: Fingerprint,
+    #[serde(rename = "print")]
+    pub fingerprint: Fingerprint,
 }
 
 /// What VMs tell each other about orders.
@@ -162,7 +164,7 @@
         /// The attempt.
         attempt: Attempt,
         /// The view under which it is asked.
-        view: Number,
+        view: ViewNumber,
         /// The entry VM's wall clock, since the Unix epoch.
         wall: Duration,
     },
@@ -171,7 +173,7 @@
         /// The attempt.
         attempt: Attempt,
         /// The view for which the reply holds.
-        view: Number,
+        view: ViewNumber,
         /// The reply.
         reply: Reply,
     },
@@ -201,7 +203,7 @@
         /// The shard.
         shard: Shard,
         /// The view.
-        view: Number,
+        view: ViewNumber,
         /// The index of the part.
         part: u64,
         /// Whether it is the last.
@@ -216,7 +218,7 @@
         /// The shard.
         shard: Shard,
         /// The view.
-        view: Number,
+        view: ViewNumber,
         /// The index of the part.
         part: u64,
     },
@@ -225,14 +227,14 @@
         /// The shard.
         shard: Shard,
         /// The view.
-        view: Number,
+        view: ViewNumber,
     },
     /// The answer to it.
     Resigned {
         /// The shard.
         shard: Shard,
         /// The view.
-        view: Number,
+        view: ViewNumber,
     },
 }
 
@@ -318,7 +320,7 @@
     /// The shard.
     pub shard: Shard,
     /// The view.
-    pub view: Number,
+    pub view: ViewNumber,
     /// What changed.
     pub change: Change,
 }
--- a/src/order/pending.rs
+++ b/src/order/pending.rs
@@ -5,8 +5,8 @@
 use indexmap::IndexSet;
 
 use super::{
-    Attempt, Effect, Fate, Flaw, Message, Number, Order, View, Views,
-    decision::{Decision, Why},
+    Attempt, Effect, Fate, Flaw, Message, Order, View, ViewNumber, Views,
+    decision::{Decision, UnknownReason},
 };
 use crate::id::VmId;
 
@@ -50,8 +50,8 @@
 /// What the members said, with the views for which they said it.
 #[derive(Debug, Default)]
 pub(super) struct Words {
-    pub(super) home: Option<Number>,
-    pub(super) standby: Option<Number>,
+    pub(super) home: Option<ViewNumber>,
+    pub(super) standby: Option<ViewNumber>,
     pub(super) alone: bool,
     pub(super) running: bool,
 }
@@ -67,9 +67,9 @@
     /// an order that was never sent may have run before.
     pub(super) fn late(&self) -> Decision {
         Decision::Unknown(if self.running {
-            Why::Running
+            UnknownReason::Running
         } else {
-            Why::Silent
+            UnknownReason::NoReply
         })
     }
 }
--- a/src/order/replica.rs
+++ b/src/order/replica.rs
@@ -5,7 +5,8 @@
 use indexmap::IndexMap;
 
 use super::{
-    Attempt, Change, Effect, Fate, Flaw, Message, Note, Number, Order, OrderId, Reply, Shard, View,
+    Attempt, Change, Effect, Fate, Flaw, Message, Note, Order, OrderId, Reply, Shard, View,
+    ViewNumber,
     memory::{Entry, Memory, Standing},
 };
 use crate::id::VmId;
@@ -152,8 +153,8 @@
         let Some(horizon) = self.view.horizon else {
             return false;
         };
-        match order.made {
-            Some(made) => made <= horizon,
+        match order.created_at {
+            Some(created_at) => created_at <= horizon,
             None => wall <= horizon + retention,
         }
     }
@@ -366,7 +367,7 @@
     }
 }
 
-pub(super) fn reply(attempt: Attempt, view: Number, reply: Reply) -> Effect {
+pub(super) fn reply(attempt: Attempt, view: ViewNumber, reply: Reply) -> Effect {
     Effect::Send {
         to: attempt.vm.clone(),
         message: Message::Reply {
@@ -377,7 +378,7 @@
     }
 }
 
-pub(super) fn note(shard: Shard, view: Number, change: Change) -> Effect {
+pub(super) fn note(shard: Shard, view: ViewNumber, change: Change) -> Effect {
     Effect::Note(Note {
         shard,
         view,
--- a/src/order/starter.rs
+++ b/src/order/starter.rs
@@ -4,9 +4,9 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-pub use super::decision::{Decision, Why};
+pub use super::decision::{Decision, UnknownReason};
 use super::{
-    AHEAD, Answer, Attempt, Effect, Fate, Flaw, Message, Number, Order, Reply, View, Views,
+    AHEAD, Answer, Attempt, Effect, Fate, Flaw, Message, Order, Reply, View, ViewNumber, Views,
     pending::{Pending, Phase, Request, Words},
 };
 use crate::{
@@ -46,7 +46,7 @@
         end: End,
     },
     /// The caller went away before it heard the decision, so nothing was sent.
-    Dropped {
+    Cancelled {
         /// Its number.
         token: u64,
     },
@@ -135,7 +135,7 @@
     /// use bramleypier::order::{Effect, Order, Starter, starter::Event};
     ///
     /// let mut starter = Starter::new("a#1");
-    /// let order = Order { id: "dispatch/1".into(), made: None, print: 1 };
+    /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
     /// let effects = starter.on(Duration::ZERO, Event::Begin {
     ///     token: 1,
     ///     order,
@@ -154,7 +154,7 @@
                 wall,
             } => self.begin(now, token, order, deadline, wall),
             Event::Ended { token, end } => self.ended(now, token, end),
-            Event::Dropped { token } => self.dropped(now, token),
+            Event::Cancelled { token } => self.dropped(now, token),
             Event::Message { from, message } => self.take_message(now, from, message),
             Event::Tick => self.tick(now),
         }
@@ -197,8 +197,11 @@
         deadline: Duration,
         wall: Duration,
     ) -> Vec<Effect> {
-        if order.made.is_some_and(|made| made > wall + AHEAD) {
-            return vec![decide(token, Decision::Unknown(Why::Ahead))];
+        if order
+            .created_at
+            .is_some_and(|created_at| created_at > wall + AHEAD)
+        {
+            return vec![decide(token, Decision::Unknown(UnknownReason::DatedAhead))];
         }
         let request = Request {
             token,
@@ -334,7 +337,13 @@
         }
     }
 
-    fn take_reply(&mut self, now: Duration, seq: u64, view: Number, reply: Reply) -> Vec<Effect> {
+    fn take_reply(
+        &mut self,
+        now: Duration,
+        seq: u64,
+        view: ViewNumber,
+        reply: Reply,
+    ) -> Vec<Effect> {
         if let Reply::Moved(newer) = reply {
             return self.moved(now, seq, newer);
         }
@@ -366,9 +375,9 @@
             Reply::NotReady | Reply::Moved(_) => None,
             Reply::Ended => return self.restart(now, seq),
             Reply::Ran(answer) => Some(Decision::Ran(answer)),
-            Reply::Unknown => Some(Decision::Unknown(Why::Lost)),
+            Reply::Unknown => Some(Decision::Unknown(UnknownReason::Lost)),
             Reply::Mismatch => Some(Decision::Mismatch),
-            Reply::Full => Some(Decision::Unknown(Why::Full)),
+            Reply::Full => Some(Decision::Unknown(UnknownReason::MemoryFull)),
         };
         if let Some(decision) = decision {
             let mut effects = self.close(now, seq, Fate::NotRun);
--- a/src/order/held.rs
+++ b/src/order/stored.rs
@@ -13,17 +13,17 @@
 
 /// One order in memory.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct StoredOrder {
     pub(super) entry: Entry,
     pub(super) changed: Duration,
     pub(super) bytes: usize,
 }
 
-impl Held {
-    pub(super) fn new(made: Option<Duration>) -> Self {
+impl StoredOrder {
+    pub(super) fn new(created_at: Option<Duration>) -> Self {
         Self {
             entry: Entry {
-                made,
+                created_at,
                 ..Entry::default()
             },
             changed: Duration::ZERO,
@@ -31,11 +31,11 @@
         }
     }
 
-    pub(super) fn order(&self, id: &str, print: Fingerprint) -> Order {
+    pub(super) fn order(&self, id: &str, fingerprint: Fingerprint) -> Order {
         Order {
             id: id.into(),
-            made: self.entry.made,
-            print,
+            created_at: self.entry.created_at,
+            fingerprint,
         }
     }
 
@@ -54,7 +54,7 @@
             return Some(Standing::Ended);
         }
         let counted = || attempts.iter().filter(|(_, it)| it.fate != Fate::NotRun);
-        let alike = |it: &Trial| it.print == order.print || flaw == Flaw::AnyPrint;
+        let alike = |it: &Trial| it.fingerprint == order.fingerprint || flaw == Flaw::AnyPrint;
         let ran = counted().find_map(|(_, trial)| match &trial.fate {
             Fate::Ran(answer) => Some((alike(trial), answer)),
             _ => None,
@@ -78,7 +78,7 @@
     }
 
     pub(super) fn may_go(&self, now: Duration, retention: Duration) -> bool {
-        let dated = self.entry.made.is_some();
+        let dated = self.entry.created_at.is_some();
         !self.is_open() && (dated || self.changed + retention <= now)
     }
 
--- a/src/order/view.rs
+++ b/src/order/view.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::{Number, Shard};
+use super::{Shard, ViewNumber};
 use crate::{
     id::{DomainId, VmId},
     key,
@@ -19,13 +19,13 @@
 #[serde(deny_unknown_fields)]
 pub struct View {
     /// The view's number.
-    pub number: Number,
+    pub number: ViewNumber,
     /// The arbiter.
     pub home: VmId,
     /// The second memory; nothing while there is no other VM.
     pub standby: Option<VmId>,
     /// The view since which nothing was lost: the first, or the last after a loss of both.
-    pub founded: Number,
+    pub founded: ViewNumber,
     /// Ids not provably younger than this were perhaps lost, since the Unix epoch.
     pub horizon: Option<Duration>,
 }
--- a/src/route.rs
+++ b/src/route.rs
@@ -8,7 +8,7 @@
     document::Fencing,
     grantor::{Leased, Timing},
     group::{Entry, Record, merge},
-    handover::{Facts, Handover},
+    handover::{Handover, Handovers},
     id::{BootId, Epoch, TargetId, Term, Version},
     key::Point,
     range::Range,
@@ -40,22 +40,22 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::{group::Record, handover::Facts, route::Table};
+/// use bramleypier::{group::Record, handover::Handovers, route::Table};
 ///
-/// let table = Table::from((1, Record::default(), Facts::new()));
+/// let table = Table::from((1, Record::default(), Handovers::new()));
 /// assert!(table.owner(7).is_none());
 /// ```
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     version: Version,
     record: Record,
-    facts: Facts,
+    facts: Handovers,
     view: Record,
     leases: IndexMap<(Range, Epoch, TargetId, Term), Duration>,
 }
 
-impl From<(Version, Record, Facts)> for Table {
-    fn from((version, record, facts): (Version, Record, Facts)) -> Self {
+impl From<(Version, Record, Handovers)> for Table {
+    fn from((version, record, facts): (Version, Record, Handovers)) -> Self {
         let mut table = Self::default();
         table.on_record(version, record);
         for fact in facts.into_values() {
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -5,7 +5,7 @@
 use bramleypier::order::{
     Answer, Attempt, Effect, Fate, Ledger, Message, Order, Reply, Starter, View, Views, ledger,
     memory::Limits,
-    starter::{self, Decision, Why},
+    starter::{self, Decision, UnknownReason},
 };
 
 const HOME: &str = "home#1";
@@ -26,11 +26,11 @@
     }
 }
 
-fn order(id: &str, print: u128) -> Order {
+fn order(id: &str, fingerprint: u128) -> Order {
     Order {
         id: id.into(),
-        made: Some(WALL),
-        print,
+        created_at: Some(WALL),
+        fingerprint,
     }
 }
 
@@ -102,13 +102,13 @@
         (ran(), 2, Reply::Mismatch),
         (Fate::NotRun, 2, Reply::Yours),
     ];
-    for (fate, print, expected) in cases {
+    for (fate, fingerprint, expected) in cases {
         let mut home = home(Limits::default(), None);
         let first = attempt("a#1", 1);
         assert_eq!(start(&mut home, &order("s/1", 1), &first, 1), Reply::Yours);
         finish(&mut home, &order("s/1", 1), &first, fate.clone());
-        let found = start(&mut home, &order("s/1", print), &attempt("b#1", 1), 1);
-        assert_eq!(found, expected, "{fate:?} {print}");
+        let found = start(&mut home, &order("s/1", fingerprint), &attempt("b#1", 1), 1);
+        assert_eq!(found, expected, "{fate:?} {fingerprint}");
     }
 }
 
@@ -200,11 +200,11 @@
         (None, WALL + hour, Reply::Unknown),
         (None, WALL + hour + Duration::from_secs(1), Reply::Yours),
     ];
-    for (made, wall, expected) in cases {
+    for (created_at, wall, expected) in cases {
         let mut home = home(Limits::default(), horizon);
         let message = Message::Start {
             order: Order {
-                made,
+                created_at,
                 ..order("s/1", 1)
             },
             attempt: attempt("a#1", 1),
@@ -216,7 +216,7 @@
             matches!(effect, Effect::Send { message: Message::Reply { reply, .. }, .. }
                 if *reply == expected)
         });
-        assert!(told, "{made:?} {wall:?}: {effects:?}");
+        assert!(told, "{created_at:?} {wall:?}: {effects:?}");
     }
 }
 
@@ -228,7 +228,7 @@
     };
     let mut home = home(limits, None);
     let dated = |n: u64| Order {
-        made: Some(WALL + Duration::from_secs(n)),
+        created_at: Some(WALL + Duration::from_secs(n)),
         ..order(&format!("s/{n}"), 1)
     };
     for n in 1..40 {
@@ -248,7 +248,7 @@
     }
     // Undated ids are not forgotten in time, so there is no room for more.
     let undated = |n: u64| Order {
-        made: None,
+        created_at: None,
         ..order(&format!("s/u{n}"), 1)
     };
     let mut told = Vec::new();
@@ -313,9 +313,12 @@
         (vec![(1, Reply::Alone)], Some(Decision::Run)),
         (
             vec![(1, Reply::Unknown)],
-            Some(Decision::Unknown(Why::Lost)),
+            Some(Decision::Unknown(UnknownReason::Lost)),
+        ),
+        (
+            vec![(1, Reply::Full)],
+            Some(Decision::Unknown(UnknownReason::MemoryFull)),
         ),
-        (vec![(1, Reply::Full)], Some(Decision::Unknown(Why::Full))),
         (vec![(1, Reply::Mismatch)], Some(Decision::Mismatch)),
     ];
     for (replies, expected) in cases {
@@ -330,10 +333,10 @@
 #[test]
 fn a_caller_whose_time_ends_is_not_told_not_run() {
     let cases = [
-        (None, Why::Silent),
-        (Some(Reply::Yours), Why::Silent),
-        (Some(Reply::NotReady), Why::Silent),
-        (Some(Reply::Running), Why::Running),
+        (None, UnknownReason::NoReply),
+        (Some(Reply::Yours), UnknownReason::NoReply),
+        (Some(Reply::NotReady), UnknownReason::NoReply),
+        (Some(Reply::Running), UnknownReason::Running),
     ];
     for (reply, why) in cases {
         let mut starter = asking();
@@ -353,12 +356,12 @@
     let begin = starter::Event::Begin {
         token: 7,
         order: Order {
-            made: Some(WALL + Duration::from_secs(16)),
+            created_at: Some(WALL + Duration::from_secs(16)),
             ..order("s/2", 1)
         },
         deadline: now(1_000),
         wall: WALL,
     };
     let told = decision(starter.on(now(0), begin));
-    assert_eq!(told, Some(Decision::Unknown(Why::Ahead)));
+    assert_eq!(told, Some(Decision::Unknown(UnknownReason::DatedAhead)));
 }
--- a/tests/order/callers.rs
+++ b/tests/order/callers.rs
@@ -16,8 +16,8 @@
     pub(super) fn fresh(&self, dated: bool, ahead: u64) -> (Order, Told) {
         let order = Order {
             id: format!("dispatch/{}", self.orders.len()),
-            made: dated.then_some(self.wall + Duration::from_secs(ahead).min(AHEAD)),
-            print: 0,
+            created_at: dated.then_some(self.wall + Duration::from_secs(ahead).min(AHEAD)),
+            fingerprint: 0,
         };
         let until = if dated {
             Duration::MAX
@@ -45,11 +45,11 @@
             self.orders.push(self.fresh(true, 0));
             order = self.orders.len() - 1;
         }
-        let print = if b.is_multiple_of(11) { 2 } else { 1 };
-        self.ask(a, order, print)
+        let fingerprint = if b.is_multiple_of(11) { 2 } else { 1 };
+        self.ask(a, order, fingerprint)
     }
 
-    pub(super) fn ask(&mut self, vm: usize, order: usize, print: u128) -> Result<(), String> {
+    pub(super) fn ask(&mut self, vm: usize, order: usize, fingerprint: u128) -> Result<(), String> {
         let name = self.name(vm);
         if self.vms[&name].paused {
             return Ok(());
@@ -58,16 +58,16 @@
         let token = self.tokens;
         let asked = Asked {
             order,
-            print,
+            fingerprint,
             stage: Stage::Asking,
         };
         self.asked.insert((name.clone(), token), asked);
         let (known, told) = &mut self.orders[order];
-        told.prints.insert(print);
+        told.fingerprints.insert(fingerprint);
         let event = starter::Event::Begin {
             token,
             order: Order {
-                print,
+                fingerprint,
                 ..known.clone()
             },
             deadline: self.now + Duration::from_secs(4),
@@ -98,11 +98,11 @@
             if told.sent.is_some() {
                 return Err(format!("order {id} was sent twice"));
             }
-            told.sent = Some(asked.print);
+            told.sent = Some(asked.fingerprint);
             self.counts.sent += 1;
             match b % 4 {
                 2 => End::Unknown,
-                _ => End::Ran(Answer::new(200, "", &asked.print.to_be_bytes(), 64)),
+                _ => End::Ran(Answer::new(200, "", &asked.fingerprint.to_be_bytes(), 64)),
             }
         };
         let event = starter::Event::Ended { token: key.1, end };
@@ -117,7 +117,7 @@
         let Some(asked) = self.asked.get_mut(key) else {
             return Err(format!("{key:?} was decided twice"));
         };
-        let (id, print) = (asked.order, asked.print);
+        let (id, fingerprint) = (asked.order, asked.fingerprint);
         self.last = Some(decision.clone());
         let told = &self.orders[id].1;
         match decision {
@@ -133,14 +133,14 @@
             }
             Decision::Ran(answer) => {
                 self.counts.recorded += 1;
-                let body = answer.body.as_deref() == Some(print.to_be_bytes().as_slice());
-                if told.sent != Some(print) || !body {
+                let body = answer.body.as_deref() == Some(fingerprint.to_be_bytes().as_slice());
+                if told.sent != Some(fingerprint) || !body {
                     return Err(format!("order {id} got an answer that is not its own"));
                 }
             }
             Decision::Mismatch => {
                 self.counts.mismatch += 1;
-                if told.prints.len() < 2 {
+                if told.fingerprints.len() < 2 {
                     return Err(format!("order {id} was always the same"));
                 }
             }
--- a/tests/order/world.rs
+++ b/tests/order/world.rs
@@ -39,13 +39,13 @@
 
 struct Asked {
     order: usize,
-    print: u128,
+    fingerprint: u128,
     stage: Stage,
 }
 
 #[derive(Default)]
 struct Told {
-    prints: IndexSet<u128>,
+    fingerprints: IndexSet<u128>,
     /// The wall clock until which callers send it again.
     until: Duration,
     /// What was sent to a target and not refused by it.
