--- a/examples/role_slopes.rs
+++ b/examples/role_slopes.rs
@@ -86,7 +86,7 @@
 }
 
 fn record(ranges: u32) -> Option<Record> {
-    build::first("tracking/0", 1, &document(ranges)?, &candidates())
+    build::initial_record("tracking/0", 1, &document(ranges)?, &candidates())
 }
 
 fn candidates() -> Vec<Candidate> {
--- a/examples/role_slopes/grants.rs
+++ b/examples/role_slopes/grants.rs
@@ -42,7 +42,7 @@
             spent: Duration::ZERO,
             grants: 0,
         };
-        house.tell(&Event::Live { vms: live.to_vec() });
+        house.tell(&Event::LiveVms { vms: live.to_vec() });
         house.publish();
         house
     }
@@ -145,7 +145,7 @@
             refused: Vec::new(),
             running: 1,
         };
-        let event = Event::Target {
+        let event = Event::TargetAnswered {
             target: target.clone(),
             asked: self.now,
             state,
@@ -157,9 +157,9 @@
         let result = if base == self.record.0 {
             self.record = (base + 1, record);
             self.publish();
-            Outcome::Won(base + 1)
+            Outcome::Committed(base + 1)
         } else {
-            Outcome::Lost(self.record.0)
+            Outcome::Conflict(self.record.0)
         };
         self.events
             .push((vm.clone(), Event::Written { sequence, result }));
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     document::Document,
-    group::{Entry, Record, heirs, resize},
+    group::{Entry, Record, resize, successors},
     id::TargetId,
     key::Point,
     range::Range,
@@ -95,7 +95,10 @@
             .iter()
             .enumerate()
             .filter(|(_, (target, member))| {
-                heirs::fit(member) && !drains(target) && !member.boot.is_empty() && *target != owner
+                successors::is_eligible(member)
+                    && !drains(target)
+                    && !member.boot.is_empty()
+                    && *target != owner
             })
             .min_by(|(_, (a, _)), (_, (b, _))| of(&shares, a).total_cmp(&of(&shares, b)))
             .map(|(to, _)| to);
@@ -227,7 +230,7 @@
     }
     entry.chain.retain(|heir| *heir != target);
     entry.chain.insert(1, target);
-    entry.chain.truncate(heirs::CHAIN);
+    entry.chain.truncate(successors::MAX_CHAIN);
     entry.moving = true;
 }
 
@@ -260,7 +263,7 @@
             slots: 0.0,
         };
         for (target, member) in &record.members {
-            if heirs::fit(member) && !member.boot.is_empty() {
+            if successors::is_eligible(member) && !member.boot.is_empty() {
                 scale.targets.insert(target.clone(), Sum::default());
                 scale.slots += f64::from(member.slots.max(1));
             }
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -68,14 +68,14 @@
 /// Checks that a group's record can hold its share of targets and ranges.
 fn sizes(document: &Document, targets: u64) -> Result<(), Flaw> {
     let members = targets.div_ceil(u64::from(document.groups).max(1));
-    if members > as_u64(group::check::MEMBERS) {
-        let most = group::check::MEMBERS;
+    if members > as_u64(group::check::MAX_MEMBERS) {
+        let most = group::check::MAX_MEMBERS;
         let reason = format!("leaves {members} targets to a group, more than {most}");
         return Err(flaw("service", "groups", reason));
     }
     let ranges = members * u64::from(document.ranges);
-    if ranges > as_u64(group::check::RANGES) {
-        let most = group::check::RANGES;
+    if ranges > as_u64(group::check::MAX_RANGES) {
+        let most = group::check::MAX_RANGES;
         let reason = format!("leaves {ranges} ranges to a group, more than {most}");
         return Err(flaw("service", "ranges", reason));
     }
--- a/src/entry/router/known.rs
+++ b/src/entry/router/known.rs
@@ -154,5 +154,5 @@
 pub(super) fn group_of(document: &Document, point: Point) -> GroupId {
     let groups = u128::from(document.groups.max(1));
     let index = ((u128::from(point) + 1) * groups - 1) >> Point::BITS;
-    build::group(&document.service, u32::try_from(index).unwrap_or(0))
+    build::group_id(&document.service, u32::try_from(index).unwrap_or(0))
 }
--- a/src/grantor/event.rs
+++ b/src/grantor/event.rs
@@ -40,7 +40,7 @@
         record: Record,
     },
     /// A target answered.
-    Target {
+    TargetAnswered {
         /// The target.
         target: TargetId,
         /// When it was asked.
@@ -70,12 +70,12 @@
         result: Outcome,
     },
     /// VMs that are gone for good, by the platform's list.
-    Listed {
+    VmsGone {
         /// These VMs.
-        gone: Vec<VmId>,
+        vms: Vec<VmId>,
     },
     /// The VMs that may be named as grantors.
-    Live {
+    LiveVms {
         /// These VMs.
         vms: Vec<Candidate>,
     },
@@ -99,17 +99,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It took effect and made this version.
-    Won(Version),
+    Committed(Version),
     /// Another write came first; the value stands at this version.
-    Lost(Version),
+    Conflict(Version),
     /// Its answer was lost: it may have taken effect, or may still.
-    Doubt,
+    Unknown,
 }
 
 /// What a grantor wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a grant; the answer comes back as [`Event::Target`].
+    /// Send a grant; the answer comes back as [`Event::TargetAnswered`].
     Grant {
         /// The target.
         target: TargetId,
@@ -118,7 +118,7 @@
         /// The grant.
         grant: Grant,
     },
-    /// Read a target's state; the answer comes back as [`Event::Target`].
+    /// Read a target's state; the answer comes back as [`Event::TargetAnswered`].
     Probe {
         /// The target.
         target: TargetId,
@@ -147,7 +147,7 @@
         asked: Duration,
     },
     /// Spread a handover to all VMs.
-    Fact(Handover),
+    Handover(Handover),
     /// Put an event on the time line.
     Note(Note),
 }
@@ -175,7 +175,7 @@
     /// A range has a new owner.
     Handover,
     /// This grantor asks for a write that replaces others.
-    Strike,
+    Replacement,
     /// A write of the record ended.
     Write,
     /// This grantor grants no more.
--- a/src/grantor/flaw.rs
+++ b/src/grantor/flaw.rs
@@ -7,39 +7,39 @@
     #[default]
     None,
     /// A grantor goes on granting without a word or a read.
-    WordIgnored,
+    NoPermission,
     /// A word counts from when it was received.
-    WordLate,
+    PermissionFromReceipt,
     /// A read counts from when its answer was received.
-    ReadLate,
+    ReadFromReceipt,
     /// A word is given to whoever asks.
-    WordUnnamed,
+    PermissionForAnyone,
     /// After a strike a release does not wait for the struck grantor's words and reads to lapse.
-    StrikeNoWait,
+    ReplacementNoWait,
     /// A release does not wait until all have adopted the last strike.
-    StrikeUnadopted,
+    ReplacementUnconfirmed,
     /// A strike does not wait until all have adopted the last one.
-    StrikeTwice,
+    ConcurrentReplacements,
     /// A release does not wait for the grant to lapse.
-    NoWait,
+    ReleaseNoWait,
     /// A release needs only the own stop.
-    LoneStop,
+    ReleaseOnOwnStop,
     /// A stop is withdrawn without asking anyone.
-    LoneWithdraw,
+    WithdrawUnconfirmed,
     /// A stop that a struck grantor was told of is withdrawn as any other.
-    StruckForgotten,
+    ReplacedForgotten,
     /// A target is stopped while an own write about it is in doubt.
-    StopInDoubt,
+    StopDuringWrite,
     /// A handover keeps the epoch.
-    EpochKept,
+    EpochUnchanged,
     /// A release goes by a record older than the stops.
-    OldHeirs,
+    OutdatedSuccessors,
     /// A new grantor starts as if it had stopped nothing.
-    NewUnstopped,
+    NewGrantorUnstopped,
     /// A planned move does not wait for the owner's confirmation.
     UnconfirmedMove,
     /// A restarted target is granted without a new term.
     BootIgnored,
     /// A target comes back while a chain still names it, under its old term.
-    TermKept,
+    TermUnchanged,
 }
--- a/src/grantor/message.rs
+++ b/src/grantor/message.rs
@@ -18,7 +18,8 @@
 #[serde(deny_unknown_fields)]
 pub enum Message {
     /// Asks for a word, and tells what the asker has stopped.
-    Ask {
+    #[serde(rename = "Ask")]
+    PermissionRequest {
         /// The asker's reading; it comes back with the word.
         asked: Duration,
         /// The newest record that the asker knows.
@@ -27,7 +28,8 @@
         stops: Vec<Stop>,
     },
     /// A word: the giver agrees that the asker grants.
-    Word {
+    #[serde(rename = "Word")]
+    Permission {
         /// The asker's reading when it asked.
         asked: Duration,
         /// The newest record that the giver knows.
@@ -41,14 +43,16 @@
         /// The stop.
         stop: Stop,
         /// Whether only one that has itself no stop for the target may erase it.
-        needs: bool,
+        #[serde(rename = "needs")]
+        unstopped_only: bool,
     },
     /// The stop is erased; the sender had not acted on it.
     Withdrawn {
         /// The stop.
         stop: Stop,
         /// Whether the sender itself has no stop for the target.
-        clean: bool,
+        #[serde(rename = "clean")]
+        unstopped: bool,
     },
     /// A record.
     Record {
@@ -60,7 +64,8 @@
     /// A handover.
     Handover(Handover),
     /// A sender asks for leases of ranges whose owners don't check.
-    LeaseAsk {
+    #[serde(rename = "LeaseAsk")]
+    LeaseRequest {
         /// The sender's reading; it comes back with the lease.
         asked: Duration,
     },
--- a/src/grantor/mod.rs
+++ b/src/grantor/mod.rs
@@ -20,9 +20,9 @@
 pub mod event;
 #[doc(hidden)]
 pub mod flaw;
-mod house;
 pub mod message;
 mod peers;
+mod record_writes;
 mod release;
 mod routes;
 mod targets;
@@ -192,7 +192,7 @@
     /// use bramleypier::grantor::{Event, Grantor, Timing};
     ///
     /// let mut grantor = Grantor::new("vm-1#1".into(), "tracking/0".into(), Timing::default());
-    /// let event = Event::Listed { gone: vec!["vm-2#1".into()] };
+    /// let event = Event::VmsGone { vms: vec!["vm-2#1".into()] };
     /// assert!(grantor.on(Duration::from_millis(500), event).is_empty());
     /// ```
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
@@ -205,7 +205,7 @@
                 version,
                 record,
             } => self.on_read(now, asked, version, record, &mut effects),
-            Event::Target { target, state, .. } => {
+            Event::TargetAnswered { target, state, .. } => {
                 self.on_target(now, &target, state, &mut effects);
             }
             Event::TargetFailed { .. } => {}
@@ -213,8 +213,8 @@
             Event::Written { sequence, result } => {
                 self.on_written(now, sequence, result, &mut effects);
             }
-            Event::Listed { gone } => self.gone = gone.into_iter().collect(),
-            Event::Live { vms } => self.live = vms,
+            Event::VmsGone { vms } => self.gone = vms.into_iter().collect(),
+            Event::LiveVms { vms } => self.live = vms,
             Event::Document { version, document } => {
                 let newer = self
                     .document
@@ -254,9 +254,9 @@
     /// use bramleypier::grantor::{Grantor, Timing};
     ///
     /// let grantor = Grantor::new("vm-1#1".into(), "tracking/0".into(), Timing::default());
-    /// assert_eq!(grantor.facts().count(), 0);
+    /// assert_eq!(grantor.handovers().count(), 0);
     /// ```
-    pub fn facts(&self) -> impl Iterator<Item = &Handover> {
+    pub fn handovers(&self) -> impl Iterator<Item = &Handover> {
         self.facts.values()
     }
 
@@ -287,14 +287,14 @@
     fn domains(&self) -> impl Iterator<Item = &DomainId> {
         let named = |trio: &Vec<group::Grantor>| trio.iter().any(|grantor| grantor.vm == self.vm);
         self.view
-            .trios
+            .grantors
             .iter()
             .filter(move |(_, trio)| named(trio))
             .map(|(domain, _)| domain)
     }
 
     fn trio(&self, domain: &str) -> &[group::Grantor] {
-        self.view.trios.get(domain).map_or(&[], Vec::as_slice)
+        self.view.grantors.get(domain).map_or(&[], Vec::as_slice)
     }
 
     /// This VM, as the trio of a failure domain names it.
@@ -339,7 +339,7 @@
         }
         self.settle(version, &record, effects);
         self.note_trios(now, &record);
-        self.facts.retain(|_, fact| !merge::carries(&record, fact));
+        self.facts.retain(|_, fact| !merge::includes(&record, fact));
         let moving = record.ranges.iter().filter(|entry| entry.moving);
         let owners: IndexSet<TargetId> = moving.map(|entry| entry.chain[0].clone()).collect();
         self.record = Some((version, record));
@@ -352,17 +352,17 @@
     /// Has the others of a trio that a record changes told at once what this VM has stopped, and
     /// keeps whom it drops from being named again at once: membership may still take it for live.
     fn note_trios(&mut self, now: Duration, record: &Record) {
-        if self.view.trios == record.trios {
+        if self.view.grantors == record.grantors {
             return;
         }
         self.asked = Duration::ZERO;
-        for (domain, trio) in &self.view.trios {
+        for (domain, trio) in &self.view.grantors {
             let stays = |vm: &VmId| {
-                let named = record.trios.get(domain).into_iter().flatten();
+                let named = record.grantors.get(domain).into_iter().flatten();
                 named.into_iter().any(|grantor| grantor.vm == *vm)
             };
             for dropped in trio.iter().filter(|grantor| !stays(&grantor.vm)) {
-                let until = now + self.timing.banned;
+                let until = now + self.timing.exclusion;
                 self.struck.insert(dropped.vm.clone(), until);
             }
         }
@@ -375,7 +375,7 @@
         let carried = self
             .record
             .as_ref()
-            .is_some_and(|(_, record)| merge::carries(record, &fact));
+            .is_some_and(|(_, record)| merge::includes(record, &fact));
         if known || carried || fact.group != self.group {
             return false;
         }
@@ -403,7 +403,7 @@
         if let Some((_, record)) = &self.record {
             let view = merge::view(record, &self.facts);
             if view.ranges != self.view.ranges || view.members != self.view.members {
-                self.balanced = now + house::BALANCE;
+                self.balanced = now + record_writes::BALANCE;
             }
             self.view = view;
         }
@@ -417,7 +417,7 @@
             return;
         }
         self.spread = now;
-        effects.extend(self.facts.values().cloned().map(Effect::Fact));
+        effects.extend(self.facts.values().cloned().map(Effect::Handover));
     }
 
     /// Takes back no promise, but makes none any more.
--- a/src/grantor/peers.rs
+++ b/src/grantor/peers.rs
@@ -19,12 +19,12 @@
     pub(super) fn tick_peers(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.note_adopted(now);
         self.tick_read(now, effects);
-        if now < self.asked + self.timing.word_ask {
+        if now < self.asked + self.timing.permission_renew {
             return;
         }
         self.asked = now;
         self.words.retain(|_, until| now < *until);
-        let hearing = self.timing.hearing;
+        let hearing = self.timing.unresponsive_after;
         self.answers.retain(|_, at| now < *at + hearing);
         self.struck.retain(|_, until| now < *until);
         let fellows = self.fellow_vms();
@@ -35,7 +35,7 @@
             });
             let stops = self.stops_for(&vm);
             let version = self.version();
-            let message = Message::Ask {
+            let message = Message::PermissionRequest {
                 asked: now,
                 version,
                 stops,
@@ -50,14 +50,14 @@
     ///
     /// What takes one VM may have taken others, and one that is lost would block the next strike.
     fn ask_nominees(&self, now: Duration, effects: &mut Vec<Effect>) {
-        let half = self.timing.hearing / 2;
+        let half = self.timing.unresponsive_after / 2;
         let silent = |peer: &Peer| now >= peer.heard + half;
-        let short = |domain: &DomainId| self.trio(domain).len() < check::TRIO;
+        let short = |domain: &DomainId| self.trio(domain).len() < check::MAX_GRANTORS;
         if !self.peers.values().any(silent) && !self.domains().any(short) {
             return;
         }
         for to in self.nominees() {
-            let message = Message::Ask {
+            let message = Message::PermissionRequest {
                 asked: now,
                 version: self.version(),
                 stops: Vec::new(),
@@ -82,9 +82,9 @@
 
     /// Reads the record while some failure domain's words are about to run out.
     fn tick_read(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        let soon = now + self.timing.word / 2;
+        let soon = now + self.timing.permission / 2;
         let short = self.domains().any(|domain| !self.has_word(soon, domain));
-        if short && !self.retired && now >= self.read + self.timing.word_ask {
+        if short && !self.retired && now >= self.read + self.timing.permission_renew {
             self.read = now;
             effects.push(Effect::Read { asked: now });
         }
@@ -100,11 +100,11 @@
         effects: &mut Vec<Effect>,
     ) {
         let from = match self.flaw {
-            Flaw::ReadLate => now,
+            Flaw::ReadFromReceipt => now,
             _ => asked,
         };
-        let until = from + self.timing.shorter(self.timing.word);
-        for (domain, trio) in &record.trios {
+        let until = from + self.timing.holder_span(self.timing.permission);
+        for (domain, trio) in &record.grantors {
             if record.group == self.group && names(trio, &self.vm) {
                 let end = self.reads.entry(domain.clone()).or_default();
                 *end = until.max(*end);
@@ -125,7 +125,7 @@
             peer.heard = now;
         }
         match message {
-            Message::Ask {
+            Message::PermissionRequest {
                 asked,
                 version,
                 stops,
@@ -136,7 +136,7 @@
                 self.give_word(now, from, asked, effects);
                 self.on_version(now, from, version, effects);
             }
-            Message::Word {
+            Message::Permission {
                 asked,
                 version,
                 domains,
@@ -145,27 +145,30 @@
                 self.answers.insert(from.clone(), now);
                 self.on_version(now, from, version, effects);
             }
-            Message::Withdraw { stop, needs } => self.on_withdraw(from, stop, needs, effects),
-            Message::Withdrawn { stop, clean } => {
-                self.on_withdrawn(now, from, &stop, clean, effects);
+            Message::Withdraw {
+                stop,
+                unstopped_only,
+            } => self.on_withdraw(from, stop, unstopped_only, effects),
+            Message::Withdrawn { stop, unstopped } => {
+                self.on_withdrawn(now, from, &stop, unstopped, effects);
             }
             Message::Record { version, record } => self.on_record(now, version, *record, effects),
             Message::Handover(fact) => {
                 self.learn(now, fact);
                 self.derive(now, effects);
             }
-            Message::LeaseAsk { asked } => self.lease(now, from, asked, effects),
+            Message::LeaseRequest { asked } => self.lease(now, from, asked, effects),
             Message::Lease { .. } => {}
         }
     }
 
     /// Gives a word for each trio that names both, by the newest record known.
     fn give_word(&mut self, now: Duration, to: &VmId, asked: Duration, effects: &mut Vec<Effect>) {
-        let any = self.flaw == Flaw::WordUnnamed;
+        let any = self.flaw == Flaw::PermissionForAnyone;
         let shared = |domain: &&DomainId| any || names(self.trio(domain), to);
         let mut domains: Vec<DomainId> = self.domains().filter(shared).cloned().collect();
         if any {
-            domains = self.view.trios.keys().cloned().collect();
+            domains = self.view.grantors.keys().cloned().collect();
         }
         if self.retired {
             domains.clear();
@@ -174,7 +177,7 @@
             let peer = self.peers.entry(to.clone()).or_default();
             peer.heard = now;
         }
-        let message = Message::Word {
+        let message = Message::Permission {
             asked,
             version: self.version(),
             domains,
@@ -188,10 +191,10 @@
     /// Takes a word, counted from when it was asked for.
     fn on_word(&mut self, now: Duration, from: &VmId, asked: Duration, domains: Vec<DomainId>) {
         let start = match self.flaw {
-            Flaw::WordLate => now,
+            Flaw::PermissionFromReceipt => now,
             _ => asked,
         };
-        let until = start + self.timing.shorter(self.timing.word);
+        let until = start + self.timing.holder_span(self.timing.permission);
         for domain in domains {
             if names(self.trio(&domain), from) {
                 let end = self.words.entry((from.clone(), domain)).or_default();
@@ -208,7 +211,7 @@
         theirs: Version,
         effects: &mut Vec<Effect>,
     ) {
-        let pause = self.timing.word_ask;
+        let pause = self.timing.permission_renew;
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
@@ -236,7 +239,7 @@
             return false;
         }
         let read = self.reads.get(domain).is_some_and(|until| now < *until);
-        read || self.has_word(now, domain) || self.flaw == Flaw::WordIgnored
+        read || self.has_word(now, domain) || self.flaw == Flaw::NoPermission
     }
 
     /// Returns whether a word of another that the newest record names holds.
@@ -253,13 +256,13 @@
         let domains: Vec<DomainId> = self.domains().cloned().collect();
         self.adopted.retain(|domain, _| domains.contains(domain));
         for domain in domains {
-            let Some(changed) = self.view.changed.get(&domain).copied() else {
+            let Some(changed) = self.view.change_bases.get(&domain).copied() else {
                 continue;
             };
             let known = self.adopted.get(&domain).copied();
             let since = known.filter(|(at, _)| *at == changed);
             let since = since.and_then(|(_, since)| since);
-            let unasked = self.flaw == Flaw::StrikeUnadopted;
+            let unasked = self.flaw == Flaw::ReplacementUnconfirmed;
             let all = || {
                 let mut fellows = self.fellows(&domain).into_iter();
                 fellows.all(|fellow| unasked || self.has_adopted(changed, &fellow.vm))
@@ -279,15 +282,15 @@
     /// Returns when the words and reads of all that were struck from a trio have lapsed, if that
     /// is known.
     pub(super) fn lapse(&self, domain: &str) -> Option<Duration> {
-        let Some(changed) = self.view.changed.get(domain) else {
+        let Some(changed) = self.view.change_bases.get(domain) else {
             return Some(Duration::ZERO);
         };
         let (at, since) = self.adopted.get(domain)?;
         let since = (*since).filter(|_| at == changed)?;
-        if self.flaw == Flaw::StrikeNoWait {
+        if self.flaw == Flaw::ReplacementNoWait {
             return Some(Duration::ZERO);
         }
-        Some(since + self.timing.longer(self.timing.word))
+        Some(since + self.timing.issuer_span(self.timing.permission))
     }
 
     /// Returns whether a grantor may be replaced.
@@ -300,11 +303,11 @@
 
     /// Returns whether all other grantors of a failure domain have adopted its trio's last change.
     pub(super) fn is_settled(&self, domain: &str) -> bool {
-        let changed = self.view.changed.get(domain);
+        let changed = self.view.change_bases.get(domain);
         let settled = |fellow: &group::Grantor| {
             self.gone.contains(&fellow.vm)
                 || changed.is_none_or(|changed| self.has_adopted(*changed, &fellow.vm))
-                || self.flaw == Flaw::StrikeTwice
+                || self.flaw == Flaw::ConcurrentReplacements
         };
         self.fellows(domain).iter().all(settled)
     }
@@ -316,13 +319,13 @@
         if self.gone.contains(&lost.vm) {
             return true;
         }
-        let hearing = self.timing.hearing;
+        let hearing = self.timing.unresponsive_after;
         let fellows = self.fellows(domain);
         let mut others = fellows.iter().filter(|other| other.vm != lost.vm);
         let patience = if others.any(|other| self.hears_peer(now, &other.vm)) {
             hearing
         } else {
-            hearing + self.timing.lonely
+            hearing + self.timing.isolated_wait
         };
         let peer = self.peers.get(&lost.vm);
         peer.is_some_and(|peer| now >= peer.heard + patience)
@@ -330,7 +333,7 @@
 
     pub(super) fn hears_peer(&self, now: Duration, vm: &VmId) -> bool {
         let peer = self.peers.get(vm);
-        peer.is_some_and(|peer| now < peer.heard + self.timing.hearing)
+        peer.is_some_and(|peer| now < peer.heard + self.timing.unresponsive_after)
     }
 
     /// The other grantors of all failure domains that this VM grants to.
--- a/src/grantor/house.rs
+++ b/src/grantor/record_writes.rs
@@ -8,7 +8,7 @@
     balance,
     document::Fencing,
     grantor::{Effect, Event, Grantor, Kind, Outcome, Pending, flaw::Flaw, note, watch::Watch},
-    group::{self, Entry, Record, build, build::Candidate, heirs},
+    group::{self, Entry, Record, build, build::Candidate, successors},
     id::{DomainId, TargetId, Version, VmId},
     key,
     range::Range,
@@ -38,7 +38,7 @@
         };
         let since = *self.wanting.get_or_insert(now);
         let rank = if urgent { 0 } else { self.rank(now) };
-        if now >= since + self.timing.rank * rank {
+        if now >= since + self.timing.rank_delay * rank {
             self.write(now, record, effects);
         }
     }
@@ -94,24 +94,24 @@
         let Some((_, before)) = &self.record else {
             return;
         };
-        for (domain, trio) in &record.trios {
-            let known = before.trios.get(domain);
+        for (domain, trio) in &record.grantors {
+            let known = before.grantors.get(domain);
             if known == Some(trio) {
                 continue;
             }
-            record.changed.insert(domain.clone(), base);
+            record.change_bases.insert(domain.clone(), base);
             let stays = |vm: &VmId| trio.iter().any(|grantor| grantor.vm == *vm);
             let struck = known.into_iter().flatten();
             for struck in struck.filter(|struck| !stays(&struck.vm)) {
-                let until = now + self.timing.banned;
+                let until = now + self.timing.exclusion;
                 self.struck.insert(struck.vm.clone(), until);
                 let detail = format!("domain={domain}");
-                effects.push(note(Kind::Strike, &struck.vm, detail));
+                effects.push(note(Kind::Replacement, &struck.vm, detail));
             }
         }
-        let trios = &record.trios;
+        let trios = &record.grantors;
         record
-            .changed
+            .change_bases
             .retain(|domain, _| trios.contains_key(domain));
     }
 
@@ -127,12 +127,12 @@
             return;
         };
         match result {
-            Outcome::Won(version) => {
+            Outcome::Committed(version) => {
                 let record = pending.record.clone();
                 effects.extend(self.on(now, Event::Record { version, record }));
             }
-            Outcome::Lost(_) => effects.push(Effect::Read { asked: now }),
-            Outcome::Doubt => {
+            Outcome::Conflict(_) => effects.push(Effect::Read { asked: now }),
+            Outcome::Unknown => {
                 let waits = self.timing.retry * (SILENT_RETRIES - 1);
                 pending.sent = now.saturating_sub(waits);
                 effects.push(Effect::Read { asked: now });
@@ -168,7 +168,7 @@
 
     fn founding(&self) -> Option<(Record, bool)> {
         let (version, document) = self.document.as_ref()?;
-        let record = build::first(&self.group, *version, document, &self.live)?;
+        let record = build::initial_record(&self.group, *version, document, &self.live)?;
         Some((record, false))
     }
 
@@ -195,7 +195,7 @@
 
     fn follow(&self, next: &mut Record) {
         if let Some((version, document)) = &self.document {
-            build::admit(next, *version, document);
+            build::apply_document(next, *version, document);
         }
         for target in &self.leaving {
             if let Some(member) = next.members.get_mut(target) {
@@ -207,15 +207,15 @@
     /// Drops grantors that are certain to grant no more, and fills the trios up.
     fn replace_lost(&self, now: Duration, next: &mut Record) {
         let domains: Vec<DomainId> = self.domains().cloned().collect();
-        let before = next.trios.clone();
-        for (domain, trio) in &mut next.trios {
+        let before = next.grantors.clone();
+        for (domain, trio) in &mut next.grantors {
             if domains.contains(domain) {
                 let lost = self.lost(now, domain);
                 trio.retain(|grantor| !lost.contains(&grantor.vm));
             }
         }
-        build::name(next, &self.candidates(now));
-        for (domain, trio) in &mut next.trios {
+        build::fill_grantors(next, &self.candidates(now));
+        for (domain, trio) in &mut next.grantors {
             if trio.is_empty()
                 && let Some(known) = before.get(domain)
             {
@@ -236,7 +236,7 @@
             .partition(|vm| self.gone.contains(vm));
         let own = self.retired.then(|| self.vm.clone());
         let most = match self.flaw {
-            Flaw::StrikeTwice => missed.len(),
+            Flaw::ConcurrentReplacements => missed.len(),
             _ => 1,
         };
         let missed = missed.into_iter().take(most);
@@ -295,7 +295,7 @@
     fn replace_vanished(&self, next: &mut Record) {
         let gone = |grantor: &group::Grantor| self.vanished(grantor);
         let mut found = false;
-        for (domain, trio) in &mut next.trios {
+        for (domain, trio) in &mut next.grantors {
             let other = self.myself(domain).is_none() && !trio.is_empty();
             if other && trio.iter().all(gone) {
                 trio.clear();
@@ -303,7 +303,7 @@
             }
         }
         if found {
-            build::name(next, &self.live);
+            build::fill_grantors(next, &self.live);
         }
     }
 
@@ -335,7 +335,7 @@
                 continue;
             }
             member.released |= watch.released;
-            let heard = watch.fresh(now, self.timing.hearing);
+            let heard = watch.fresh(now, self.timing.unresponsive_after);
             if let Some(state) = heard
                 && member.boot.is_empty()
             {
@@ -355,7 +355,7 @@
                 continue;
             }
             let owner = entry.chain[0].clone();
-            let mut chain = heirs::repair(next, entry);
+            let mut chain = successors::repair(next, entry);
             chain.retain(|heir| *heir != owner);
             if !chain.is_empty() {
                 next.ranges[index].epoch += 1;
@@ -371,7 +371,7 @@
     /// whose ranges found no other owner takes them back at higher epochs.
     fn readmit(&self, now: Duration, next: &mut Record) {
         for (target, watch) in &self.watches {
-            let Some(state) = watch.fresh(now, self.timing.hearing) else {
+            let Some(state) = watch.fresh(now, self.timing.unresponsive_after) else {
                 continue;
             };
             let serial = next.serial;
@@ -385,7 +385,7 @@
             let held = |entry: &&mut Entry| entry.chain.contains(target);
             let named: Vec<&mut Entry> = next.ranges.iter_mut().filter(held).collect();
             let alone = watch.released && named.iter().all(|entry| entry.chain.len() == 1);
-            let kept = self.flaw == Flaw::TermKept;
+            let kept = self.flaw == Flaw::TermUnchanged;
             if !named.is_empty() && !alone && !kept {
                 continue;
             }
@@ -410,7 +410,7 @@
         for index in 0..next.ranges.len() {
             let entry = &next.ranges[index];
             if !entry.moving && self.tends(&entry.chain[0]) {
-                next.ranges[index].chain = heirs::repair(next, entry);
+                next.ranges[index].chain = successors::repair(next, entry);
             }
         }
     }
@@ -439,7 +439,7 @@
     /// Returns whether a target says that it takes no more work.
     fn drains(&self, now: Duration, target: &str) -> bool {
         let watch = self.watches.get(target);
-        let state = watch.and_then(|watch| watch.fresh(now, self.timing.hearing));
+        let state = watch.and_then(|watch| watch.fresh(now, self.timing.unresponsive_after));
         state.is_some_and(|state| state.phase == crate::grant::Phase::Draining)
     }
 
@@ -447,7 +447,7 @@
         if let Some((version, document)) = &self.document
             && *version == next.document
         {
-            build::dismiss(next, |target| document.targets.contains_key(target));
+            build::remove_members(next, |target| document.targets.contains_key(target));
         }
     }
 }
@@ -473,7 +473,7 @@
 /// Returns whether two records say different things, whoever wrote them.
 fn differs(base: &Record, next: &Record) -> bool {
     base.members != next.members
-        || base.trios != next.trios
+        || base.grantors != next.grantors
         || base.ranges != next.ranges
         || base.document != next.document
 }
--- a/src/grantor/release.rs
+++ b/src/grantor/release.rs
@@ -26,8 +26,8 @@
             return;
         };
         let since = since.max(lapse);
-        let wait = self.timing.longer(self.timing.grant);
-        if now < since + wait && self.flaw != Flaw::NoWait {
+        let wait = self.timing.issuer_span(self.timing.grant);
+        if now < since + wait && self.flaw != Flaw::ReleaseNoWait {
             return;
         }
         let Some(watch) = self.watches.get_mut(target) else {
@@ -48,7 +48,7 @@
         let watch = self.watches.get(target)?;
         let own = watch.own.as_ref()?;
         let mut since = own.at;
-        if self.flaw == Flaw::LoneStop {
+        if self.flaw == Flaw::ReleaseOnOwnStop {
             return Some(since);
         }
         for fellow in self.fellows(&domain) {
@@ -62,7 +62,7 @@
         let explicit = watch.others.get(&fellow.vm);
         let explicit = explicit.filter(|(_, stop)| stop.since == fellow.since);
         if let Some((at, stop)) = explicit {
-            let known = self.version() >= stop.version || self.flaw == Flaw::OldHeirs;
+            let known = self.version() >= stop.version || self.flaw == Flaw::OutdatedSuccessors;
             return known.then_some(*at);
         }
         let starts = starts_stopped(watch.term, fellow.since) && fellow.since >= watch.since;
@@ -108,7 +108,7 @@
         let Some(chain) = chain.filter(|chain| !chain.is_empty()) else {
             return false;
         };
-        let raise = u64::from(self.flaw != Flaw::EpochKept);
+        let raise = u64::from(self.flaw != Flaw::EpochUnchanged);
         let fact = Handover {
             group: self.group.clone(),
             range: entry.range,
@@ -124,7 +124,7 @@
             fact.range, fact.epoch, entry.chain[0]
         );
         effects.push(note(Kind::Handover, owner, detail));
-        effects.push(Effect::Fact(fact));
+        effects.push(Effect::Handover(fact));
         true
     }
 
@@ -152,7 +152,8 @@
 
     /// Hands marked ranges over once no sender can hold a lease of them, nor work in flight.
     pub(super) fn tick_marks(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        let wait = self.timing.longer(self.timing.grant) + self.timing.longer(self.timing.drain);
+        let wait =
+            self.timing.issuer_span(self.timing.grant) + self.timing.issuer_span(self.timing.drain);
         let mut due = Vec::new();
         for (key, mark) in self.marked.clone() {
             let owner = |entry: &&Entry| (entry.range, entry.epoch) == key;
--- a/src/grantor/routes.rs
+++ b/src/grantor/routes.rs
@@ -43,9 +43,9 @@
     /// use bramleypier::grantor::{Grantor, Timing};
     ///
     /// let grantor = Grantor::new("vm-1#1".into(), "tracking/0".into(), Timing::default());
-    /// assert!(grantor.route(Duration::ZERO).is_empty());
+    /// assert!(grantor.routes(Duration::ZERO).is_empty());
     /// ```
-    pub fn route(&self, now: Duration) -> Vec<Route> {
+    pub fn routes(&self, now: Duration) -> Vec<Route> {
         let route = |entry: &Entry| {
             let target = entry.chain.first()?;
             let member = self.view.members.get(target)?;
--- a/src/grantor/targets.rs
+++ b/src/grantor/targets.rs
@@ -36,7 +36,7 @@
     /// Begins a watch; a grantor that was named later than the term starts as stopped.
     fn begin(&self, now: Duration, term: Term, since: Term) -> Watch {
         let mut watch = Watch::new(term, since, self.version(), now);
-        if starts_stopped(term, since) && self.flaw != Flaw::NewUnstopped {
+        if starts_stopped(term, since) && self.flaw != Flaw::NewGrantorUnstopped {
             watch.stop(now, 0);
         }
         watch
@@ -60,7 +60,7 @@
             return;
         };
         let released = state.released.clone();
-        watch.on_state(now, state, named, self.timing.hearing);
+        watch.on_state(now, state, named, self.timing.unresponsive_after);
         if named {
             self.on_released(now, target, term, &released, effects);
         }
@@ -125,7 +125,7 @@
             .pending
             .as_ref()
             .is_some_and(|pending| pending.touched.contains(target));
-        let blocked = touched && self.flaw != Flaw::StopInDoubt;
+        let blocked = touched && self.flaw != Flaw::StopDuringWrite;
         if now < heard + patience || blocked {
             return;
         }
@@ -144,9 +144,9 @@
     fn patience(&self, target: &str) -> Duration {
         let member = self.view.members.get(target);
         if member.is_some_and(|member| member.boot.is_empty()) {
-            return self.timing.start;
+            return self.timing.start_timeout;
         }
-        self.timing.hearing
+        self.timing.unresponsive_after
     }
 
     /// The stops to tell a fellow of.
@@ -154,7 +154,7 @@
         let version = self.version();
         let mut stops = Vec::new();
         for (target, member) in &self.view.members {
-            let trio = self.view.trios.get(&member.domain);
+            let trio = self.view.grantors.get(&member.domain);
             let shared = trio.is_some_and(|trio| trio.iter().any(|grantor| grantor.vm == *to));
             if let Some(watch) = self.watches.get_mut(target)
                 && shared
@@ -180,19 +180,19 @@
         let authority = self.has_authority(now, &domain);
         let version = self.version();
         let mut fellows = self.fellows(&domain);
-        if self.flaw == Flaw::LoneWithdraw {
+        if self.flaw == Flaw::WithdrawUnconfirmed {
             fellows.clear();
         }
         let timing = self.timing;
         let sequence = self.sequence + 1;
-        let needs = self.needs_clean(target, &fellows);
+        let unstopped_only = self.needs_clean(target, &fellows);
         let Some(watch) = self.watches.get_mut(target) else {
             return;
         };
         let steady = watch
             .steady
             .is_some_and(|since| now >= since + timing.renew);
-        let hears = watch.hears(now, timing.hearing);
+        let hears = watch.hears(now, timing.unresponsive_after);
         let (term, since) = (watch.term, watch.since);
         let Some(own) = watch.own.as_mut() else {
             return;
@@ -200,18 +200,18 @@
         if watch.released || !steady || !hears || !authority {
             return;
         }
-        let clean = own
+        let unstopped = own
             .erased
             .values()
-            .any(|(clean, at)| *clean && *at >= version);
-        if needs && !clean && !own.erased.is_empty() {
+            .any(|(unstopped, at)| *unstopped && *at >= version);
+        if unstopped_only && !unstopped && !own.erased.is_empty() {
             self.sequence = sequence;
             watch.stop(now, sequence);
             return;
         }
         if own
             .withdrawn
-            .is_some_and(|last| now < last + timing.word_ask)
+            .is_some_and(|last| now < last + timing.permission_renew)
         {
             return;
         }
@@ -225,8 +225,11 @@
         };
         for fellow in fellows {
             let stop = stop.clone();
-            let needs = needs && !clean;
-            let message = Message::Withdraw { stop, needs };
+            let unstopped_only = unstopped_only && !unstopped;
+            let message = Message::Withdraw {
+                stop,
+                unstopped_only,
+            };
             effects.push(Effect::Send {
                 to: fellow.vm,
                 message,
@@ -237,7 +240,8 @@
 
     fn needs_clean(&self, target: &str, fellows: &[group::Grantor]) -> bool {
         let watch = self.watches.get(target);
-        watch.is_some_and(|watch| watch.needs_clean(fellows)) && self.flaw != Flaw::StruckForgotten
+        watch.is_some_and(|watch| watch.needs_clean(fellows))
+            && self.flaw != Flaw::ReplacedForgotten
     }
 
     /// Erases another's stop, unless it was acted upon.
@@ -248,7 +252,7 @@
         &mut self,
         from: &VmId,
         stop: Stop,
-        needs: bool,
+        unstopped_only: bool,
         effects: &mut Vec<Effect>,
     ) {
         let Some(domain) = self.domain(&stop.target) else {
@@ -267,14 +271,14 @@
         if watch.term != stop.term || watch.released {
             return;
         }
-        let clean = watch.own.is_none();
-        if needs && !clean {
+        let unstopped = watch.own.is_none();
+        if unstopped_only && !unstopped {
             return;
         }
         watch.erase(from, &stop);
         effects.push(Effect::Send {
             to: from.clone(),
-            message: Message::Withdrawn { stop, clean },
+            message: Message::Withdrawn { stop, unstopped },
         });
     }
 
@@ -284,7 +288,7 @@
         now: Duration,
         from: &VmId,
         stop: &Stop,
-        clean: bool,
+        unstopped: bool,
         effects: &mut Vec<Effect>,
     ) {
         let Some(watch) = self.watches.get_mut(&stop.target) else {
@@ -298,7 +302,7 @@
         else {
             return;
         };
-        own.erased.insert(from.clone(), (clean, stop.version));
+        own.erased.insert(from.clone(), (unstopped, stop.version));
         own.told.shift_remove(from);
         self.try_resume(now, &stop.target, effects);
     }
@@ -310,8 +314,8 @@
         };
         let version = self.version();
         let fellows = self.fellows(&domain);
-        let needs = self.needs_clean(target, &fellows);
-        let alone = self.flaw == Flaw::LoneWithdraw;
+        let unstopped_only = self.needs_clean(target, &fellows);
+        let alone = self.flaw == Flaw::WithdrawUnconfirmed;
         let Some(watch) = self.watches.get_mut(target) else {
             return;
         };
@@ -323,8 +327,11 @@
             answer.filter(|(_, at)| *at >= version)
         };
         let all = fellows.iter().all(|fellow| current(fellow).is_some());
-        let clean = fellows.iter().filter_map(current).any(|(clean, _)| *clean);
-        if alone || (all && (clean || !needs)) {
+        let unstopped = fellows
+            .iter()
+            .filter_map(current)
+            .any(|(unstopped, _)| *unstopped);
+        if alone || (all && (unstopped || !unstopped_only)) {
             watch.own = None;
             effects.push(note(Kind::Resume, target, format!("now={now:?}")));
         }
@@ -376,7 +383,7 @@
             .iter()
             .filter(owned)
             .partition(|entry| entry.moving && self.flaw != Flaw::UnconfirmedMove);
-        let span = self.timing.shorter(self.timing.grant);
+        let span = self.timing.holder_span(self.timing.grant);
         Some(Grant {
             boot: state.boot.clone(),
             until_ms: state.clock_ms + u64::try_from(span.as_millis()).unwrap_or(0),
--- a/src/grantor/timing.rs
+++ b/src/grantor/timing.rs
@@ -10,8 +10,8 @@
 /// use bramleypier::grantor::timing::Timing;
 ///
 /// let timing = Timing::default();
-/// assert!(timing.renew * 2 < timing.hearing);
-/// assert!(timing.longer(timing.grant) > timing.grant);
+/// assert!(timing.renew * 2 < timing.unresponsive_after);
+/// assert!(timing.issuer_span(timing.grant) > timing.grant);
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
@@ -20,22 +20,22 @@
     /// How often a grant is renewed.
     pub renew: Duration,
     /// After how much silence a target or a peer counts as not heard.
-    pub hearing: Duration,
+    pub unresponsive_after: Duration,
     /// How long a word lasts, counted from when it was asked for; and an own read of the record,
     /// counted from when it was sent.
-    pub word: Duration,
+    pub permission: Duration,
     /// How often a word is asked for, and, for want of words, the record read.
-    pub word_ask: Duration,
+    pub permission_renew: Duration,
     /// How long a target that was never heard may take to start.
-    pub start: Duration,
+    pub start_timeout: Duration,
     /// How long a grantor that hears no other leaves it to the others to replace someone.
-    pub lonely: Duration,
+    pub isolated_wait: Duration,
     /// How long a replaced grantor is not named again by the one that replaced it.
-    pub banned: Duration,
+    pub exclusion: Duration,
     /// How long what is in flight to an unchecked target may run on after a planned move.
     pub drain: Duration,
     /// How long a lower-ranked grantor leaves a write to a higher-ranked one.
-    pub rank: Duration,
+    pub rank_delay: Duration,
     /// How long a write without an answer waits before it is sent again.
     pub retry: Duration,
     /// The share by which one clock may run ahead of another.
@@ -47,14 +47,14 @@
         Self {
             grant: Duration::from_secs(1),
             renew: Duration::from_millis(250),
-            hearing: Duration::from_millis(700),
-            word: Duration::from_millis(700),
-            word_ask: Duration::from_millis(200),
-            start: Duration::from_secs(6),
-            lonely: Duration::from_secs(2),
-            banned: Duration::from_secs(30),
+            unresponsive_after: Duration::from_millis(700),
+            permission: Duration::from_millis(700),
+            permission_renew: Duration::from_millis(200),
+            start_timeout: Duration::from_secs(6),
+            isolated_wait: Duration::from_secs(2),
+            exclusion: Duration::from_secs(30),
             drain: Duration::from_secs(5),
-            rank: Duration::from_millis(300),
+            rank_delay: Duration::from_millis(300),
             retry: Duration::from_millis(200),
             drift: 0.02,
         }
@@ -70,9 +70,9 @@
     /// use bramleypier::grantor::timing::Timing;
     ///
     /// let timing = Timing::default();
-    /// assert!(timing.longer(timing.word) > timing.word);
+    /// assert!(timing.issuer_span(timing.permission) > timing.permission);
     /// ```
-    pub fn longer(&self, span: Duration) -> Duration {
+    pub fn issuer_span(&self, span: Duration) -> Duration {
         span.mul_f64(1.0 + self.drift)
     }
 
@@ -84,9 +84,9 @@
     /// use bramleypier::grantor::timing::Timing;
     ///
     /// let timing = Timing::default();
-    /// assert!(timing.shorter(timing.word) < timing.word);
+    /// assert!(timing.holder_span(timing.permission) < timing.permission);
     /// ```
-    pub fn shorter(&self, span: Duration) -> Duration {
+    pub fn holder_span(&self, span: Duration) -> Duration {
         span.mul_f64(1.0 - self.drift)
     }
 }
--- a/src/group/build.rs
+++ b/src/group/build.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     document::{Document, Target, TargetState},
-    group::{Entry, Grantor, Member, Record, check, heirs},
+    group::{Entry, Grantor, Member, Record, check, successors},
     id::{DomainId, GroupId, TargetId, Term, Version, VmId},
     key,
     range::Range,
@@ -29,9 +29,9 @@
 /// ```
 /// use bramleypier::group::build;
 ///
-/// assert_eq!(build::group("tracking", 0), "tracking/0");
+/// assert_eq!(build::group_id("tracking", 0), "tracking/0");
 /// ```
-pub fn group(service: &str, index: u32) -> GroupId {
+pub fn group_id(service: &str, index: u32) -> GroupId {
     format!("{service}/{index}")
 }
 
@@ -44,9 +44,9 @@
 /// ```
 /// use bramleypier::{group::build, range::Range};
 ///
-/// assert_eq!(build::slice(1, "tracking/0"), Range::ALL);
+/// assert_eq!(build::group_range(1, "tracking/0"), Range::ALL);
 /// ```
-pub fn slice(groups: u32, group: &str) -> Range {
+pub fn group_range(groups: u32, group: &str) -> Range {
     let index = group.rsplit('/').next().and_then(|text| text.parse().ok());
     let mut parts = Range::ALL.split(u64::from(groups));
     let last = parts.len() - 1;
@@ -60,13 +60,13 @@
 /// ```
 /// use bramleypier::group::build;
 ///
-/// assert_eq!(build::home("tracking", 1, "server-7"), "tracking/0");
+/// assert_eq!(build::target_group("tracking", 1, "server-7"), "tracking/0");
 /// ```
-pub fn home(service: &str, groups: u32, target: &str) -> GroupId {
-    let names = (0..groups.max(1)).map(|index| group(service, index));
+pub fn target_group(service: &str, groups: u32, target: &str) -> GroupId {
+    let names = (0..groups.max(1)).map(|index| group_id(service, index));
     names
         .max_by_key(|name| key::weight(target, name))
-        .unwrap_or_else(|| group(service, 0))
+        .unwrap_or_else(|| group_id(service, 0))
 }
 
 /// Makes the first record of a group.
@@ -104,10 +104,10 @@
 ///     targets: [("a".into(), target("north")), ("b".into(), target("south"))].into(),
 /// };
 /// let vm = Candidate { vm: "vm-1".into(), domain: "north".into() };
-/// let record = build::first("tracking/0", 7, &document, &[vm]).unwrap();
+/// let record = build::initial_record("tracking/0", 7, &document, &[vm]).unwrap();
 /// assert_eq!(record.ranges.len(), 8);
 /// ```
-pub fn first(
+pub fn initial_record(
     group: &str,
     version: Version,
     document: &Document,
@@ -118,19 +118,19 @@
         serial: 1,
         ..Record::default()
     };
-    admit(&mut record, version, document);
-    name(&mut record, live);
+    apply_document(&mut record, version, document);
+    fill_grantors(&mut record, live);
     let fit = record
         .members
         .iter()
-        .filter(|(_, member)| heirs::fit(member));
+        .filter(|(_, member)| successors::is_eligible(member));
     let owners: Vec<TargetId> = fit.map(|(target, _)| target.clone()).collect();
-    if owners.is_empty() || record.trios.values().any(Vec::is_empty) {
+    if owners.is_empty() || record.grantors.values().any(Vec::is_empty) {
         return None;
     }
     let count = owners.len() * usize::try_from(document.ranges.max(1)).unwrap_or(1);
-    let count = count.min(check::RANGES / 2);
-    let parts = slice(document.groups, group).split(count as u64);
+    let count = count.min(check::MAX_RANGES / 2);
+    let parts = group_range(document.groups, group).split(count as u64);
     for (index, range) in parts.into_iter().enumerate() {
         record.ranges.push(Entry {
             range,
@@ -140,7 +140,7 @@
         });
     }
     for index in 0..record.ranges.len() {
-        record.ranges[index].chain = heirs::repair(&record, &record.ranges[index]);
+        record.ranges[index].chain = successors::repair(&record, &record.ranges[index]);
     }
     Some(record)
 }
@@ -167,10 +167,10 @@
 ///     targets: Default::default(),
 /// };
 /// let mut record = Record::default();
-/// build::admit(&mut record, 3, &document);
+/// build::apply_document(&mut record, 3, &document);
 /// assert_eq!(record.document, 3);
 /// ```
-pub fn admit(record: &mut Record, version: Version, document: &Document) {
+pub fn apply_document(record: &mut Record, version: Version, document: &Document) {
     if version <= record.document && record.serial > 1 {
         return;
     }
@@ -178,10 +178,10 @@
     let term = record.serial;
     let named = named(record);
     for (id, target) in &document.targets {
-        if home(&document.service, document.groups, id) != record.group {
+        if target_group(&document.service, document.groups, id) != record.group {
             continue;
         }
-        let room = record.members.len() < check::MEMBERS;
+        let room = record.members.len() < check::MAX_MEMBERS;
         match record.members.get_mut(id) {
             Some(known) if named.contains(id) || stands(known, target) => follow(known, target),
             Some(known) => *known = member(target, term),
@@ -206,10 +206,10 @@
 /// use bramleypier::group::{Record, build};
 ///
 /// let mut record = Record::default();
-/// build::dismiss(&mut record, |_| false);
+/// build::remove_members(&mut record, |_| false);
 /// assert!(record.members.is_empty());
 /// ```
-pub fn dismiss<F>(record: &mut Record, listed: F)
+pub fn remove_members<F>(record: &mut Record, listed: F)
 where
     F: Fn(&str) -> bool,
 {
@@ -238,20 +238,20 @@
 /// use bramleypier::group::{Record, build};
 ///
 /// let mut record = Record::default();
-/// build::name(&mut record, &[]);
-/// assert!(record.trios.is_empty());
+/// build::fill_grantors(&mut record, &[]);
+/// assert!(record.grantors.is_empty());
 /// ```
-pub fn name(record: &mut Record, live: &[Candidate]) {
+pub fn fill_grantors(record: &mut Record, live: &[Candidate]) {
     let domains: IndexSet<DomainId> = record
         .members
         .values()
         .map(|member| member.domain.clone())
         .collect();
-    record.trios.retain(|domain, _| domains.contains(domain));
+    record.grantors.retain(|domain, _| domains.contains(domain));
     for domain in domains {
-        let mut trio = record.trios.get(&domain).cloned().unwrap_or_default();
+        let mut trio = record.grantors.get(&domain).cloned().unwrap_or_default();
         fill(&record.group, &domain, &mut trio, live, record.serial);
-        record.trios.insert(domain, trio);
+        record.grantors.insert(domain, trio);
     }
 }
 
@@ -262,7 +262,7 @@
 fn fill(group: &str, domain: &str, trio: &mut Vec<Grantor>, live: &[Candidate], since: Term) {
     let mut order: Vec<&Candidate> = live.iter().collect();
     order.sort_by_key(|candidate| Reverse(key::weight(group, &candidate.vm)));
-    while trio.len() < check::TRIO {
+    while trio.len() < check::MAX_GRANTORS {
         let Some(candidate) = next(domain, trio, &order) else {
             return;
         };
--- a/src/group/check.rs
+++ b/src/group/check.rs
@@ -3,17 +3,17 @@
 use quick_error::quick_error;
 
 use crate::{
-    group::{Entry, Member, Record, heirs},
+    group::{Entry, Member, Record, successors},
     id::{DomainId, GroupId, TargetId},
     range::Range,
 };
 
 /// The most members of a group.
-pub const MEMBERS: usize = 256;
+pub const MAX_MEMBERS: usize = 256;
 /// The most ranges of a group.
-pub const RANGES: usize = 4096;
+pub const MAX_RANGES: usize = 4096;
 /// The most grantors of a failure domain's targets.
-pub const TRIO: usize = 3;
+pub const MAX_GRANTORS: usize = 3;
 
 quick_error! {
     /// Why a record is refused.
@@ -32,7 +32,7 @@
             display("step=check group={group}: bad chain at {range:?}")
         }
         /// A chain names a target that is no member.
-        Stranger(group: GroupId, target: TargetId) {
+        UnknownMember(group: GroupId, target: TargetId) {
             display("step=check group={group}: {target} is no member")
         }
         /// A failure domain with members has no grantors, or one is named twice.
@@ -57,10 +57,10 @@
 /// ```
 pub fn check(record: &Record, slice: Range) -> Result<(), Error> {
     let group = || record.group.clone();
-    let long = |trio: &Vec<_>| trio.len() > TRIO;
-    if record.members.len() > MEMBERS
-        || record.ranges.len() > RANGES
-        || record.trios.values().any(long)
+    let long = |trio: &Vec<_>| trio.len() > MAX_GRANTORS;
+    if record.members.len() > MAX_MEMBERS
+        || record.ranges.len() > MAX_RANGES
+        || record.grantors.values().any(long)
     {
         return Err(Error::Size(group()));
     }
@@ -91,12 +91,12 @@
 
 fn chain(record: &Record, entry: &Entry) -> Result<(), Error> {
     let twice = (1..entry.chain.len()).any(|at| entry.chain[..at].contains(&entry.chain[at]));
-    if entry.chain.is_empty() || entry.chain.len() > heirs::CHAIN || twice {
+    if entry.chain.is_empty() || entry.chain.len() > successors::MAX_CHAIN || twice {
         return Err(Error::Chain(record.group.clone(), entry.range));
     }
     for target in &entry.chain {
         if !record.members.contains_key(target) {
-            return Err(Error::Stranger(record.group.clone(), target.clone()));
+            return Err(Error::UnknownMember(record.group.clone(), target.clone()));
         }
     }
     Ok(())
@@ -104,7 +104,7 @@
 
 fn grantors(record: &Record, member: &Member) -> Result<(), Error> {
     let trio = record
-        .trios
+        .grantors
         .get(&member.domain)
         .map_or(&[][..], Vec::as_slice);
     let twice = (1..trio.len()).any(|at| trio[..at].iter().any(|other| other.vm == trio[at].vm));
--- a/src/group/merge.rs
+++ b/src/group/merge.rs
@@ -37,9 +37,9 @@
 /// use bramleypier::{group::{Record, merge}, handover::Handover, range::Range};
 ///
 /// let fact = Handover { group: "s/0".into(), range: Range::ALL, epoch: 2, chain: vec![] };
-/// assert!(merge::carries(&Record::default(), &fact));
+/// assert!(merge::includes(&Record::default(), &fact));
 /// ```
-pub fn carries(record: &Record, fact: &Handover) -> bool {
+pub fn includes(record: &Record, fact: &Handover) -> bool {
     record
         .ranges
         .iter()
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -11,9 +11,9 @@
 
 pub mod build;
 pub mod check;
-pub mod heirs;
 pub mod merge;
 pub mod resize;
+pub mod successors;
 
 /// A group's record: one value in the platform's service, changed only by compare-and-swap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -28,10 +28,12 @@
     /// The targets that may hold grants.
     pub members: IndexMap<TargetId, Member>,
     /// The grantors of each failure domain's targets.
-    pub trios: IndexMap<DomainId, Vec<Grantor>>,
+    #[serde(rename = "trios")]
+    pub grantors: IndexMap<DomainId, Vec<Grantor>>,
     /// The version that the last change of each trio replaced; none for the first one. Who knows a
     /// newer version has adopted that change.
-    pub changed: IndexMap<DomainId, Version>,
+    #[serde(rename = "changed")]
+    pub change_bases: IndexMap<DomainId, Version>,
     /// The ranges, in order, without gaps or overlaps.
     pub ranges: Vec<Entry>,
     /// The VM that wrote this version, with its count of writes, so that a lost answer can be
--- a/src/group/heirs.rs
+++ b/src/group/successors.rs
@@ -11,7 +11,7 @@
 };
 
 /// The longest chain: the owner and its heirs.
-pub const CHAIN: usize = 4;
+pub const MAX_CHAIN: usize = 4;
 
 /// Returns the entry's chain with unfit heirs replaced.
 ///
@@ -22,11 +22,11 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::{group::{Entry, Record, heirs}, range::Range};
+/// use bramleypier::{group::{Entry, Record, successors}, range::Range};
 ///
 /// let chain = vec!["a".to_owned(), "gone".to_owned()];
 /// let entry = Entry { range: Range::ALL, epoch: 1, chain, moving: false };
-/// assert_eq!(heirs::repair(&Record::default(), &entry), ["a"]);
+/// assert_eq!(successors::repair(&Record::default(), &entry), ["a"]);
 /// ```
 pub fn repair(record: &Record, entry: &Entry) -> Vec<TargetId> {
     let Some(owner) = entry.chain.first() else {
@@ -36,14 +36,13 @@
     let elsewhere = record
         .members
         .values()
-        .any(|member| fit(member) && Some(&member.domain) != domain);
+        .any(|member| is_eligible(member) && Some(&member.domain) != domain);
     let mut chain = vec![owner.clone()];
     for heir in &entry.chain[1..] {
-        let keep = record
-            .members
-            .get(heir)
-            .is_some_and(|member| fit(member) && (!elsewhere || Some(&member.domain) != domain));
-        if keep && !chain.contains(heir) && chain.len() < CHAIN {
+        let keep = record.members.get(heir).is_some_and(|member| {
+            is_eligible(member) && (!elsewhere || Some(&member.domain) != domain)
+        });
+        if keep && !chain.contains(heir) && chain.len() < MAX_CHAIN {
             chain.push(heir.clone());
         }
     }
@@ -56,7 +55,7 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::{document::Fencing, group::{Member, heirs}};
+/// use bramleypier::{document::Fencing, group::{Member, successors}};
 ///
 /// let member = Member {
 ///     address: "127.0.0.1:1".into(),
@@ -68,15 +67,15 @@
 ///     leaving: false,
 ///     slots: 2,
 /// };
-/// assert!(heirs::fit(&member));
+/// assert!(successors::is_eligible(&member));
 /// ```
-pub fn fit(member: &Member) -> bool {
+pub fn is_eligible(member: &Member) -> bool {
     !member.released && !member.leaving
 }
 
 /// Fills the chain up, from failure domains it lacks as long as there are such.
 fn extend(record: &Record, entry: &Entry, chain: &mut Vec<TargetId>) {
-    if chain.len() >= CHAIN {
+    if chain.len() >= MAX_CHAIN {
         // Sound chains are looked at again and again: weigh nobody for them.
         return;
     }
@@ -84,11 +83,11 @@
     let mut order: Vec<&TargetId> = record
         .members
         .iter()
-        .filter(|(_, member)| fit(member))
+        .filter(|(_, member)| is_eligible(member))
         .map(|(target, _)| target)
         .collect();
     order.sort_by_cached_key(|target| Reverse(key::weight(&subject, target)));
-    while chain.len() < CHAIN {
+    while chain.len() < MAX_CHAIN {
         let Some(heir) = next(record, &order, chain) else {
             return;
         };
--- a/src/route.rs
+++ b/src/route.rs
@@ -82,7 +82,7 @@
             return;
         }
         self.version = version;
-        self.facts.retain(|_, fact| !merge::carries(&record, fact));
+        self.facts.retain(|_, fact| !merge::includes(&record, fact));
         self.record = record;
         self.view = merge::view(&self.record, &self.facts);
     }
@@ -105,7 +105,7 @@
     /// ```
     pub fn on_handover(&mut self, fact: Handover) {
         let other = self.version > 0 && fact.group != self.record.group;
-        if other || (self.version > 0 && merge::carries(&self.record, &fact)) {
+        if other || (self.version > 0 && merge::includes(&self.record, &fact)) {
             return;
         }
         self.facts.insert((fact.range, fact.epoch), fact);
@@ -170,7 +170,7 @@
     /// Table::default().on_lease(&Timing::default(), Duration::ZERO, vec![]);
     /// ```
     pub fn on_lease(&mut self, timing: &Timing, asked: Duration, routes: Vec<Leased>) {
-        let until = asked + timing.shorter(timing.grant);
+        let until = asked + timing.holder_span(timing.grant);
         self.leases.retain(|_, end| *end > asked);
         for leased in routes {
             let key = (leased.range, leased.epoch, leased.target, leased.term);
--- a/src/vm/notes.rs
+++ b/src/vm/notes.rs
@@ -121,7 +121,7 @@
             grantor::Kind::Stop => Kind::GrantStopped,
             grantor::Kind::Resume => Kind::StopWithdrawn,
             grantor::Kind::Release => Kind::TargetReleased,
-            grantor::Kind::Strike => Kind::GrantorStruck,
+            grantor::Kind::Replacement => Kind::GrantorStruck,
             grantor::Kind::Write => Kind::RecordWritten,
             grantor::Kind::Retire => return self.duty(group, duty::Event::Move),
             // A handover is recorded as a fact, with its range and epoch.
@@ -153,7 +153,7 @@
     /// Notes a newer record: whether it names this VM, and what it says of lost ranges. One
     /// whose new owner is granted to by other VMs is theirs to account for.
     pub fn record(&mut self, me: &VmId, group: &GroupId, record: &Record) {
-        let mut grantors = record.trios.values().flatten();
+        let mut grantors = record.grantors.values().flatten();
         let is_named = grantors.any(|grantor| grantor.vm == *me);
         let state = self.duties.get(group).map(Machine::state);
         self.duty(
@@ -268,7 +268,7 @@
         .chain
         .first()
         .and_then(|owner| record.members.get(owner));
-    let trio = owner.and_then(|owner| record.trios.get(&owner.domain));
+    let trio = owner.and_then(|owner| record.grantors.get(&owner.domain));
     let is_mine = trio.is_some_and(|trio| trio.iter().any(|grantor| grantor.vm == *me));
     entry.epoch >= epoch && !is_mine
 }
--- a/src/vm/owners.rs
+++ b/src/vm/owners.rs
@@ -141,7 +141,7 @@
             Message::Peer(from, group, message) => self.peer(from, &group, message),
             Message::Ended(group, event) => {
                 match &*event {
-                    Event::Target { target, state, .. } => {
+                    Event::TargetAnswered { target, state, .. } => {
                         self.notes.answered(&group, target, state);
                     }
                     Event::TargetFailed { .. } => self.notes.failed(&group),
@@ -161,7 +161,7 @@
     fn fleet(&mut self, fleet: Fleet) {
         let vms = candidates(&fleet);
         self.fleet = Some(fleet);
-        self.feed_all(&Event::Live { vms });
+        self.feed_all(&Event::LiveVms { vms });
     }
 
     /// Tells grantors which of the VMs they name are gone for certain.
@@ -172,14 +172,14 @@
         }
         let records = self.groups.values().filter_map(Grantor::record);
         let named: IndexSet<VmId> = records
-            .flat_map(|(_, record)| record.trios.values().flatten())
+            .flat_map(|(_, record)| record.grantors.values().flatten())
             .map(|grantor| grantor.vm.clone())
             .collect();
         let live = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.live);
         let gone = self.gone.of(self.parts.clock.now(), &named, list, live);
         if !gone.is_empty() {
-            let gone = gone.into_iter().collect();
-            self.feed_all(&Event::Listed { gone });
+            let vms = gone.into_iter().collect();
+            self.feed_all(&Event::VmsGone { vms });
         }
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         for index in 0..document.groups {
-            let group = build::group(&document.service, index);
+            let group = build::group_id(&document.service, index);
             self.ensure(&group);
             let document = (**document).clone();
             self.feed(&group, Event::Document { version, document });
@@ -207,7 +207,7 @@
         self.groups.insert(group.clone(), grantor);
         if let Some(fleet) = &self.fleet {
             let vms = candidates(fleet);
-            self.feed(group, Event::Live { vms });
+            self.feed(group, Event::LiveVms { vms });
         }
     }
 
@@ -269,7 +269,7 @@
                 record,
             } => self.write(group, base, sequence, &record),
             Effect::Read { asked } => self.read(group, asked),
-            Effect::Fact(fact) => {
+            Effect::Handover(fact) => {
                 self.notes.moved(group, &fact);
                 self.tell_fact(fact.clone());
                 let _ = self
@@ -287,7 +287,7 @@
         let now = self.parts.clock.now();
         let grantor = self.groups.get(group);
         let routes = grantor
-            .map(|grantor| grantor.route(now))
+            .map(|grantor| grantor.routes(now))
             .unwrap_or_default();
         self.notes.note(group, note, &routes);
     }
@@ -312,7 +312,7 @@
                 (Err(_), _) => None,
             };
             let event = match state {
-                Some(state) => Event::Target {
+                Some(state) => Event::TargetAnswered {
                     target,
                     asked,
                     state,
@@ -333,7 +333,7 @@
         compio::runtime::spawn(async move {
             let result = match bytes {
                 Ok(bytes) => outcome(&platform.put(&news::record_key(&group), base, bytes).await),
-                Err(_) => Outcome::Lost(base),
+                Err(_) => Outcome::Conflict(base),
             };
             let event = Event::Written { sequence, result };
             let _ = owners.unbounded_send(Message::Ended(group, Box::new(event)));
@@ -400,7 +400,7 @@
                 continue;
             };
             for to in lenders(record) {
-                let message = grantor::Message::LeaseAsk { asked: now };
+                let message = grantor::Message::LeaseRequest { asked: now };
                 if to == self.parts.me.vm {
                     let message = Message::Peer(to, group.clone(), message);
                     let _ = self.parts.tasks.owners.unbounded_send(message);
@@ -458,10 +458,10 @@
 
 fn outcome(result: &Result<Put, platform::Error>) -> Outcome {
     match result {
-        Ok(Put::Won(version)) => Outcome::Won(*version),
-        Ok(Put::Lost(version)) => Outcome::Lost(*version),
+        Ok(Put::Won(version)) => Outcome::Committed(*version),
+        Ok(Put::Lost(version)) => Outcome::Conflict(*version),
         // Even a write that surely failed is settled by reading back: one way for all.
-        Err(_) => Outcome::Doubt,
+        Err(_) => Outcome::Unknown,
     }
 }
 
@@ -472,7 +472,7 @@
         .values()
         .filter(|member| member.fencing == Fencing::Unchecked);
     unchecked
-        .filter_map(|member| record.trios.get(&member.domain))
+        .filter_map(|member| record.grantors.get(&member.domain))
         .flatten()
         .map(|grantor| grantor.vm.clone())
         .collect()
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -20,7 +20,7 @@
         vm: format!("vm-{domain}"),
         domain: domain.into(),
     });
-    let mut record = build::first(model::GROUP, 1, &document, &live).unwrap();
+    let mut record = build::initial_record(model::GROUP, 1, &document, &live).unwrap();
     for (target, member) in &mut record.members {
         member.boot = format!("{target}-1");
     }
@@ -128,7 +128,7 @@
     let joined = model::document(13, false).targets;
     document.targets = joined;
     record.serial += 1;
-    build::admit(&mut record, 2, &document);
+    build::apply_document(&mut record, 2, &document);
     record.members["t12"].boot = "t12-1".into();
     let moved = settle(&mut record, &[], &document);
     let own = record.ranges.iter().filter(|entry| entry.chain[0] == "t12");
--- a/tests/model/faults.rs
+++ b/tests/model/faults.rs
@@ -225,7 +225,7 @@
             .store
             .value
             .iter()
-            .flat_map(|(_, record)| record.trios.values().flatten());
+            .flat_map(|(_, record)| record.grantors.values().flatten());
         let named: Vec<&String> = trios.map(|grantor| &grantor.vm).collect();
         let live = |vm: &&&String| self.vms.contains_key(**vm);
         let named: Vec<&&String> = named.iter().filter(live).collect();
@@ -401,7 +401,7 @@
     fn pick_trio(&self, who: usize) -> Option<(String, String, Vec<String>)> {
         let target = self.pick_target(who);
         let (_, record) = self.store.value.as_ref()?;
-        let trio = record.trios.get(&self.servers[&target].domain)?.iter();
+        let trio = record.grantors.get(&self.servers[&target].domain)?.iter();
         let mut trio: Vec<String> = trio.map(|grantor| grantor.vm.clone()).collect();
         let lone = trio.swap_remove(who / 8 % trio.len());
         Some((target, lone, trio))
@@ -460,7 +460,7 @@
         let target = self.pick_target(who);
         let domain = self.servers[&target].domain.clone();
         let (_, record) = self.store.value.as_ref()?;
-        let trio = record.trios[&domain].iter();
+        let trio = record.grantors[&domain].iter();
         let mut trio: Vec<String> = trio.map(|grantor| grantor.vm.clone()).collect();
         if trio.len() < 3 {
             return None;
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -302,7 +302,7 @@
         }
         for sequence in late {
             self.vms[id].writes.shift_remove(&sequence);
-            let result = Outcome::Doubt;
+            let result = Outcome::Unknown;
             self.event(id, Event::Written { sequence, result });
         }
         self.event(id, Event::Tick);
@@ -316,13 +316,13 @@
             .any(|server| server.fencing == Fencing::Unchecked);
         let named: IndexSet<VmId> = match self.vms[id].grantor.record() {
             Some((_, record)) if unchecked => {
-                let trios = record.trios.values().flatten();
+                let trios = record.grantors.values().flatten();
                 trios.map(|grantor| grantor.vm.clone()).collect()
             }
             _ => return,
         };
         for vm in named {
-            let message = Message::LeaseAsk { asked };
+            let message = Message::LeaseRequest { asked };
             let from = id.to_owned();
             self.send(id, &vm, Payload::Event(Event::Peer { from, message }));
         }
@@ -375,7 +375,7 @@
                 self.send(id, STORE, Payload::Call(call));
             }
             Effect::Read { asked } => self.send(id, STORE, Payload::Call(Call::Read(asked))),
-            Effect::Fact(fact) => {
+            Effect::Handover(fact) => {
                 self.watchdog.on_fact(&fact);
                 let all: Vec<VmId> = self.vms.keys().cloned().collect();
                 for vm in all {
@@ -472,7 +472,7 @@
         if let Some(grant) = grant {
             server.holder.on_grant(now, &grant);
         }
-        let event = Event::Target {
+        let event = Event::TargetAnswered {
             target: parcel.to.clone(),
             asked,
             state: server.holder.state(now),
@@ -512,8 +512,8 @@
             .collect();
         for vm in self.vms.keys().cloned().collect::<Vec<_>>() {
             if self.asleep(&vm).is_none() {
-                self.event(&vm, Event::Live { vms: live.clone() });
-                self.event(&vm, Event::Listed { gone: gone.clone() });
+                self.event(&vm, Event::LiveVms { vms: live.clone() });
+                self.event(&vm, Event::VmsGone { vms: gone.clone() });
             }
         }
     }
--- a/tests/model/store.rs
+++ b/tests/model/store.rs
@@ -36,12 +36,12 @@
         self.writes += 1;
         let stands = self.value.as_ref().map_or(0, |(version, _)| *version);
         if stands != base {
-            return Ok(Outcome::Lost(stands));
+            return Ok(Outcome::Conflict(stands));
         }
         check::check(&record, Range::ALL).map_err(|error| error.to_string())?;
         self.revision += 1;
         self.value = Some((self.revision, record));
-        Ok(Outcome::Won(self.revision))
+        Ok(Outcome::Committed(self.revision))
     }
 }
 
@@ -63,7 +63,7 @@
                         return;
                     }
                 };
-                if let Outcome::Won(_) = result {
+                if let Outcome::Committed(_) = result {
                     if self.store.swallow.0 > 0 {
                         self.store.swallow.0 -= 1;
                         self.store.down = self.time + self.store.swallow.1;
--- a/tests/ownership.rs
+++ b/tests/ownership.rs
@@ -108,46 +108,58 @@
 fn flaws() -> Vec<(Flaw, Vec<(u64, Fault)>)> {
     vec![
         (
-            Flaw::WordIgnored,
+            Flaw::NoPermission,
             vec![(3000, Fault::Lone(0, 4000, Lone::LastRead))],
         ),
         (
-            Flaw::WordLate,
+            Flaw::PermissionFromReceipt,
             vec![(3000, Fault::Lone(0, 3000, Lone::LateWords))],
         ),
         (
-            Flaw::ReadLate,
+            Flaw::ReadFromReceipt,
             vec![(3000, Fault::Lone(0, 3000, Lone::LateReads))],
         ),
         (
-            Flaw::WordUnnamed,
+            Flaw::PermissionForAnyone,
             vec![(3000, Fault::Lone(0, 3000, Lone::Returns))],
         ),
-        (Flaw::StrikeNoWait, vec![(3000, Fault::Pair(0, 4000, true))]),
         (
-            Flaw::StrikeUnadopted,
+            Flaw::ReplacementNoWait,
+            vec![(3000, Fault::Pair(0, 4000, true))],
+        ),
+        (
+            Flaw::ReplacementUnconfirmed,
             vec![(3000, Fault::Pair(0, 6000, true))],
         ),
-        (Flaw::StrikeTwice, vec![(3000, Fault::Pair(0, 7000, false))]),
-        (Flaw::NoWait, vec![(3000, Fault::Strand(0, 4000, 15))]),
-        (Flaw::LoneStop, vec![(3000, Fault::Strand(0, 4000, 16))]),
         (
-            Flaw::LoneWithdraw,
+            Flaw::ConcurrentReplacements,
+            vec![(3000, Fault::Pair(0, 7000, false))],
+        ),
+        (
+            Flaw::ReleaseNoWait,
+            vec![(3000, Fault::Strand(0, 4000, 15))],
+        ),
+        (
+            Flaw::ReleaseOnOwnStop,
+            vec![(3000, Fault::Strand(0, 4000, 16))],
+        ),
+        (
+            Flaw::WithdrawUnconfirmed,
             vec![
                 (3000, Fault::FreezeTarget(0, 1300)),
                 (3900, Fault::Isolate(0, 2600)),
             ],
         ),
         (
-            Flaw::StruckForgotten,
+            Flaw::ReplacedForgotten,
             vec![
                 (3000, Fault::FreezeTarget(0, 1300)),
                 (3900, Fault::Isolate(0, 2600)),
             ],
         ),
-        (Flaw::EpochKept, vec![(3000, Fault::KillTarget(0))]),
+        (Flaw::EpochUnchanged, vec![(3000, Fault::KillTarget(0))]),
         (
-            Flaw::NewUnstopped,
+            Flaw::NewGrantorUnstopped,
             vec![
                 (3000, Fault::KillGrantor(0)),
                 (3000, Fault::Strand(1, 5000, 15)),
@@ -155,7 +167,7 @@
         ),
         (Flaw::UnconfirmedMove, vec![(3000, Fault::Hot(0))]),
         (Flaw::BootIgnored, vec![(3000, Fault::RestartTarget(0))]),
-        (Flaw::TermKept, vec![(3000, Fault::RestartTarget(0))]),
+        (Flaw::TermUnchanged, vec![(3000, Fault::RestartTarget(0))]),
     ]
 }
 
@@ -178,7 +190,7 @@
 fn each_rule_is_needed() {
     for (flaw, faults) in flaws() {
         let found = match storm(&faults, flaw) {
-            Ok(world) => flaw == Flaw::EpochKept && !world.unserved().is_empty(),
+            Ok(world) => flaw == Flaw::EpochUnchanged && !world.unserved().is_empty(),
             Err(_) => true,
         };
         assert!(found, "{flaw:?} was not found");
@@ -189,7 +201,7 @@
 fn the_same_faults_make_no_second_owner_under_all_rules() {
     for (flaw, faults) in flaws() {
         let world = storm(&faults, Flaw::None).unwrap_or_else(|fault| panic!("{flaw:?}: {fault}"));
-        let served = flaw != Flaw::EpochKept || world.unserved().is_empty();
+        let served = flaw != Flaw::EpochUnchanged || world.unserved().is_empty();
         assert!(served, "{flaw:?}: unserved\n{}", world.story());
     }
 }
--- a/tests/ownership_flaws.rs
+++ b/tests/ownership_flaws.rs
@@ -53,50 +53,50 @@
 }
 
 flaws! {
-    granting_without_a_word: WordIgnored,
+    granting_without_a_word: NoPermission,
         [plan(1, &[(4000, Fault::Strand(17, 8000, 15))])];
-    counting_words_from_their_receipt: WordLate,
+    counting_words_from_their_receipt: PermissionFromReceipt,
         [late(250, plan(20, &[(4000, Fault::Strand(20, 8000, 13))]))];
-    releasing_before_the_strike_is_adopted: StrikeUnadopted,
+    releasing_before_the_strike_is_adopted: ReplacementUnconfirmed,
         [plan(1, &[
             (4000, Fault::Strand(17, 8000, 31)),
             (5000, Fault::Island(17, 7000)),
         ])];
-    striking_twice_at_once: StrikeTwice,
+    striking_twice_at_once: ConcurrentReplacements,
         [plan(1, &[
             (4000, Fault::Strand(0, 8000, 31)),
             (4000, Fault::Island(0, 7000)),
         ])];
-    releasing_before_the_grant_lapses: NoWait,
+    releasing_before_the_grant_lapses: ReleaseNoWait,
         [plan(0, &[(4000, Fault::MuteTarget(0, 5000))])];
-    releasing_by_the_own_stop_alone: LoneStop,
+    releasing_by_the_own_stop_alone: ReleaseOnOwnStop,
         [plan(1, &[(4000, Fault::CutDomain(8, 1240))])];
-    withdrawing_without_asking: LoneWithdraw,
+    withdrawing_without_asking: WithdrawUnconfirmed,
         [plan(1, &[
             (4000, Fault::FreezeTarget(0, 1000)),
             (4100, Fault::Strand(0, 8000, 0)),
         ])];
-    stopping_while_a_write_is_in_doubt: StopInDoubt,
+    stopping_while_a_write_is_in_doubt: StopDuringWrite,
         [plan(1, &[
             (4000, Fault::Swallow(1, 1500)),
             (4000, Fault::Leave(0)),
             (4050, Fault::KillTarget(1)),
             (4000, Fault::Dumb(0, 4000)),
         ])];
-    keeping_the_epoch: EpochKept,
+    keeping_the_epoch: EpochUnchanged,
         [plan(1, &[(4000, Fault::KillTarget(0))])];
-    taking_heirs_from_an_old_record: OldHeirs,
+    taking_heirs_from_an_old_record: OutdatedSuccessors,
         [plan(1, &[
             (3750, Fault::KillTarget(0)),
             (4000, Fault::Dumb(2, 9000)),
             (4020, Fault::Leave(1)),
         ])];
-    starting_a_new_grantor_unstopped: NewUnstopped,
+    starting_a_new_grantor_unstopped: NewGrantorUnstopped,
         [plan(1, &[(4000, Fault::Strand(0, 8000, 15))])];
     moving_without_confirmation: UnconfirmedMove,
         [plan(1, &[(4000, Fault::Leave(0))])];
     granting_to_a_new_start_under_the_old_term: BootIgnored,
         [plan(3_211_353_840_496_823, &[(3000, Fault::RestartTarget(20))])];
-    taking_a_target_back_while_a_chain_names_it: TermKept,
+    taking_a_target_back_while_a_chain_names_it: TermUnchanged,
         [plan(3_415_207_295_432_737, &[(3000, Fault::RestartTarget(20))])];
 }
--- a/tests/ownership_measure.rs
+++ b/tests/ownership_measure.rs
@@ -42,7 +42,9 @@
 /// Kills a grantor of the first target's trio.
 fn kill_grantor(world: &mut World, index: usize) {
     let (_, record) = world.store.value.clone().unwrap();
-    let vm = record.trios[&world.servers["t0"].domain][index].vm.clone();
+    let vm = record.grantors[&world.servers["t0"].domain][index]
+        .vm
+        .clone();
     world.kill_vm(&vm);
 }
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -54,7 +54,7 @@
 fn trio(world: &World) -> Vec<String> {
     let (_, record) = world.store.value.as_ref().unwrap();
     let domain = &record.members["t0"].domain;
-    let trio = record.trios[domain].iter();
+    let trio = record.grantors[domain].iter();
     trio.map(|grantor| grantor.vm.clone()).collect()
 }
 
@@ -87,7 +87,7 @@
     worst("target, soon after a domain of its grantors", |world| {
         let (_, record) = world.store.value.as_ref().unwrap();
         let (domain, _) = record
-            .trios
+            .grantors
             .iter()
             .find(|(domain, _)| **domain != record.members["t0"].domain)
             .unwrap();
@@ -166,7 +166,7 @@
         }
         let (_, record) = world.store.value.as_ref().unwrap();
         let inside = |domain: &String, vm: &str| world.vms[vm].domain == *domain;
-        for (domain, trio) in &record.trios {
+        for (domain, trio) in &record.grantors {
             let insider = trio.iter().find(|grantor| inside(domain, &grantor.vm));
             assert!(insider.is_none(), "{domain}: {trio:?}");
         }
