--- a/src/order/entry.rs
+++ b/src/order/entry.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::{Answer, Attempt, Fate};
+use super::{Answer, Attempt, AttemptState};
 use crate::request::Fingerprint;
 
 /// What an entry costs besides its texts and bodies, in bytes: resident memory as measured, with the
@@ -22,27 +22,28 @@
     /// How long ago it last changed, where the entry travels.
     pub age: Duration,
     /// The attempts.
-    pub attempts: IndexMap<Attempt, Trial>,
+    pub attempts: IndexMap<Attempt, AttemptRecord>,
 }
 
 /// One attempt, as remembered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trial {
+pub struct AttemptRecord {
     /// What it asked for.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
     /// What became of it.
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub state: AttemptState,
 }
 
 /// What the memory says to an attempt that wants to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum CheckResult {
     /// No attempt ran or may run.
-    Free,
+    Allowed,
     /// This one is the one that may run.
-    Mine,
+    AlreadyOpen,
     /// Another may be running.
     Running,
     /// One ran.
--- a/src/order/ledger.rs
+++ b/src/order/ledger.rs
@@ -5,24 +5,25 @@
 use indexmap::IndexMap;
 
 use super::{
-    Attempt, Change, Effect, Fate, Flaw, Message, Order, Reply, Shard, View, ViewNumber, Views,
+    Attempt, AttemptState, Change, Effect, Flaw, Message, Order, Reply, Shard, View, ViewNumber,
+    Views,
     memory::{Limits, Memory},
     plan::{Member, Peers},
-    replica::{Replica, Resign, Role, note, reply},
+    replica::{Replica, Resignation, Role, note, reply},
     view,
 };
 use crate::id::{Version, VmId};
 
 /// How many open attempts are asked after in one round.
-const ASKS: usize = 64;
+const MAX_QUERIES: usize = 64;
 /// How long an attempt is open before it is asked after.
-const ASK_AFTER: Duration = Duration::from_secs(2);
+const QUERY_AFTER: Duration = Duration::from_secs(2);
 /// How long an attempt is open before it counts as lost; longer than requests may take.
-const SILENT: Duration = Duration::from_mins(5);
+const LOST_AFTER: Duration = Duration::from_mins(5);
 /// How long until a write that is in doubt is tried again.
-const REWRITE: Duration = Duration::from_secs(1);
+const WRITE_RETRY: Duration = Duration::from_secs(1);
 /// How long the VMs have to be the same before shards move only to be spread better.
-const SETTLE: Duration = Duration::from_secs(10);
+const REBALANCE_DELAY: Duration = Duration::from_secs(10);
 
 /// What happens to a [`Ledger`].
 #[derive(Clone, Debug, PartialEq)]
@@ -59,10 +60,10 @@
     version: Option<Version>,
     shards: Vec<Replica>,
     peers: Peers,
-    settled: Duration,
-    /// The base of a write whose fate isn't known, and when it was last sent.
-    doubt: Option<(Version, Duration)>,
-    asked: Duration,
+    rebalance_after: Duration,
+    /// The base of a write whose state isn't known, and when it was last sent.
+    unconfirmed: Option<(Version, Duration)>,
+    last_query: Duration,
 }
 
 impl Ledger {
@@ -83,9 +84,9 @@
             version: None,
             shards: Vec::new(),
             peers: Peers::default(),
-            settled: Duration::ZERO,
-            doubt: None,
-            asked: Duration::ZERO,
+            rebalance_after: Duration::ZERO,
+            unconfirmed: None,
+            last_query: Duration::ZERO,
         }
     }
 
@@ -107,14 +108,14 @@
     /// assert!(Ledger::new("a#1", Limits::default()).is_idle());
     /// ```
     pub fn is_idle(&self) -> bool {
-        let mut mine = self.shards.iter().filter(|it| it.view.has(&self.vm));
+        let mut mine = self.shards.iter().filter(|it| it.view.has_member(&self.vm));
         // Whoever resigned to a VM that is gone can't tell what that one did before: its own
         // memory is worth nothing any more.
         let gone = |vm: &VmId| *vm == self.vm || self.peers.gone.contains(vm);
-        mine.all(|replica| match replica.resign {
-            Resign::Known => true,
-            Resign::Mine(_) => replica.view.members().all(gone),
-            Resign::None | Resign::Theirs => false,
+        mine.all(|replica| match replica.resignation {
+            Resignation::Acknowledged => true,
+            Resignation::Sent(_) => replica.view.members().all(gone),
+            Resignation::None | Resignation::Received => false,
         })
     }
 
@@ -125,10 +126,10 @@
     /// ```
     /// use bramleypier::order::{Ledger, memory::Limits};
     ///
-    /// assert_eq!(Ledger::new("a#1", Limits::default()).duties(), (0, 0, 0));
+    /// assert_eq!(Ledger::new("a#1", Limits::default()).role_counts(), (0, 0, 0));
     /// ```
-    pub fn duties(&self) -> (usize, usize, usize) {
-        let mine = || self.shards.iter().filter(|it| it.view.has(&self.vm));
+    pub fn role_counts(&self) -> (usize, usize, usize) {
+        let mine = || self.shards.iter().filter(|it| it.view.has_member(&self.vm));
         let homes = mine().filter(|it| it.view.home == self.vm).count();
         let empty = mine().filter(|it| !it.complete).count();
         (homes, mine().count() - homes, empty)
@@ -155,10 +156,10 @@
     /// ```
     /// use bramleypier::order::{Ledger, memory::Limits};
     ///
-    /// assert_eq!(Ledger::new("a#1", Limits::default()).forgotten(), 0);
+    /// assert_eq!(Ledger::new("a#1", Limits::default()).evicted(), 0);
     /// ```
-    pub fn forgotten(&self) -> u64 {
-        self.shards.iter().map(|it| it.memory.forgotten()).sum()
+    pub fn evicted(&self) -> u64 {
+        self.shards.iter().map(|it| it.memory.evicted()).sum()
     }
 
     /// Takes an event.
@@ -176,23 +177,23 @@
     /// ```
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         match event {
-            Event::Views { version, views } => self.take_views(version, views),
+            Event::Views { version, views } => self.on_views(version, views),
             Event::Peers(peers) => {
-                self.take_peers(now, peers);
+                self.on_peers(now, peers);
                 Vec::new()
             }
-            Event::Message { from, message } => self.take_message(now, from, message),
+            Event::Message { from, message } => self.on_message(now, from, message),
             Event::Tick { wall } => self.tick(now, wall),
         }
     }
 
-    fn take_views(&mut self, version: Version, views: Views) -> Vec<Effect> {
+    fn on_views(&mut self, version: Version, views: Views) -> Vec<Effect> {
         if self.version.is_some_and(|known| known >= version) {
             return Vec::new();
         }
         self.version = Some(version);
-        if self.doubt.is_some_and(|(base, _)| base < version) {
-            self.doubt = None;
+        if self.unconfirmed.is_some_and(|(base, _)| base < version) {
+            self.unconfirmed = None;
         }
         let mut effects = Vec::new();
         for (shard, next) in views.shards.into_iter().enumerate() {
@@ -210,26 +211,26 @@
         effects
     }
 
-    fn take_peers(&mut self, now: Duration, peers: Peers) {
+    fn on_peers(&mut self, now: Duration, peers: Peers) {
         if peers != self.peers {
-            self.settled = now + SETTLE;
+            self.rebalance_after = now + REBALANCE_DELAY;
         }
         self.peers = peers;
     }
 
-    fn take_message(&mut self, now: Duration, from: VmId, message: Message) -> Vec<Effect> {
+    fn on_message(&mut self, now: Duration, from: VmId, message: Message) -> Vec<Effect> {
         match message {
             Message::Start {
                 order,
                 attempt,
                 view,
                 wall,
-            } => self.start(now, order, attempt, view, wall),
+            } => self.on_start(now, order, attempt, view, wall),
             Message::Finish {
                 order,
                 attempt,
-                fate,
-            } => self.finish(now, from, &order, attempt, fate),
+                state,
+            } => self.on_finish(now, from, &order, attempt, state),
             Message::Transfer {
                 shard,
                 view,
@@ -242,20 +243,20 @@
                     return vec![Effect::Read];
                 };
                 replica.memory.raise_floor(floor);
-                replica.take_part(now, from, shard, part, last, entries)
+                replica.install_part(now, from, shard, part, last, entries)
             }
             Message::Installed { shard, view, part } => {
                 let replica = self.replica(shard, view);
-                replica.map_or_else(Vec::new, |replica| replica.sent(now, shard, part))
+                replica.map_or_else(Vec::new, |replica| replica.on_installed(now, shard, part))
             }
             Message::Resign { shard, view } => {
                 let vm = self.vm.clone();
                 let replica = self.replica(shard, view);
-                replica.map_or_else(Vec::new, |it| it.take_resign(&vm, from, shard))
+                replica.map_or_else(Vec::new, |it| it.on_resign(&vm, from, shard))
             }
             Message::Resigned { shard, view } => {
                 if let Some(replica) = self.replica(shard, view) {
-                    replica.resign_known();
+                    replica.on_resign_acknowledged();
                 }
                 Vec::new()
             }
@@ -263,7 +264,7 @@
         }
     }
 
-    fn start(
+    fn on_start(
         &mut self,
         now: Duration,
         order: Order,
@@ -283,46 +284,46 @@
         if view > replica.view.number {
             return vec![reply(attempt, view, Reply::NotReady), Effect::Read];
         }
-        let word = match replica.role(&self.vm, self.flaw) {
+        let answer = match replica.role(&self.vm, self.flaw) {
             None => Reply::NotReady,
-            Some(Role::Standby) => replica.remember(now, &order, &attempt),
-            Some(role) if replica.lost(&order, wall, retention) => {
-                match replica.standing(&order, &attempt, role, Reply::Unknown) {
+            Some(Role::Standby) => replica.record_attempt(now, &order, &attempt),
+            Some(role) if replica.may_be_lost(&order, wall, retention) => {
+                match replica.check(&order, &attempt, role, Reply::Unknown) {
                     Reply::Mismatch => Reply::Unknown,
-                    word => word,
+                    answer => answer,
                 }
             }
             Some(role) => replica.arbitrate(now, order, &attempt, role, wall),
         };
-        vec![reply(attempt, view, word)]
+        vec![reply(attempt, view, answer)]
     }
 
-    fn finish(
+    fn on_finish(
         &mut self,
         now: Duration,
         from: VmId,
         order: &Order,
         attempt: Attempt,
-        fate: Fate,
+        state: AttemptState,
     ) -> Vec<Effect> {
         let shard = super::shard(&order.id, self.shards.len());
         let Some(replica) = self.shards.get_mut(shard) else {
             return vec![Effect::Read];
         };
-        if !replica.view.has(&self.vm) {
+        if !replica.view.has_member(&self.vm) {
             let newer = Reply::Moved(replica.view.clone());
             return vec![reply(attempt, replica.view.number, newer)];
         }
-        let relay = replica.relay(order, &attempt, &fate);
-        let news = replica.memory.learn(now, order, attempt.clone(), fate);
+        let forwarded = replica.forward(order, &attempt, &state);
+        let changed = replica.memory.update(now, order, attempt.clone(), state);
         let ack = Effect::Send {
             to: from,
             message: Message::Finished { attempt },
         };
         let mut effects = vec![ack];
-        if news {
-            effects.extend(relay);
-            effects.extend(replica.wake(now, &self.vm, &order.id));
+        if changed {
+            effects.extend(forwarded);
+            effects.extend(replica.retry_waiters(now, &self.vm, &order.id));
         }
         effects
     }
@@ -330,11 +331,11 @@
     fn tick(&mut self, now: Duration, wall: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
         for (shard, replica) in self.shards.iter_mut().enumerate() {
-            effects.extend(replica.transfer(now, shard));
+            effects.extend(replica.send_part(now, shard));
         }
-        if self.asked + ASK_AFTER / 2 <= now {
-            self.asked = now;
-            effects.extend(self.ask(now));
+        if self.last_query + QUERY_AFTER / 2 <= now {
+            self.last_query = now;
+            effects.extend(self.query_attempts(now));
         }
         effects.extend(self.resign(now));
         effects.extend(self.propose(now, wall));
@@ -343,20 +344,23 @@
 
     /// Asks entry VMs after attempts that have been open for long, and gives up those of VMs that
     /// are gone or don't answer. Should one of them end after all, that account is still taken.
-    fn ask(&mut self, now: Duration) -> Vec<Effect> {
+    fn query_attempts(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let Some(before) = now.checked_sub(ASK_AFTER) else {
+        let Some(before) = now.checked_sub(QUERY_AFTER) else {
             return effects;
         };
-        let silent = now.saturating_sub(SILENT);
-        let mine = self.shards.iter_mut().filter(|it| it.view.has(&self.vm));
+        let lost_before = now.saturating_sub(LOST_AFTER);
+        let mine = self
+            .shards
+            .iter_mut()
+            .filter(|it| it.view.has_member(&self.vm));
         for replica in mine {
             let lost = |vm: &VmId| self.peers.gone.contains(vm);
-            for id in replica.memory.give_up(lost, silent) {
-                effects.extend(replica.wake(now, &self.vm, &id));
+            for id in replica.memory.mark_unknown(lost, lost_before) {
+                effects.extend(replica.retry_waiters(now, &self.vm, &id));
             }
-            let left = ASKS.saturating_sub(effects.len());
-            let open = replica.memory.open(before).take(left);
+            let left = MAX_QUERIES.saturating_sub(effects.len());
+            let open = replica.memory.open_attempts(before).take(left);
             effects.extend(open.map(|(order, attempt)| Effect::Send {
                 to: attempt.vm.clone(),
                 message: Message::Ask { order, attempt },
@@ -368,8 +372,8 @@
     /// Resigns from every shard that the other member can go on with, once this VM stops.
     fn resign(&mut self, now: Duration) -> Vec<Effect> {
         let leaving = self.peers.vms.get(&self.vm).is_some_and(|it| it.leaving);
-        let doubt = self.doubt.is_some() && self.flaw != Flaw::ResignInDoubt;
-        if !leaving || doubt {
+        let unconfirmed = self.unconfirmed.is_some() && self.flaw != Flaw::ResignDuringWrite;
+        if !leaving || unconfirmed {
             return Vec::new();
         }
         let shards = self.shards.iter_mut().enumerate();
@@ -383,22 +387,25 @@
         let Some(base) = self.version else {
             return vec![Effect::Read];
         };
-        if self.doubt.is_some_and(|(_, sent)| now < sent + REWRITE) {
+        if self
+            .unconfirmed
+            .is_some_and(|(_, sent_at)| now < sent_at + WRITE_RETRY)
+        {
             return Vec::new();
         }
         let next = if self.shards.is_empty() {
-            Views::first(&self.peers.usable(), view::SHARDS).shards
+            Views::initial(&self.peers.usable(), view::SHARDS).shards
         } else {
             self.next_views(now, wall)
         };
         if next.is_empty() {
-            let doubt = self.doubt.as_mut();
-            return doubt.map_or_else(Vec::new, |doubt| {
-                doubt.1 = now;
+            let unconfirmed = self.unconfirmed.as_mut();
+            return unconfirmed.map_or_else(Vec::new, |unconfirmed| {
+                unconfirmed.1 = now;
                 vec![Effect::Read]
             });
         }
-        self.doubt = Some((base, now));
+        self.unconfirmed = Some((base, now));
         let changed = next.iter().zip(0..).filter(|(view, shard)| {
             let known: Option<&Replica> = self.shards.get(*shard);
             known.is_none_or(|known| known.view.number < view.number)
@@ -417,20 +424,21 @@
     /// Returns all views with the changes; nothing if there are none.
     fn next_views(&self, now: Duration, wall: Duration) -> Vec<View> {
         let members = || self.shards.iter().enumerate();
-        let needed: IndexMap<Shard, View> = members()
+        let required: IndexMap<Shard, View> = members()
             .filter_map(|(shard, it)| {
-                Some((shard, self.member(shard, it)?.needed(&self.peers, wall)?))
+                Some((shard, self.member(shard, it)?.required(&self.peers, wall)?))
             })
             .collect();
-        let busy = self.shards.iter().any(Replica::is_sending);
-        let settled = now >= self.settled && !busy && needed.is_empty();
-        let wanted = || {
-            members()
-                .find_map(|(shard, it)| Some((shard, self.member(shard, it)?.wanted(&self.peers)?)))
+        let transferring = self.shards.iter().any(Replica::is_transferring);
+        let stable = now >= self.rebalance_after && !transferring && required.is_empty();
+        let improved = || {
+            members().find_map(|(shard, it)| {
+                Some((shard, self.member(shard, it)?.improved(&self.peers)?))
+            })
         };
-        let changes = match settled.then(wanted).flatten() {
-            Some(wanted) => IndexMap::from([wanted]),
-            None => needed,
+        let changes = match stable.then(improved).flatten() {
+            Some(improved) => IndexMap::from([improved]),
+            None => required,
         };
         if changes.is_empty() {
             return Vec::new();
@@ -440,8 +448,11 @@
     }
 
     fn member<'a>(&'a self, shard: Shard, replica: &'a Replica) -> Option<Member<'a>> {
-        let resigned = matches!(replica.resign, Resign::Mine(_) | Resign::Known);
-        (!resigned || self.flaw == Flaw::ResignIdly).then_some(Member {
+        let resigned = matches!(
+            replica.resignation,
+            Resignation::Sent(_) | Resignation::Acknowledged
+        );
+        (!resigned || self.flaw == Flaw::ActAfterResigning).then_some(Member {
             vm: &self.vm,
             shard,
             view: &replica.view,
--- a/src/order/memory.rs
+++ b/src/order/memory.rs
@@ -4,8 +4,8 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-pub use super::entry::{Entry, Standing, Trial};
-use super::{Attempt, Fate, Flaw, Order, OrderId, entry::ENTRY_BYTES, stored::StoredOrder};
+pub use super::entry::{AttemptRecord, CheckResult, Entry};
+use super::{Attempt, AttemptState, Flaw, Order, OrderId, entry::ENTRY_BYTES, stored::StoredOrder};
 use crate::id::VmId;
 
 /// How much is remembered, and for how long.
@@ -33,11 +33,11 @@
     entries: IndexMap<OrderId, StoredOrder>,
     /// Ids by arrival, for forgetting; one that is gone from `entries` is skipped.
     arrivals: VecDeque<OrderId>,
-    /// The orders with an open attempt: few, and looked through often.
+    /// The orders with an open attempt: few, and examined through often.
     open: IndexSet<OrderId>,
     bytes: usize,
     floor: Duration,
-    forgotten: u64,
+    evicted: u64,
     flaw: Flaw,
 }
 
@@ -92,10 +92,10 @@
     /// ```
     /// use bramleypier::order::memory::Memory;
     ///
-    /// assert_eq!(Memory::default().forgotten(), 0);
+    /// assert_eq!(Memory::default().evicted(), 0);
     /// ```
-    pub fn forgotten(&self) -> u64 {
-        self.forgotten
+    pub fn evicted(&self) -> u64 {
+        self.evicted
     }
 
     /// Returns the date up to which ids may have been forgotten.
@@ -153,9 +153,9 @@
     /// assert!(Memory::default().entry(Duration::ZERO, "dispatch/1").is_none());
     /// ```
     pub fn entry(&self, now: Duration, id: &str) -> Option<Entry> {
-        let held = self.entries.get(id)?;
-        let mut entry = held.entry.clone();
-        entry.age = now.saturating_sub(held.changed);
+        let stored = self.entries.get(id)?;
+        let mut entry = stored.entry.clone();
+        entry.age = now.saturating_sub(stored.changed_at);
         Some(entry)
     }
 
@@ -168,16 +168,16 @@
     ///
     /// use bramleypier::order::memory::Memory;
     ///
-    /// assert!(Memory::default().open(Duration::MAX).next().is_none());
+    /// assert!(Memory::default().open_attempts(Duration::MAX).next().is_none());
     /// ```
-    pub fn open(&self, before: Duration) -> impl Iterator<Item = (Order, Attempt)> {
+    pub fn open_attempts(&self, before: Duration) -> impl Iterator<Item = (Order, Attempt)> {
         let open = self.open.iter();
-        let held = open.filter_map(|id| Some((id, self.entries.get(id)?)));
-        let old = held.filter(move |it| it.1.changed < before);
-        old.flat_map(|(id, held)| {
-            let attempts = held.entry.attempts.iter();
-            let open = attempts.filter(|(_, trial)| trial.fate == Fate::Open);
-            open.map(|(attempt, trial)| (held.order(id, trial.fingerprint), attempt.clone()))
+        let stored = open.filter_map(|id| Some((id, self.entries.get(id)?)));
+        let old = stored.filter(move |it| it.1.changed_at < before);
+        old.flat_map(|(id, stored)| {
+            let attempts = stored.entry.attempts.iter();
+            let open = attempts.filter(|(_, record)| record.state == AttemptState::Open);
+            open.map(|(attempt, record)| (stored.order(id, record.fingerprint), attempt.clone()))
         })
     }
 
@@ -186,23 +186,23 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::order::{Attempt, Order, memory::{Memory, Standing}};
+    /// use bramleypier::order::{Attempt, Order, memory::{Memory, CheckResult}};
     ///
     /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
     /// let attempt = Attempt { vm: "a#1".into(), seq: 1 };
-    /// assert_eq!(Memory::default().standing(&order, &attempt), Standing::Free);
+    /// assert_eq!(Memory::default().check(&order, &attempt), CheckResult::Allowed);
     /// ```
-    pub fn standing(&self, order: &Order, attempt: &Attempt) -> Standing {
-        let held = self.entries.get(&order.id);
-        let standing = held.and_then(|held| held.standing(order, attempt, self.flaw));
-        let forgotten = order
+    pub fn check(&self, order: &Order, attempt: &Attempt) -> CheckResult {
+        let stored = self.entries.get(&order.id);
+        let result = stored.and_then(|stored| stored.check(order, attempt, self.flaw));
+        let evicted = order
             .created_at
             .is_some_and(|created_at| created_at <= self.floor);
-        match standing {
-            Some(Standing::Mismatch) if forgotten => Standing::Unknown,
-            Some(standing) => standing,
-            None if forgotten && self.flaw != Flaw::NoFloor => Standing::Unknown,
-            None => Standing::Free,
+        match result {
+            Some(CheckResult::Mismatch) if evicted => CheckResult::Unknown,
+            Some(result) => result,
+            None if evicted && self.flaw != Flaw::NoFloor => CheckResult::Unknown,
+            None => CheckResult::Allowed,
         }
     }
 
@@ -213,39 +213,49 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::order::{Attempt, Fate, Order, memory::{Memory, Standing}};
+    /// use bramleypier::order::{Attempt, AttemptState, Order, memory::{Memory, CheckResult}};
     ///
     /// let mut memory = Memory::default();
     /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
     /// let [first, second] = [1, 2].map(|seq| Attempt { vm: "a#1".into(), seq });
-    /// memory.learn(Duration::ZERO, &order, first, Fate::Open);
-    /// assert_eq!(memory.standing(&order, &second), Standing::Running);
-    /// ```
-    pub fn learn(&mut self, now: Duration, order: &Order, attempt: Attempt, fate: Fate) -> bool {
+    /// memory.update(Duration::ZERO, &order, first, AttemptState::Open);
+    /// assert_eq!(memory.check(&order, &second), CheckResult::Running);
+    /// ```
+    pub fn update(
+        &mut self,
+        now: Duration,
+        order: &Order,
+        attempt: Attempt,
+        state: AttemptState,
+    ) -> bool {
         let known = self.entries.contains_key(&order.id);
         if !known {
             self.arrivals.push_back(order.id.clone());
         }
-        let held = self
+        let stored = self
             .entries
             .entry(order.id.clone())
             .or_insert_with(|| StoredOrder::new(order.created_at));
-        let trial = held.entry.attempts.entry(attempt).or_insert(Trial {
-            fingerprint: order.fingerprint,
-            fate: Fate::Open,
-        });
-        let news = trial.fate.merge(fate) || !known;
-        held.changed = held.changed.max(now);
-        held.forget_attempts();
-        if held.is_open() {
+        let record = stored
+            .entry
+            .attempts
+            .entry(attempt)
+            .or_insert(AttemptRecord {
+                fingerprint: order.fingerprint,
+                state: AttemptState::Open,
+            });
+        let changed = record.state.merge(state) || !known;
+        stored.changed_at = stored.changed_at.max(now);
+        stored.trim_attempts();
+        if stored.is_open() {
             self.open.insert(order.id.clone());
         } else {
             self.open.swap_remove(&order.id);
         }
-        let bytes = held.measure(&order.id);
-        self.bytes = self.bytes + bytes - held.bytes;
-        held.bytes = bytes;
-        news
+        let bytes = stored.size_bytes(&order.id);
+        self.bytes = self.bytes + bytes - stored.bytes;
+        stored.bytes = bytes;
+        changed
     }
 
     /// Takes in an entry that travelled here.
@@ -263,17 +273,17 @@
     /// ```
     pub fn merge(&mut self, now: Duration, id: &str, entry: Entry) {
         let changed = now.saturating_sub(entry.age);
-        for (attempt, trial) in entry.attempts {
+        for (attempt, record) in entry.attempts {
             let order = Order {
                 id: id.into(),
                 created_at: entry.created_at,
-                fingerprint: trial.fingerprint,
+                fingerprint: record.fingerprint,
             };
-            self.learn(changed, &order, attempt, trial.fate);
+            self.update(changed, &order, attempt, record.state);
         }
     }
 
-    /// Marks open attempts of lost VMs, and those that last changed before `silent`, as unknown;
+    /// Marks open attempts of lost VMs, and those that last changed before `unchanged_since`, as unknown;
     /// returns their orders.
     ///
     /// # Example
@@ -283,31 +293,31 @@
     ///
     /// use bramleypier::order::memory::Memory;
     ///
-    /// assert!(Memory::default().give_up(|vm| vm == "a#1", Duration::ZERO).is_empty());
+    /// assert!(Memory::default().mark_unknown(|vm| vm == "a#1", Duration::ZERO).is_empty());
     /// ```
-    pub fn give_up<L>(&mut self, lost: L, silent: Duration) -> Vec<OrderId>
+    pub fn mark_unknown<L>(&mut self, is_lost: L, unchanged_since: Duration) -> Vec<OrderId>
     where
         L: Fn(&VmId) -> bool,
     {
-        let mut given = Vec::new();
+        let mut marked = Vec::new();
         for id in &self.open {
-            let Some(held) = self.entries.get_mut(id) else {
+            let Some(stored) = self.entries.get_mut(id) else {
                 continue;
             };
-            let old = held.changed < silent;
-            let attempts = held.entry.attempts.iter_mut();
-            let ended = attempts.filter(|(attempt, _)| old || lost(&attempt.vm));
-            let changed = ended.fold(false, |changed, (_, trial)| {
-                trial.fate.merge(Fate::Unknown) || changed
+            let old = stored.changed_at < unchanged_since;
+            let attempts = stored.entry.attempts.iter_mut();
+            let ended = attempts.filter(|(attempt, _)| old || is_lost(&attempt.vm));
+            let changed = ended.fold(false, |changed, (_, record)| {
+                record.state.merge(AttemptState::Unknown) || changed
             });
             if changed {
-                given.push(id.clone());
+                marked.push(id.clone());
             }
         }
         let entries = &self.entries;
         self.open
             .retain(|id| entries.get(id).is_some_and(StoredOrder::is_open));
-        given
+        marked
     }
 
     /// Returns whether this attempt is open.
@@ -318,12 +328,12 @@
     /// use bramleypier::order::{Attempt, memory::Memory};
     ///
     /// let attempt = Attempt { vm: "a#1".into(), seq: 1 };
-    /// assert!(!Memory::default().has_open("dispatch/1", &attempt));
+    /// assert!(!Memory::default().is_open("dispatch/1", &attempt));
     /// ```
-    pub fn has_open(&self, id: &str, attempt: &Attempt) -> bool {
-        let held = self.entries.get(id);
-        let trial = held.and_then(|held| held.entry.attempts.get(attempt));
-        trial.is_some_and(|trial| trial.fate == Fate::Open)
+    pub fn is_open(&self, id: &str, attempt: &Attempt) -> bool {
+        let stored = self.entries.get(id);
+        let record = stored.and_then(|stored| stored.entry.attempts.get(attempt));
+        record.is_some_and(|record| record.state == AttemptState::Open)
     }
 
     /// Forgets everything, for a VM that is no longer a member.
@@ -339,7 +349,7 @@
     /// ```
     pub fn clear(&mut self) {
         *self = Self {
-            forgotten: self.forgotten,
+            evicted: self.evicted,
             ..Self::new(self.limits, self.flaw)
         };
     }
@@ -356,32 +366,32 @@
     ///
     /// use bramleypier::order::memory::Memory;
     ///
-    /// assert!(Memory::default().make_room(Duration::ZERO));
+    /// assert!(Memory::default().ensure_capacity(Duration::ZERO));
     /// ```
-    pub fn make_room(&mut self, now: Duration) -> bool {
-        let mut looked = 0;
-        while self.bytes + ENTRY_BYTES > self.limits.bytes && looked < self.arrivals.len() {
+    pub fn ensure_capacity(&mut self, now: Duration) -> bool {
+        let mut examined = 0;
+        while self.bytes + ENTRY_BYTES > self.limits.bytes && examined < self.arrivals.len() {
             let Some(id) = self.arrivals.pop_front() else {
                 break;
             };
             match self.entries.get(&id) {
                 None => {}
-                Some(held) if held.may_go(now, self.limits.retention) => self.forget(&id),
+                Some(stored) if stored.is_evictable(now, self.limits.retention) => self.evict(&id),
                 Some(_) => {
                     self.arrivals.push_back(id);
-                    looked += 1;
+                    examined += 1;
                 }
             }
         }
         self.bytes + ENTRY_BYTES <= self.limits.bytes
     }
 
-    fn forget(&mut self, id: &OrderId) {
-        let Some(held) = self.entries.swap_remove(id) else {
+    fn evict(&mut self, id: &OrderId) {
+        let Some(stored) = self.entries.swap_remove(id) else {
             return;
         };
-        self.bytes -= held.bytes;
-        self.forgotten += 1;
-        self.raise_floor(held.entry.created_at.unwrap_or_default());
+        self.bytes -= stored.bytes;
+        self.evicted += 1;
+        self.raise_floor(stored.entry.created_at.unwrap_or_default());
     }
 }
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Ids of orders hash to shards. For each shard one [`view::View`] names a *home* and a *standby*.
 //! An entry VM ([`starter`]) sends `Start` to both at once, and may run the order only if, under
-//! the same view, the home says [`Reply::Yours`] and the standby says [`Reply::Remembered`]. The
+//! the same view, the home says [`Reply::Admitted`] and the standby says [`Reply::Recorded`]. The
 //! home is the arbiter: it says so to one attempt at a time. The standby is the memory: whatever
 //! ran is known to both, so that the loss of either forgets nothing ([`ledger`]).
 //!
@@ -46,10 +46,10 @@
 pub type ViewNumber = u64;
 
 /// How far an id's time may be ahead of the clock of the VM that takes it.
-pub const AHEAD: Duration = Duration::from_secs(15);
-/// How far a horizon is ahead of the clock of the VM that sets it: [`AHEAD`], and as much again for
+pub const MAX_AHEAD: Duration = Duration::from_secs(15);
+/// How far a horizon is ahead of the clock of the VM that sets it: [`MAX_AHEAD`], and as much again for
 /// the skew between VMs.
-pub const HORIZON: Duration = Duration::from_secs(30);
+pub const HORIZON_MARGIN: Duration = Duration::from_secs(30);
 
 /// One try of one entry VM to run an order, under one view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
 /// What became of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fate {
+pub enum AttemptState {
     /// It may be running or may yet run.
     Open,
     /// It has ended, and may have run.
@@ -75,7 +75,7 @@
     Ran(Answer),
 }
 
-impl Fate {
+impl AttemptState {
     /// Takes in another account of the same attempt; the surer one stays.
     ///
     /// Only the entry VM says `NotRun` or `Ran`, and it never says both, so the order in which
@@ -84,12 +84,12 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::order::Fate;
+    /// use bramleypier::order::AttemptState;
     ///
-    /// let mut fate = Fate::Unknown;
-    /// assert!(!fate.merge(Fate::Open));
-    /// assert!(fate.merge(Fate::NotRun));
-    /// assert_eq!(fate, Fate::NotRun);
+    /// let mut state = AttemptState::Unknown;
+    /// assert!(!state.merge(AttemptState::Open));
+    /// assert!(state.merge(AttemptState::NotRun));
+    /// assert_eq!(state, AttemptState::NotRun);
     /// ```
     pub fn merge(&mut self, other: Self) -> bool {
         let surer = other.rank() > self.rank();
@@ -184,7 +184,8 @@
         /// The attempt.
         attempt: Attempt,
         /// How it ended.
-        fate: Fate,
+        #[serde(rename = "fate")]
+        state: AttemptState,
     },
     /// Home or standby to the entry VM: the end of the attempt is known here.
     Finished {
@@ -261,11 +262,14 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
     /// Home: no other attempt ran, runs or will run before this one has ended.
-    Yours,
+    #[serde(rename = "yours")]
+    Admitted,
     /// The only member that is left: the same, and no second word is needed.
-    Alone,
+    #[serde(rename = "alone")]
+    AdmittedAlone,
     /// Standby: the attempt is in memory.
-    Remembered,
+    #[serde(rename = "remembered")]
+    Recorded,
     /// Another attempt may be running.
     Running,
     /// The order ran.
@@ -350,21 +354,21 @@
     #[default]
     None,
     /// The home's word alone lets an order run.
-    HomeAlone,
+    HomeOnly,
     /// Words of different views count together.
     MixedViews,
     /// A member resigns while a write of its own is in doubt.
-    ResignInDoubt,
+    ResignDuringWrite,
     /// A member goes on after it resigned.
-    ResignIdly,
+    ActAfterResigning,
     /// A lost attempt counts as not run.
-    LostIsFree,
+    LostIsNotRun,
     /// Fingerprints are not compared.
-    AnyPrint,
+    IgnoreFingerprints,
     /// A standby counts as installed at once.
     NoTransfer,
     /// A member that is only suspected counts as gone.
-    SuspectGone,
+    SuspectIsGone,
     /// Views after the loss of both have no horizon.
     NoHorizon,
     /// Forgetting leaves no floor.
--- a/src/order/pending.rs
+++ b/src/order/pending.rs
@@ -5,15 +5,15 @@
 use indexmap::IndexSet;
 
 use super::{
-    Attempt, Effect, Fate, Flaw, Message, Order, View, ViewNumber, Views,
+    Attempt, AttemptState, Effect, Flaw, Message, Order, View, ViewNumber, Views,
     decision::{Decision, UnknownReason},
 };
 use crate::id::VmId;
 
 /// How long after its caller's time a running order counts as forgotten, and may have run.
-const FORGOTTEN: Duration = Duration::from_secs(30);
+const ABANDONED_AFTER: Duration = Duration::from_secs(30);
 /// How long until a message is sent again.
-const RESEND: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A caller's order, as it began.
 #[derive(Clone, Debug)]
@@ -30,42 +30,42 @@
     pub(super) request: Request,
     pub(super) view: Option<View>,
     pub(super) phase: Phase,
-    pub(super) sent: Duration,
+    pub(super) sent_at: Duration,
 }
 
 #[derive(Debug)]
 pub(super) enum Phase {
     /// The members are asked.
-    Asking(Words),
+    Asking(MemberReplies),
     /// The entry VM may run it.
     Running,
     /// The members are told how it ended.
-    Closing {
-        fate: Fate,
-        told: IndexSet<VmId>,
-        until: Duration,
+    Reporting {
+        state: AttemptState,
+        acknowledged: IndexSet<VmId>,
+        report_until: Duration,
     },
 }
 
 /// What the members said, with the views for which they said it.
 #[derive(Debug, Default)]
-pub(super) struct Words {
+pub(super) struct MemberReplies {
     pub(super) home: Option<ViewNumber>,
     pub(super) standby: Option<ViewNumber>,
-    pub(super) alone: bool,
+    pub(super) sole_member: bool,
     pub(super) running: bool,
 }
 
-impl Words {
+impl MemberReplies {
     pub(super) fn may_run(&self, flaw: Flaw) -> bool {
         let same = self.home == self.standby || flaw == Flaw::MixedViews;
         let both = self.home.is_some() && self.standby.is_some() && same;
-        self.alone || both || (self.home.is_some() && flaw == Flaw::HomeAlone)
+        self.sole_member || both || (self.home.is_some() && flaw == Flaw::HomeOnly)
     }
 
     /// Returns what is said to a caller whose time ended. Without the words of both members even
     /// an order that was never sent may have run before.
-    pub(super) fn late(&self) -> Decision {
+    pub(super) fn timeout_decision(&self) -> Decision {
         Decision::Unknown(if self.running {
             UnknownReason::Running
         } else {
@@ -77,13 +77,15 @@
 impl Pending {
     pub(super) fn is_due(&self, now: Duration) -> bool {
         match self.phase {
-            Phase::Asking(_) => self.request.deadline <= now || self.sent + RESEND <= now,
-            Phase::Running => self.request.deadline + FORGOTTEN <= now,
-            Phase::Closing { .. } => self.sent + RESEND <= now,
+            Phase::Asking(_) => {
+                self.request.deadline <= now || self.sent_at + RESEND_INTERVAL <= now
+            }
+            Phase::Running => self.request.deadline + ABANDONED_AFTER <= now,
+            Phase::Reporting { .. } => self.sent_at + RESEND_INTERVAL <= now,
         }
     }
 
-    pub(super) fn ask(&self, vm: &str, seq: u64) -> Vec<Effect> {
+    pub(super) fn start_messages(&self, vm: &str, seq: u64) -> Vec<Effect> {
         let Some(view) = &self.view else {
             return vec![Effect::Read];
         };
@@ -101,11 +103,16 @@
     }
 
     /// Tells those members of the newest view that don't know yet.
-    pub(super) fn report(&self, vm: &str, seq: u64, views: &Views) -> Vec<Effect> {
-        let Phase::Closing { fate, told, .. } = &self.phase else {
+    pub(super) fn finish_messages(&self, vm: &str, seq: u64, views: &Views) -> Vec<Effect> {
+        let Phase::Reporting {
+            state,
+            acknowledged,
+            ..
+        } = &self.phase
+        else {
             return Vec::new();
         };
-        let Some((_, view)) = views.of(&self.request.order.id) else {
+        let Some((_, view)) = views.view_of(&self.request.order.id) else {
             return Vec::new();
         };
         let send = |to: &VmId| Effect::Send {
@@ -113,10 +120,10 @@
             message: Message::Finish {
                 order: self.request.order.clone(),
                 attempt: Attempt { vm: vm.into(), seq },
-                fate: fate.clone(),
+                state: state.clone(),
             },
         };
-        let members = view.members().filter(|to| !told.contains(*to));
+        let members = view.members().filter(|to| !acknowledged.contains(*to));
         members.map(send).collect()
     }
 }
--- a/src/order/plan.rs
+++ b/src/order/plan.rs
@@ -9,7 +9,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::{
-    Flaw, HORIZON, Shard, View,
+    Flaw, HORIZON_MARGIN, Shard, View,
     view::{choose_home, choose_standby, weight},
 };
 use crate::id::{DomainId, VmId};
@@ -68,8 +68,8 @@
 
     fn is_usable(&self, vm: &str) -> bool {
         let peer = self.vms.get(vm);
-        let fit = peer.is_some_and(|peer| peer.up && !peer.leaving);
-        fit && !self.gone.contains(vm)
+        let available = peer.is_some_and(|peer| peer.up && !peer.leaving);
+        available && !self.gone.contains(vm)
     }
 
     fn is_leaving(&self, vm: &str) -> bool {
@@ -77,7 +77,7 @@
     }
 
     fn is_gone(&self, vm: &str, flaw: Flaw) -> bool {
-        self.gone.contains(vm) || (flaw == Flaw::SuspectGone && !self.is_usable(vm))
+        self.gone.contains(vm) || (flaw == Flaw::SuspectIsGone && !self.is_usable(vm))
     }
 }
 
@@ -95,17 +95,17 @@
     ///     number: 1,
     ///     home: "a#1".into(),
     ///     standby: None,
-    ///     founded: 1,
+    ///     complete_since: 1,
     ///     horizon: None,
     /// };
     /// let member = Member { vm: "a#1", shard: 0, view: &view, complete: true, flaw: Flaw::None };
-    /// assert_eq!(member.needed(&Peers::default(), Duration::ZERO), None);
+    /// assert_eq!(member.required(&Peers::default(), Duration::ZERO), None);
     /// ```
-    pub fn needed(&self, peers: &Peers, wall: Duration) -> Option<View> {
-        if self.complete && self.view.has(self.vm) {
-            return self.replace(peers);
+    pub fn required(&self, peers: &Peers, wall: Duration) -> Option<View> {
+        if self.complete && self.view.has_member(self.vm) {
+            return self.replace_other(peers);
         }
-        self.found(peers, wall)
+        self.start_empty(peers, wall)
     }
 
     /// Returns the view that would spread the shards better, if any.
@@ -119,13 +119,13 @@
     ///     number: 1,
     ///     home: "a#1".into(),
     ///     standby: None,
-    ///     founded: 1,
+    ///     complete_since: 1,
     ///     horizon: None,
     /// };
     /// let member = Member { vm: "a#1", shard: 0, view: &view, complete: true, flaw: Flaw::None };
-    /// assert_eq!(member.wanted(&Peers::default()), None);
+    /// assert_eq!(member.improved(&Peers::default()), None);
     /// ```
-    pub fn wanted(&self, peers: &Peers) -> Option<View> {
+    pub fn improved(&self, peers: &Peers) -> Option<View> {
         if !self.complete || !peers.is_usable(self.vm) {
             return None;
         }
@@ -141,19 +141,19 @@
     }
 
     /// Replaces the other member, if it is lost or leaves.
-    fn replace(&self, peers: &Peers) -> Option<View> {
+    fn replace_other(&self, peers: &Peers) -> Option<View> {
         let other = self.view.members().find(|vm| *vm != self.vm);
         if other.is_some_and(|vm| peers.is_usable(vm)) {
             return None;
         }
         let usable = peers.usable();
         let next = choose_standby(&usable, self.shard, self.vm);
-        let ended = other.is_some_and(|vm| peers.is_gone(vm, self.flaw) || peers.is_leaving(vm));
-        (next.is_some() || ended).then(|| self.view.next(self.vm, next))
+        let departed = other.is_some_and(|vm| peers.is_gone(vm, self.flaw) || peers.is_leaving(vm));
+        (next.is_some() || departed).then(|| self.view.next(self.vm, next))
     }
 
     /// Founds a new memory, if every VM that had the old one is gone for good.
-    fn found(&self, peers: &Peers, wall: Duration) -> Option<View> {
+    fn start_empty(&self, peers: &Peers, wall: Duration) -> Option<View> {
         let mine = self.view.standby.as_deref() == Some(self.vm);
         let gone = |vm: &VmId| peers.is_gone(vm, self.flaw) || (mine && vm == self.vm);
         if !self.view.members().all(gone) {
@@ -166,8 +166,8 @@
         let standby = choose_standby(&usable, self.shard, self.vm);
         let next = self.view.next(self.vm, standby);
         Some(View {
-            founded: next.number,
-            horizon: (self.flaw != Flaw::NoHorizon).then_some(wall + HORIZON),
+            complete_since: next.number,
+            horizon: (self.flaw != Flaw::NoHorizon).then_some(wall + HORIZON_MARGIN),
             ..next
         })
     }
--- a/src/order/replica.rs
+++ b/src/order/replica.rs
@@ -5,18 +5,18 @@
 use indexmap::IndexMap;
 
 use super::{
-    Attempt, Change, Effect, Fate, Flaw, Message, Note, Order, OrderId, Reply, Shard, View,
+    Attempt, AttemptState, Change, Effect, Flaw, Message, Note, Order, OrderId, Reply, Shard, View,
     ViewNumber,
-    memory::{Entry, Memory, Standing},
+    memory::{CheckResult, Entry, Memory},
 };
 use crate::id::VmId;
 
 /// How many entries one part of a transfer carries.
-const PART: usize = 256;
+const ENTRIES_PER_PART: usize = 256;
 /// How many attempts wait for others in one shard; more have to ask again by themselves.
-const WAITERS: usize = 1_024;
+const MAX_WAITERS: usize = 1_024;
 /// How long until a message is sent again.
-const RESEND: Duration = Duration::from_millis(200);
+const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One VM's view and memory of one shard.
 #[derive(Debug)]
@@ -27,31 +27,31 @@
     pub(super) complete: bool,
     /// The next part of the transfer that this standby takes.
     part: u64,
-    sending: Option<Sending>,
+    outgoing: Option<OutgoingTransfer>,
     waiters: IndexMap<Attempt, Waiter>,
-    pub(super) resign: Resign,
+    pub(super) resignation: Resignation,
 }
 
 /// Whether a member has resigned from the view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum Resign {
+pub(super) enum Resignation {
     /// Neither has.
     #[default]
     None,
     /// This VM has, and last said so at that reading.
-    Mine(Duration),
+    Sent(Duration),
     /// This VM has, and the other knows.
-    Known,
+    Acknowledged,
     /// The other has: this VM acts alone.
-    Theirs,
+    Received,
 }
 
 /// A transfer to a new standby, part by part.
 #[derive(Debug)]
-struct Sending {
+struct OutgoingTransfer {
     ids: VecDeque<OrderId>,
     part: u64,
-    sent: Duration,
+    sent_at: Duration,
 }
 
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 pub(super) enum Role {
     Home,
     Standby,
-    Alone,
+    Sole,
 }
 
 impl Replica {
@@ -86,9 +86,9 @@
             memory,
             complete: false,
             part: 0,
-            sending: None,
+            outgoing: None,
             waiters: IndexMap::new(),
-            resign: Resign::None,
+            resignation: Resignation::None,
         };
         let notes = replica.change(vm, shard, view, flaw);
         (replica, notes)
@@ -96,51 +96,57 @@
 
     /// Goes on to a newer view.
     pub(super) fn change(&mut self, vm: &str, shard: Shard, next: View, flaw: Flaw) -> Vec<Effect> {
-        let was = self.view.has(vm);
+        let was_member = self.view.has_member(vm);
         // Only a member with the whole memory proposes itself as the next home.
         let kept = self.complete && next.number == self.view.number + 1;
         let home = next.home == vm;
-        self.complete = home && (kept || next.founded == next.number);
+        self.complete = home && (kept || next.complete_since == next.number);
         self.part = 0;
-        self.resign = Resign::None;
+        self.resignation = Resignation::None;
         self.waiters.clear();
         self.view = next;
-        self.sending = (home && self.view.standby.is_some()).then(|| Sending {
+        self.outgoing = (home && self.view.standby.is_some()).then(|| OutgoingTransfer {
             ids: self.memory.ids().cloned().collect(),
             part: 0,
-            sent: Duration::ZERO,
+            sent_at: Duration::ZERO,
         });
-        if !self.view.has(vm) {
+        if !self.view.has_member(vm) {
             self.memory.clear();
         } else if !home && flaw == Flaw::NoTransfer {
             self.complete = true;
         }
-        let change = match (self.view.has(vm), home) {
+        let change = match (self.view.has_member(vm), home) {
             (true, true) => Change::Home,
             (true, false) => Change::Standby,
-            (false, _) if was => Change::Left,
+            (false, _) if was_member => Change::Left,
             (false, _) => return Vec::new(),
         };
         let mut notes = vec![note(shard, self.view.number, change)];
-        if home && self.view.horizon.is_some() && self.view.founded == self.view.number {
+        if home && self.view.horizon.is_some() && self.view.complete_since == self.view.number {
             notes.push(note(shard, self.view.number, Change::Horizon));
         }
         notes
     }
 
     /// Returns whether the standby still lacks a part of the memory.
-    pub(super) fn is_sending(&self) -> bool {
-        self.sending.is_some()
+    pub(super) fn is_transferring(&self) -> bool {
+        self.outgoing.is_some()
     }
 
     /// Returns what this VM may say now.
     pub(super) fn role(&self, vm: &str, flaw: Flaw) -> Option<Role> {
-        let resigned = matches!(self.resign, Resign::Mine(_) | Resign::Known);
-        if !self.complete || !self.view.has(vm) || (resigned && flaw != Flaw::ResignIdly) {
+        let resigned = matches!(
+            self.resignation,
+            Resignation::Sent(_) | Resignation::Acknowledged
+        );
+        if !self.complete
+            || !self.view.has_member(vm)
+            || (resigned && flaw != Flaw::ActAfterResigning)
+        {
             return None;
         }
-        if self.resign == Resign::Theirs || self.view.standby.is_none() {
-            Some(Role::Alone)
+        if self.resignation == Resignation::Received || self.view.standby.is_none() {
+            Some(Role::Sole)
         } else if self.view.home == vm {
             Some(Role::Home)
         } else {
@@ -149,7 +155,7 @@
     }
 
     /// Returns whether the order may have been started and lost with both memories.
-    pub(super) fn lost(&self, order: &Order, wall: Duration, retention: Duration) -> bool {
+    pub(super) fn may_be_lost(&self, order: &Order, wall: Duration, retention: Duration) -> bool {
         let Some(horizon) = self.view.horizon else {
             return false;
         };
@@ -159,15 +165,21 @@
         }
     }
 
-    pub(super) fn remember(&mut self, now: Duration, order: &Order, attempt: &Attempt) -> Reply {
-        if self.memory.standing(order, attempt) == Standing::Ended {
+    pub(super) fn record_attempt(
+        &mut self,
+        now: Duration,
+        order: &Order,
+        attempt: &Attempt,
+    ) -> Reply {
+        if self.memory.check(order, attempt) == CheckResult::Ended {
             return Reply::Ended;
         }
-        if !self.memory.make_room(now) {
+        if !self.memory.ensure_capacity(now) {
             return Reply::Full;
         }
-        self.memory.learn(now, order, attempt.clone(), Fate::Open);
-        Reply::Remembered
+        self.memory
+            .update(now, order, attempt.clone(), AttemptState::Open);
+        Reply::Recorded
     }
 
     pub(super) fn arbitrate(
@@ -178,21 +190,22 @@
         role: Role,
         wall: Duration,
     ) -> Reply {
-        let word = if role == Role::Alone {
-            Reply::Alone
+        let answer = if role == Role::Sole {
+            Reply::AdmittedAlone
         } else {
-            Reply::Yours
+            Reply::Admitted
         };
-        match self.standing(&order, attempt, role, word) {
-            word @ (Reply::Yours | Reply::Alone) => {
-                if !self.memory.make_room(now) {
+        match self.check(&order, attempt, role, answer) {
+            answer @ (Reply::Admitted | Reply::AdmittedAlone) => {
+                if !self.memory.ensure_capacity(now) {
                     return Reply::Full;
                 }
-                self.memory.learn(now, &order, attempt.clone(), Fate::Open);
-                word
+                self.memory
+                    .update(now, &order, attempt.clone(), AttemptState::Open);
+                answer
             }
             Reply::Running => {
-                if self.waiters.len() < WAITERS {
+                if self.waiters.len() < MAX_WAITERS {
                     let waiter = Waiter { order, wall };
                     self.waiters.insert(attempt.clone(), waiter);
                 }
@@ -203,33 +216,27 @@
     }
 
     /// Returns what the memory says; `free` if it has nothing against the attempt.
-    pub(super) fn standing(
-        &self,
-        order: &Order,
-        attempt: &Attempt,
-        role: Role,
-        free: Reply,
-    ) -> Reply {
-        let deputy = role == Role::Alone && self.view.standby.is_some();
-        match self.memory.standing(order, attempt) {
+    pub(super) fn check(&self, order: &Order, attempt: &Attempt, role: Role, free: Reply) -> Reply {
+        let took_over = role == Role::Sole && self.view.standby.is_some();
+        match self.memory.check(order, attempt) {
             // What it remembered as a standby was perhaps never admitted: others may be waiting
             // in the same way, and would wait for each other.
-            Standing::Mine | Standing::Running
-                if deputy && self.memory.has_open(&order.id, attempt) =>
+            CheckResult::AlreadyOpen | CheckResult::Running
+                if took_over && self.memory.is_open(&order.id, attempt) =>
             {
                 Reply::Ended
             }
-            Standing::Free | Standing::Mine => free,
-            Standing::Running => Reply::Running,
-            Standing::Ran(answer) => Reply::Ran(answer),
-            Standing::Unknown => Reply::Unknown,
-            Standing::Mismatch => Reply::Mismatch,
-            Standing::Ended => Reply::Ended,
+            CheckResult::Allowed | CheckResult::AlreadyOpen => free,
+            CheckResult::Running => Reply::Running,
+            CheckResult::Ran(answer) => Reply::Ran(answer),
+            CheckResult::Unknown => Reply::Unknown,
+            CheckResult::Mismatch => Reply::Mismatch,
+            CheckResult::Ended => Reply::Ended,
         }
     }
 
     /// Answers the attempts that wait for an order, now that something changed.
-    pub(super) fn wake(&mut self, now: Duration, vm: &str, id: &OrderId) -> Vec<Effect> {
+    pub(super) fn retry_waiters(&mut self, now: Duration, vm: &str, id: &OrderId) -> Vec<Effect> {
         let Some(role) = self.role(vm, Flaw::None).filter(|it| *it != Role::Standby) else {
             return Vec::new();
         };
@@ -238,42 +245,47 @@
         let mut effects = Vec::new();
         for attempt in attempts {
             if let Some(waiter) = self.waiters.shift_remove(&attempt) {
-                let word = self.arbitrate(now, waiter.order, &attempt, role, waiter.wall);
-                effects.push(reply(attempt, self.view.number, word));
+                let answer = self.arbitrate(now, waiter.order, &attempt, role, waiter.wall);
+                effects.push(reply(attempt, self.view.number, answer));
             }
         }
         effects
     }
 
     /// Passes news on to a standby whose transfer may have gone past the entry already.
-    pub(super) fn relay(&self, order: &Order, attempt: &Attempt, fate: &Fate) -> Option<Effect> {
-        self.sending.as_ref()?;
+    pub(super) fn forward(
+        &self,
+        order: &Order,
+        attempt: &Attempt,
+        state: &AttemptState,
+    ) -> Option<Effect> {
+        self.outgoing.as_ref()?;
         Some(Effect::Send {
             to: self.view.standby.clone()?,
             message: Message::Finish {
                 order: order.clone(),
                 attempt: attempt.clone(),
-                fate: fate.clone(),
+                state: state.clone(),
             },
         })
     }
 
     /// Sends the part of the transfer that is due.
-    pub(super) fn transfer(&mut self, now: Duration, shard: Shard) -> Option<Effect> {
-        let sending = self.sending.as_mut()?;
-        if !sending.sent.is_zero() && now < sending.sent + RESEND {
+    pub(super) fn send_part(&mut self, now: Duration, shard: Shard) -> Option<Effect> {
+        let outgoing = self.outgoing.as_mut()?;
+        if !outgoing.sent_at.is_zero() && now < outgoing.sent_at + RESEND_INTERVAL {
             return None;
         }
-        sending.sent = now;
-        let ids = sending.ids.iter().take(PART);
+        outgoing.sent_at = now;
+        let ids = outgoing.ids.iter().take(ENTRIES_PER_PART);
         let entry = |id: &OrderId| Some((id.clone(), self.memory.entry(now, id)?));
         Some(Effect::Send {
             to: self.view.standby.clone()?,
             message: Message::Transfer {
                 shard,
                 view: self.view.number,
-                part: sending.part,
-                last: sending.ids.len() <= PART,
+                part: outgoing.part,
+                last: outgoing.ids.len() <= ENTRIES_PER_PART,
                 floor: self.memory.floor(),
                 entries: ids.filter_map(entry).collect(),
             },
@@ -281,21 +293,21 @@
     }
 
     /// Takes the standby's word for a part, and sends the next.
-    pub(super) fn sent(&mut self, now: Duration, shard: Shard, part: u64) -> Vec<Effect> {
-        let Some(sending) = self.sending.as_mut().filter(|it| it.part == part) else {
+    pub(super) fn on_installed(&mut self, now: Duration, shard: Shard, part: u64) -> Vec<Effect> {
+        let Some(outgoing) = self.outgoing.as_mut().filter(|it| it.part == part) else {
             return Vec::new();
         };
-        if sending.ids.len() <= PART {
-            self.sending = None;
+        if outgoing.ids.len() <= ENTRIES_PER_PART {
+            self.outgoing = None;
             return vec![note(shard, self.view.number, Change::Installed)];
         }
-        sending.ids.drain(..PART);
-        sending.part += 1;
-        sending.sent = Duration::ZERO;
-        self.transfer(now, shard).into_iter().collect()
+        outgoing.ids.drain(..ENTRIES_PER_PART);
+        outgoing.part += 1;
+        outgoing.sent_at = Duration::ZERO;
+        self.send_part(now, shard).into_iter().collect()
     }
 
-    pub(super) fn take_part(
+    pub(super) fn install_part(
         &mut self,
         now: Duration,
         from: VmId,
@@ -323,15 +335,15 @@
 
     /// Resigns to the other member, if that one can go on.
     pub(super) fn resign(&mut self, now: Duration, vm: &str, shard: Shard) -> Option<Effect> {
-        let due = match self.resign {
-            Resign::None => self.sending.is_none() && self.view.standby.is_some(),
-            Resign::Mine(sent) => sent + RESEND <= now,
-            Resign::Known | Resign::Theirs => false,
+        let due = match self.resignation {
+            Resignation::None => self.outgoing.is_none() && self.view.standby.is_some(),
+            Resignation::Sent(sent_at) => sent_at + RESEND_INTERVAL <= now,
+            Resignation::Acknowledged | Resignation::Received => false,
         };
-        if !due || !self.view.has(vm) {
+        if !due || !self.view.has_member(vm) {
             return None;
         }
-        self.resign = Resign::Mine(now);
+        self.resignation = Resignation::Sent(now);
         let other = self.view.members().find(|other| *other != vm)?;
         Some(Effect::Send {
             to: other.clone(),
@@ -343,14 +355,17 @@
     }
 
     /// Takes the other's resignation. Should both resign at once, the standby goes on.
-    pub(super) fn take_resign(&mut self, vm: &str, from: VmId, shard: Shard) -> Vec<Effect> {
-        let resigned = matches!(self.resign, Resign::Mine(_) | Resign::Known);
+    pub(super) fn on_resign(&mut self, vm: &str, from: VmId, shard: Shard) -> Vec<Effect> {
+        let resigned = matches!(
+            self.resignation,
+            Resignation::Sent(_) | Resignation::Acknowledged
+        );
         let home = self.view.home == vm;
-        if !self.view.has(&from) || (resigned && home) {
+        if !self.view.has_member(&from) || (resigned && home) {
             return Vec::new();
         }
-        self.resign = Resign::Theirs;
-        self.sending = None;
+        self.resignation = Resignation::Received;
+        self.outgoing = None;
         vec![Effect::Send {
             to: from,
             message: Message::Resigned {
@@ -360,9 +375,9 @@
         }]
     }
 
-    pub(super) fn resign_known(&mut self) {
-        if matches!(self.resign, Resign::Mine(_)) {
-            self.resign = Resign::Known;
+    pub(super) fn on_resign_acknowledged(&mut self) {
+        if matches!(self.resignation, Resignation::Sent(_)) {
+            self.resignation = Resignation::Acknowledged;
         }
     }
 }
--- a/src/order/starter.rs
+++ b/src/order/starter.rs
@@ -6,8 +6,9 @@
 
 pub use super::decision::{Decision, UnknownReason};
 use super::{
-    AHEAD, Answer, Attempt, Effect, Fate, Flaw, Message, Order, Reply, View, ViewNumber, Views,
-    pending::{Pending, Phase, Request, Words},
+    Answer, Attempt, AttemptState, Effect, Flaw, MAX_AHEAD, Message, Order, Reply, View,
+    ViewNumber, Views,
+    pending::{MemberReplies, Pending, Phase, Request},
 };
 use crate::{
     id::{Version, VmId},
@@ -15,7 +16,7 @@
 };
 
 /// How long the end of an attempt is reported to members that don't answer.
-const REPORT: Duration = Duration::from_mins(1);
+const REPORT_DURATION: Duration = Duration::from_mins(1);
 
 /// What happens to a [`Starter`].
 #[derive(Clone, Debug, PartialEq)]
@@ -146,21 +147,21 @@
     /// ```
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         match event {
-            Event::Views { version, views } => self.take_views(now, version, views),
+            Event::Views { version, views } => self.on_views(now, version, views),
             Event::Begin {
                 token,
                 order,
                 deadline,
                 wall,
             } => self.begin(now, token, order, deadline, wall),
-            Event::Ended { token, end } => self.ended(now, token, end),
-            Event::Cancelled { token } => self.dropped(now, token),
-            Event::Message { from, message } => self.take_message(now, from, message),
+            Event::Ended { token, end } => self.on_ended(now, token, end),
+            Event::Cancelled { token } => self.on_cancelled(now, token),
+            Event::Message { from, message } => self.on_message(now, from, message),
             Event::Tick => self.tick(now),
         }
     }
 
-    fn take_views(&mut self, now: Duration, version: Version, views: Views) -> Vec<Effect> {
+    fn on_views(&mut self, now: Duration, version: Version, views: Views) -> Vec<Effect> {
         if version <= self.version {
             return Vec::new();
         }
@@ -172,14 +173,17 @@
                 None => self.views.shards.push(next),
             }
         }
-        self.follow(now)
+        self.restart_stale(now)
     }
 
     /// Starts anew what is asked under views that have passed.
-    fn follow(&mut self, now: Duration) -> Vec<Effect> {
+    fn restart_stale(&mut self, now: Duration) -> Vec<Effect> {
         let asking = |it: &Pending| matches!(it.phase, Phase::Asking(_));
         let stale = self.pending.iter().filter(|(_, it)| {
-            let newest = self.views.of(&it.request.order.id).map(|(_, view)| view);
+            let newest = self
+                .views
+                .view_of(&it.request.order.id)
+                .map(|(_, view)| view);
             asking(it) && newest != it.view.as_ref()
         });
         let stale: Vec<_> = stale.map(|(seq, _)| *seq).collect();
@@ -199,7 +203,7 @@
     ) -> Vec<Effect> {
         if order
             .created_at
-            .is_some_and(|created_at| created_at > wall + AHEAD)
+            .is_some_and(|created_at| created_at > wall + MAX_AHEAD)
         {
             return vec![decide(token, Decision::Unknown(UnknownReason::DatedAhead))];
         }
@@ -209,20 +213,20 @@
             deadline,
             wall,
         };
-        self.attempt(now, request)
+        self.start_attempt(now, request)
     }
 
     /// Begins an attempt: a new one for each view.
-    fn attempt(&mut self, now: Duration, request: Request) -> Vec<Effect> {
+    fn start_attempt(&mut self, now: Duration, request: Request) -> Vec<Effect> {
         self.seq += 1;
-        let view = self.views.of(&request.order.id);
+        let view = self.views.view_of(&request.order.id);
         let pending = Pending {
             view: view.map(|(_, view)| view.clone()),
             request,
-            phase: Phase::Asking(Words::default()),
-            sent: now,
+            phase: Phase::Asking(MemberReplies::default()),
+            sent_at: now,
         };
-        let effects = pending.ask(&self.vm, self.seq);
+        let effects = pending.start_messages(&self.vm, self.seq);
         self.pending.insert(self.seq, pending);
         effects
     }
@@ -233,63 +237,63 @@
             return Vec::new();
         };
         if self.flaw == Flaw::MixedViews {
-            return self.keep(seq);
+            return self.switch_view(seq);
         }
         let request = pending.request.clone();
         if request.deadline <= now {
-            return self.late(now, seq);
+            return self.time_out(now, seq);
         }
-        let mut effects = self.close(now, seq, Fate::NotRun);
-        effects.extend(self.attempt(now, request));
+        let mut effects = self.close(now, seq, AttemptState::NotRun);
+        effects.extend(self.start_attempt(now, request));
         effects
     }
 
     /// Ends what was not decided when its caller's time ended.
-    fn late(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
+    fn time_out(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
         let pending = self.pending.get(&seq);
-        let late = pending.and_then(|it| match &it.phase {
-            Phase::Asking(words) => Some((it.request.token, words.late())),
+        let undecided = pending.and_then(|it| match &it.phase {
+            Phase::Asking(replies) => Some((it.request.token, replies.timeout_decision())),
             _ => None,
         });
-        let Some((token, decision)) = late else {
+        let Some((token, decision)) = undecided else {
             return Vec::new();
         };
-        let mut effects = self.close(now, seq, Fate::NotRun);
+        let mut effects = self.close(now, seq, AttemptState::NotRun);
         effects.push(decide(token, decision));
         effects
     }
 
     /// Goes on with the same attempt under another view, which is wrong.
-    fn keep(&mut self, seq: u64) -> Vec<Effect> {
+    fn switch_view(&mut self, seq: u64) -> Vec<Effect> {
         if let Some(pending) = self.pending.get_mut(&seq) {
             pending.view = self
                 .views
-                .of(&pending.request.order.id)
+                .view_of(&pending.request.order.id)
                 .map(|it| it.1.clone());
         }
         Vec::new()
     }
 
-    fn ended(&mut self, now: Duration, token: u64, end: End) -> Vec<Effect> {
+    fn on_ended(&mut self, now: Duration, token: u64, end: End) -> Vec<Effect> {
         let running =
             |it: &Pending| it.request.token == token && matches!(it.phase, Phase::Running);
         let Some(seq) = self.find(running) else {
             return Vec::new();
         };
-        let fate = match end {
-            End::Ran(answer) => Fate::Ran(answer),
-            End::Unknown if self.flaw == Flaw::LostIsFree => Fate::NotRun,
-            End::Unknown => Fate::Unknown,
-            End::NotRun(_) => Fate::NotRun,
+        let state = match end {
+            End::Ran(answer) => AttemptState::Ran(answer),
+            End::Unknown if self.flaw == Flaw::LostIsNotRun => AttemptState::NotRun,
+            End::Unknown => AttemptState::Unknown,
+            End::NotRun(_) => AttemptState::NotRun,
         };
-        self.close(now, seq, fate)
+        self.close(now, seq, state)
     }
 
-    fn dropped(&mut self, now: Duration, token: u64) -> Vec<Effect> {
+    fn on_cancelled(&mut self, now: Duration, token: u64) -> Vec<Effect> {
         let asking =
             |it: &Pending| it.request.token == token && matches!(it.phase, Phase::Asking(_));
         let seq = self.find(asking);
-        seq.map_or_else(Vec::new, |seq| self.close(now, seq, Fate::NotRun))
+        seq.map_or_else(Vec::new, |seq| self.close(now, seq, AttemptState::NotRun))
     }
 
     fn find<P>(&self, predicate: P) -> Option<u64>
@@ -301,75 +305,69 @@
     }
 
     /// Ends an attempt and tells the members.
-    fn close(&mut self, now: Duration, seq: u64, fate: Fate) -> Vec<Effect> {
+    fn close(&mut self, now: Duration, seq: u64, state: AttemptState) -> Vec<Effect> {
         let Some(pending) = self.pending.get_mut(&seq) else {
             return Vec::new();
         };
         let asked = pending.view.is_some();
-        pending.phase = Phase::Closing {
-            fate,
-            told: IndexSet::new(),
-            until: now + REPORT,
+        pending.phase = Phase::Reporting {
+            state,
+            acknowledged: IndexSet::new(),
+            report_until: now + REPORT_DURATION,
         };
-        pending.sent = now;
-        let effects = pending.report(&self.vm, seq, &self.views);
+        pending.sent_at = now;
+        let effects = pending.finish_messages(&self.vm, seq, &self.views);
         if !asked {
             self.pending.shift_remove(&seq);
         }
         effects
     }
 
-    fn take_message(&mut self, now: Duration, from: VmId, message: Message) -> Vec<Effect> {
+    fn on_message(&mut self, now: Duration, from: VmId, message: Message) -> Vec<Effect> {
         match message {
             Message::Reply {
                 attempt,
                 view,
                 reply,
-            } if attempt.vm == self.vm => self.take_reply(now, attempt.seq, view, reply),
+            } if attempt.vm == self.vm => self.on_reply(now, attempt.seq, view, reply),
             Message::Finished { attempt } if attempt.vm == self.vm => {
-                self.take_finished(attempt.seq, from);
+                self.on_finished(attempt.seq, from);
                 Vec::new()
             }
             Message::Ask { order, attempt } if attempt.vm == self.vm => {
-                self.answer(from, order, attempt)
+                self.on_query(from, order, attempt)
             }
             _ => Vec::new(),
         }
     }
 
-    fn take_reply(
-        &mut self,
-        now: Duration,
-        seq: u64,
-        view: ViewNumber,
-        reply: Reply,
-    ) -> Vec<Effect> {
+    fn on_reply(&mut self, now: Duration, seq: u64, view: ViewNumber, reply: Reply) -> Vec<Effect> {
         if let Reply::Moved(newer) = reply {
-            return self.moved(now, seq, newer);
+            return self.on_moved(now, seq, newer);
         }
         let flaw = self.flaw;
         let Some(pending) = self.pending.get_mut(&seq) else {
             return Vec::new();
         };
         let token = pending.request.token;
-        let Phase::Asking(words) = &mut pending.phase else {
+        let Phase::Asking(replies) = &mut pending.phase else {
             return Vec::new();
         };
         let decision = match reply {
-            Reply::Yours => {
-                words.home = Some(view);
+            Reply::Admitted => {
+                replies.home = Some(view);
                 None
             }
-            Reply::Remembered => {
-                words.standby = Some(view);
+            Reply::Recorded => {
+                replies.standby = Some(view);
                 None
             }
-            Reply::Alone => {
-                words.alone = true;
+            Reply::AdmittedAlone => {
+                replies.sole_member = true;
                 None
             }
             Reply::Running => {
-                words.running = true;
+                replies.running = true;
                 None
             }
             Reply::NotReady | Reply::Moved(_) => None,
@@ -380,24 +378,24 @@
             Reply::Full => Some(Decision::Unknown(UnknownReason::MemoryFull)),
         };
         if let Some(decision) = decision {
-            let mut effects = self.close(now, seq, Fate::NotRun);
+            let mut effects = self.close(now, seq, AttemptState::NotRun);
             effects.push(decide(token, decision));
             return effects;
         }
-        if !words.may_run(flaw) {
+        if !replies.may_run(flaw) {
             return Vec::new();
         }
         // A VM that was frozen may get both words long after its caller's time ended; by then what
         // the members knew of the id may have been forgotten.
         if pending.request.deadline <= now {
-            return self.late(now, seq);
+            return self.time_out(now, seq);
         }
         pending.phase = Phase::Running;
         vec![decide(token, Decision::Run)]
     }
 
     /// Takes a newer view that a member told.
-    fn moved(&mut self, now: Duration, seq: u64, newer: View) -> Vec<Effect> {
+    fn on_moved(&mut self, now: Duration, seq: u64, newer: View) -> Vec<Effect> {
         let Some(pending) = self.pending.get(&seq) else {
             return Vec::new();
         };
@@ -406,42 +404,42 @@
             Some(view) if view.number < newer.number => *view = newer,
             _ => return Vec::new(),
         }
-        let mut effects = self.follow(now);
+        let mut effects = self.restart_stale(now);
         effects.push(Effect::Read);
         effects
     }
 
-    fn take_finished(&mut self, seq: u64, from: VmId) {
+    fn on_finished(&mut self, seq: u64, from: VmId) {
         let Some(pending) = self.pending.get_mut(&seq) else {
             return;
         };
-        let Phase::Closing { told, .. } = &mut pending.phase else {
+        let Phase::Reporting { acknowledged, .. } = &mut pending.phase else {
             return;
         };
-        told.insert(from);
+        acknowledged.insert(from);
         let view = self
             .views
-            .of(&pending.request.order.id)
+            .view_of(&pending.request.order.id)
             .map(|(_, view)| view);
-        if view.is_some_and(|view| view.members().all(|vm| told.contains(vm))) {
+        if view.is_some_and(|view| view.members().all(|vm| acknowledged.contains(vm))) {
             self.pending.shift_remove(&seq);
         }
     }
 
     /// Says how an attempt ended, or that it is forgotten here. While it is open there is nothing
     /// to say.
-    fn answer(&self, from: VmId, order: Order, attempt: Attempt) -> Vec<Effect> {
-        let fate = match self.pending.get(&attempt.seq).map(|it| &it.phase) {
+    fn on_query(&self, from: VmId, order: Order, attempt: Attempt) -> Vec<Effect> {
+        let state = match self.pending.get(&attempt.seq).map(|it| &it.phase) {
             Some(Phase::Asking(_) | Phase::Running) => return Vec::new(),
-            Some(Phase::Closing { fate, .. }) => fate.clone(),
-            None => Fate::Unknown,
+            Some(Phase::Reporting { state, .. }) => state.clone(),
+            None => AttemptState::Unknown,
         };
         vec![Effect::Send {
             to: from,
             message: Message::Finish {
                 order,
                 attempt,
-                fate,
+                state,
             },
         }]
     }
@@ -451,26 +449,26 @@
         let due = self.pending.iter().filter(|(_, it)| it.is_due(now));
         let due: Vec<_> = due.map(|(seq, _)| *seq).collect();
         for seq in due {
-            effects.extend(self.again(now, seq));
+            effects.extend(self.resend(now, seq));
         }
         effects
     }
 
     /// Sends again what got no answer, or gives up.
-    fn again(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
+    fn resend(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
         let Some(pending) = self.pending.get_mut(&seq) else {
             return Vec::new();
         };
-        pending.sent = now;
+        pending.sent_at = now;
         match &pending.phase {
-            Phase::Asking(_) if pending.request.deadline <= now => self.late(now, seq),
-            Phase::Asking(_) => pending.ask(&self.vm, seq),
-            Phase::Running => self.close(now, seq, Fate::Unknown),
-            Phase::Closing { until, .. } if *until <= now => {
+            Phase::Asking(_) if pending.request.deadline <= now => self.time_out(now, seq),
+            Phase::Asking(_) => pending.start_messages(&self.vm, seq),
+            Phase::Running => self.close(now, seq, AttemptState::Unknown),
+            Phase::Reporting { report_until, .. } if *report_until <= now => {
                 self.pending.shift_remove(&seq);
                 Vec::new()
             }
-            Phase::Closing { .. } => pending.report(&self.vm, seq, &self.views),
+            Phase::Reporting { .. } => pending.finish_messages(&self.vm, seq, &self.views),
         }
     }
 }
--- a/src/order/stored.rs
+++ b/src/order/stored.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 use super::{
-    Attempt, Fate, Flaw, Order,
-    entry::{ENTRY_BYTES, Entry, Standing, Trial},
+    Attempt, AttemptState, Flaw, Order,
+    entry::{AttemptRecord, CheckResult, ENTRY_BYTES, Entry},
 };
 use crate::request::Fingerprint;
 
 /// How many attempts of one order are kept; those that did not run go first.
-const ATTEMPTS: usize = 16;
+const MAX_ATTEMPTS: usize = 16;
 
 /// One order in memory.
 #[derive(Clone, Debug)]
 pub(super) struct StoredOrder {
     pub(super) entry: Entry,
-    pub(super) changed: Duration,
+    pub(super) changed_at: Duration,
     pub(super) bytes: usize,
 }
 
@@ -26,7 +26,7 @@
                 created_at,
                 ..Entry::default()
             },
-            changed: Duration::ZERO,
+            changed_at: Duration::ZERO,
             bytes: 0,
         }
     }
@@ -40,63 +40,80 @@
     }
 
     /// Returns what the attempts say; nothing if none of them ran or may run.
-    pub(super) fn standing(
+    pub(super) fn check(
         &self,
         order: &Order,
         attempt: &Attempt,
         flaw: Flaw,
-    ) -> Option<Standing> {
+    ) -> Option<CheckResult> {
         let attempts = &self.entry.attempts;
         if attempts
             .get(attempt)
-            .is_some_and(|it| it.fate == Fate::NotRun)
+            .is_some_and(|it| it.state == AttemptState::NotRun)
         {
-            return Some(Standing::Ended);
+            return Some(CheckResult::Ended);
         }
-        let counted = || attempts.iter().filter(|(_, it)| it.fate != Fate::NotRun);
-        let alike = |it: &Trial| it.fingerprint == order.fingerprint || flaw == Flaw::AnyPrint;
-        let ran = counted().find_map(|(_, trial)| match &trial.fate {
-            Fate::Ran(answer) => Some((alike(trial), answer)),
+        let counted = || {
+            attempts
+                .iter()
+                .filter(|(_, it)| it.state != AttemptState::NotRun)
+        };
+        let same_request = |it: &AttemptRecord| {
+            it.fingerprint == order.fingerprint || flaw == Flaw::IgnoreFingerprints
+        };
+        let ran = counted().find_map(|(_, record)| match &record.state {
+            AttemptState::Ran(answer) => Some((same_request(record), answer)),
             _ => None,
         });
-        let rivals = || counted().filter(|(it, _)| *it != attempt);
-        let [any, same] = [rivals().count(), rivals().filter(|it| alike(it.1)).count()];
-        let has = |fate| counted().any(|(_, it)| it.fate == fate);
+        let others = || counted().filter(|(it, _)| *it != attempt);
+        let [any, same] = [
+            others().count(),
+            others().filter(|it| same_request(it.1)).count(),
+        ];
+        let has = |state| counted().any(|(_, it)| it.state == state);
         match ran {
-            Some((true, answer)) => Some(Standing::Ran(answer.clone())),
-            Some((false, _)) => Some(Standing::Mismatch),
-            None if any > 0 && same == 0 => Some(Standing::Mismatch),
-            None if rivals().any(|(_, it)| it.fate == Fate::Open) => Some(Standing::Running),
-            None if has(Fate::Unknown) && flaw != Flaw::LostIsFree => Some(Standing::Unknown),
-            None => has(Fate::Open).then_some(Standing::Mine),
+            Some((true, answer)) => Some(CheckResult::Ran(answer.clone())),
+            Some((false, _)) => Some(CheckResult::Mismatch),
+            None if any > 0 && same == 0 => Some(CheckResult::Mismatch),
+            None if others().any(|(_, it)| it.state == AttemptState::Open) => {
+                Some(CheckResult::Running)
+            }
+            None if has(AttemptState::Unknown) && flaw != Flaw::LostIsNotRun => {
+                Some(CheckResult::Unknown)
+            }
+            None => has(AttemptState::Open).then_some(CheckResult::AlreadyOpen),
         }
     }
 
     pub(super) fn is_open(&self) -> bool {
         let mut attempts = self.entry.attempts.values();
-        attempts.any(|trial| trial.fate == Fate::Open)
+        attempts.any(|record| record.state == AttemptState::Open)
     }
 
-    pub(super) fn may_go(&self, now: Duration, retention: Duration) -> bool {
+    pub(super) fn is_evictable(&self, now: Duration, retention: Duration) -> bool {
         let dated = self.entry.created_at.is_some();
-        !self.is_open() && (dated || self.changed + retention <= now)
+        !self.is_open() && (dated || self.changed_at + retention <= now)
     }
 
-    pub(super) fn forget_attempts(&mut self) {
+    pub(super) fn trim_attempts(&mut self) {
         let attempts = &mut self.entry.attempts;
-        while attempts.len() > ATTEMPTS {
-            let idle = attempts.values().position(|it| it.fate == Fate::NotRun);
-            let Some(index) = idle else {
+        while attempts.len() > MAX_ATTEMPTS {
+            let not_run = attempts
+                .values()
+                .position(|it| it.state == AttemptState::NotRun);
+            let Some(index) = not_run else {
                 return;
             };
             attempts.shift_remove_index(index);
         }
     }
 
-    pub(super) fn measure(&self, id: &str) -> usize {
+    pub(super) fn size_bytes(&self, id: &str) -> usize {
         let attempts = self.entry.attempts.iter();
-        let bytes = attempts.map(|(attempt, trial)| match &trial.fate {
-            Fate::Ran(answer) => attempt.vm.len() + answer.body.as_ref().map_or(0, Vec::len),
+        let bytes = attempts.map(|(attempt, record)| match &record.state {
+            AttemptState::Ran(answer) => {
+                attempt.vm.len() + answer.body.as_ref().map_or(0, Vec::len)
+            }
             _ => attempt.vm.len(),
         });
         ENTRY_BYTES + 2 * id.len() + bytes.sum::<usize>()
--- a/src/order/view.rs
+++ b/src/order/view.rs
@@ -25,7 +25,8 @@
     /// The second memory; nothing while there is no other VM.
     pub standby: Option<VmId>,
     /// The view since which nothing was lost: the first, or the last after a loss of both.
-    pub founded: ViewNumber,
+    #[serde(rename = "founded")]
+    pub complete_since: ViewNumber,
     /// Ids not provably younger than this were perhaps lost, since the Unix epoch.
     pub horizon: Option<Duration>,
 }
@@ -42,12 +43,12 @@
     ///     number: 1,
     ///     home: "a#1".into(),
     ///     standby: None,
-    ///     founded: 1,
+    ///     complete_since: 1,
     ///     horizon: None,
     /// };
-    /// assert!(view.has("a#1"));
+    /// assert!(view.has_member("a#1"));
     /// ```
-    pub fn has(&self, vm: &str) -> bool {
+    pub fn has_member(&self, vm: &str) -> bool {
         self.home == vm || self.standby.as_deref() == Some(vm)
     }
 
@@ -61,7 +62,7 @@
     /// #     number: 1,
     /// #     home: "a#1".into(),
     /// #     standby: Some("b#1".into()),
-    /// #     founded: 1,
+    /// #     complete_since: 1,
     /// #     horizon: None,
     /// # };
     /// assert_eq!(view.members().count(), 2);
@@ -80,11 +81,11 @@
     /// #     number: 1,
     /// #     home: "a#1".into(),
     /// #     standby: Some("b#1".into()),
-    /// #     founded: 1,
+    /// #     complete_since: 1,
     /// #     horizon: None,
     /// # };
     /// let next = view.next("b#1", Some("c#1".into()));
-    /// assert_eq!((next.number, next.founded), (2, 1));
+    /// assert_eq!((next.number, next.complete_since), (2, 1));
     /// ```
     #[must_use]
     pub fn next(&self, home: &str, standby: Option<VmId>) -> Self {
@@ -92,7 +93,7 @@
             number: self.number + 1,
             home: home.into(),
             standby,
-            founded: self.founded,
+            complete_since: self.complete_since,
             horizon: self.horizon,
         }
     }
@@ -116,18 +117,18 @@
     /// use indexmap::IndexMap;
     ///
     /// let vms = IndexMap::from([("a#1".into(), "north".into()), ("b#1".into(), "south".into())]);
-    /// let views = Views::first(&vms, 4);
+    /// let views = Views::initial(&vms, 4);
     /// assert_eq!(views.shards.len(), 4);
     /// assert!(views.shards.iter().all(|view| view.standby.is_some()));
     /// ```
-    pub fn first(vms: &IndexMap<VmId, DomainId>, shards: usize) -> Self {
+    pub fn initial(vms: &IndexMap<VmId, DomainId>, shards: usize) -> Self {
         let view = |shard| {
             let home = choose_home(vms, shard)?;
             Some(View {
                 number: 1,
                 standby: choose_standby(vms, shard, &home),
                 home,
-                founded: 1,
+                complete_since: 1,
                 horizon: None,
             })
         };
@@ -143,9 +144,9 @@
     /// ```
     /// use bramleypier::order::Views;
     ///
-    /// assert!(Views::default().of("dispatch/1").is_none());
+    /// assert!(Views::default().view_of("dispatch/1").is_none());
     /// ```
-    pub fn of(&self, id: &str) -> Option<(Shard, &View)> {
+    pub fn view_of(&self, id: &str) -> Option<(Shard, &View)> {
         let shard = super::shard(id, self.shards.len());
         Some((shard, self.shards.get(shard)?))
     }
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use bramleypier::order::{
-    Answer, Attempt, Effect, Fate, Ledger, Message, Order, Reply, Starter, View, Views, ledger,
+    Answer, Attempt, AttemptState, Effect, Ledger, Message, Order, Reply, Starter, View, Views,
+    ledger,
     memory::Limits,
     starter::{self, Decision, UnknownReason},
 };
@@ -21,7 +22,7 @@
         number,
         home: home.into(),
         standby: Some(standby.into()),
-        founded: 1,
+        complete_since: 1,
         horizon: None,
     }
 }
@@ -75,40 +76,48 @@
     reply.expect("every start is answered")
 }
 
-fn finish(ledger: &mut Ledger, order: &Order, attempt: &Attempt, fate: Fate) -> Vec<Effect> {
+fn finish(
+    ledger: &mut Ledger,
+    order: &Order,
+    attempt: &Attempt,
+    state: AttemptState,
+) -> Vec<Effect> {
     let message = Message::Finish {
         order: order.clone(),
         attempt: attempt.clone(),
-        fate,
+        state,
     };
     say(ledger, &attempt.vm, message)
 }
 
-fn ran() -> Fate {
-    Fate::Ran(Answer::new(201, "text/plain", b"printed", 64))
+fn ran() -> AttemptState {
+    AttemptState::Ran(Answer::new(201, "text/plain", b"printed", 64))
 }
 
 #[test]
 fn a_resend_hears_what_became_of_the_first() {
-    let Fate::Ran(answer) = ran() else {
+    let AttemptState::Ran(answer) = ran() else {
         unreachable!()
     };
     let cases = [
-        (Fate::Open, 1, Reply::Running),
+        (AttemptState::Open, 1, Reply::Running),
         (ran(), 1, Reply::Ran(answer)),
-        (Fate::Unknown, 1, Reply::Unknown),
-        (Fate::NotRun, 1, Reply::Yours),
-        (Fate::Open, 2, Reply::Mismatch),
+        (AttemptState::Unknown, 1, Reply::Unknown),
+        (AttemptState::NotRun, 1, Reply::Admitted),
+        (AttemptState::Open, 2, Reply::Mismatch),
         (ran(), 2, Reply::Mismatch),
-        (Fate::NotRun, 2, Reply::Yours),
+        (AttemptState::NotRun, 2, Reply::Admitted),
     ];
-    for (fate, fingerprint, expected) in cases {
+    for (state, fingerprint, expected) in cases {
         let mut home = home(Limits::default(), None);
         let first = attempt("a#1", 1);
-        assert_eq!(start(&mut home, &order("s/1", 1), &first, 1), Reply::Yours);
-        finish(&mut home, &order("s/1", 1), &first, fate.clone());
+        assert_eq!(
+            start(&mut home, &order("s/1", 1), &first, 1),
+            Reply::Admitted
+        );
+        finish(&mut home, &order("s/1", 1), &first, state.clone());
         let found = start(&mut home, &order("s/1", fingerprint), &attempt("b#1", 1), 1);
-        assert_eq!(found, expected, "{fate:?} {fingerprint}");
+        assert_eq!(found, expected, "{state:?} {fingerprint}");
     }
 }
 
@@ -118,13 +127,13 @@
     let (one, two) = (attempt("a#1", 1), attempt("a#1", 2));
     let order = order("s/1", 1);
     // The end of the first attempt overtakes its start.
-    finish(&mut home, &order, &one, Fate::NotRun);
-    assert_eq!(start(&mut home, &order, &two, 1), Reply::Yours);
+    finish(&mut home, &order, &one, AttemptState::NotRun);
+    assert_eq!(start(&mut home, &order, &two, 1), Reply::Admitted);
     assert_eq!(start(&mut home, &order, &one, 1), Reply::Ended);
-    assert_eq!(start(&mut home, &order, &two, 1), Reply::Yours);
+    assert_eq!(start(&mut home, &order, &two, 1), Reply::Admitted);
     finish(&mut home, &order, &two, ran());
-    finish(&mut home, &order, &two, Fate::Unknown);
-    finish(&mut home, &order, &one, Fate::NotRun);
+    finish(&mut home, &order, &two, AttemptState::Unknown);
+    finish(&mut home, &order, &one, AttemptState::NotRun);
     assert!(matches!(
         start(&mut home, &order, &attempt("b#1", 9), 1),
         Reply::Ran(_)
@@ -137,13 +146,13 @@
     let (order, one, two) = (order("s/1", 1), attempt("a#1", 1), attempt("b#1", 1));
     start(&mut home, &order, &one, 1);
     assert_eq!(start(&mut home, &order, &two, 1), Reply::Running);
-    let effects = finish(&mut home, &order, &one, Fate::NotRun);
+    let effects = finish(&mut home, &order, &one, AttemptState::NotRun);
     let told = Effect::Send {
         to: "b#1".into(),
         message: Message::Reply {
             attempt: two,
             view: 1,
-            reply: Reply::Yours,
+            reply: Reply::Admitted,
         },
     };
     assert!(effects.contains(&told), "{effects:?}");
@@ -173,7 +182,7 @@
     assert_eq!(start(&mut standby, &order, &one, 1), Reply::NotReady);
     say(&mut standby, HOME, part(1, 0, false)); // doubled
     say(&mut standby, HOME, part(1, 1, true));
-    assert_eq!(start(&mut standby, &order, &one, 1), Reply::Remembered);
+    assert_eq!(start(&mut standby, &order, &one, 1), Reply::Recorded);
 }
 
 #[test]
@@ -186,7 +195,7 @@
     let (order, one) = (order("s/1", 1), attempt("a#1", 1));
     assert!(matches!(start(&mut home, &order, &one, 1), Reply::Moved(view) if view.number == 2));
     assert_eq!(start(&mut home, &order, &one, 3), Reply::NotReady);
-    assert_eq!(start(&mut home, &order, &one, 2), Reply::Yours);
+    assert_eq!(start(&mut home, &order, &one, 2), Reply::Admitted);
 }
 
 #[test]
@@ -195,10 +204,10 @@
     let hour = Duration::from_hours(1);
     let cases = [
         (Some(WALL), WALL, Reply::Unknown),
-        (Some(WALL + Duration::from_millis(1)), WALL, Reply::Yours),
+        (Some(WALL + Duration::from_millis(1)), WALL, Reply::Admitted),
         (Some(Duration::ZERO), WALL + 9 * hour, Reply::Unknown),
         (None, WALL + hour, Reply::Unknown),
-        (None, WALL + hour + Duration::from_secs(1), Reply::Yours),
+        (None, WALL + hour + Duration::from_secs(1), Reply::Admitted),
     ];
     for (created_at, wall, expected) in cases {
         let mut home = home(Limits::default(), horizon);
@@ -234,7 +243,7 @@
     for n in 1..40 {
         assert_eq!(
             start(&mut home, &dated(n), &attempt("a#1", n), 1),
-            Reply::Yours
+            Reply::Admitted
         );
         finish(&mut home, &dated(n), &attempt("a#1", n), ran());
     }
@@ -256,7 +265,7 @@
         told.push(start(&mut home, &undated(n), &attempt("a#1", 100 + n), 1));
         finish(&mut home, &undated(n), &attempt("a#1", 100 + n), ran());
     }
-    assert!(told.contains(&Reply::Full) && told.contains(&Reply::Yours));
+    assert!(told.contains(&Reply::Full) && told.contains(&Reply::Admitted));
 }
 
 /// Returns a starter that asks for one order, as its first attempt.
@@ -297,20 +306,20 @@
 #[test]
 fn only_the_words_of_both_let_an_order_run() {
     let cases = [
-        (vec![(1, Reply::Yours)], None),
-        (vec![(1, Reply::Remembered)], None),
-        (vec![(1, Reply::Yours), (1, Reply::Yours)], None),
-        (vec![(1, Reply::Yours), (2, Reply::Remembered)], None),
-        (vec![(1, Reply::Running), (1, Reply::Remembered)], None),
+        (vec![(1, Reply::Admitted)], None),
+        (vec![(1, Reply::Recorded)], None),
+        (vec![(1, Reply::Admitted), (1, Reply::Admitted)], None),
+        (vec![(1, Reply::Admitted), (2, Reply::Recorded)], None),
+        (vec![(1, Reply::Running), (1, Reply::Recorded)], None),
         (
-            vec![(1, Reply::Yours), (1, Reply::Remembered)],
+            vec![(1, Reply::Admitted), (1, Reply::Recorded)],
             Some(Decision::Run),
         ),
         (
-            vec![(1, Reply::Remembered), (1, Reply::Yours)],
+            vec![(1, Reply::Recorded), (1, Reply::Admitted)],
             Some(Decision::Run),
         ),
-        (vec![(1, Reply::Alone)], Some(Decision::Run)),
+        (vec![(1, Reply::AdmittedAlone)], Some(Decision::Run)),
         (
             vec![(1, Reply::Unknown)],
             Some(Decision::Unknown(UnknownReason::Lost)),
@@ -334,7 +343,7 @@
 fn a_caller_whose_time_ends_is_not_told_not_run() {
     let cases = [
         (None, UnknownReason::NoReply),
-        (Some(Reply::Yours), UnknownReason::NoReply),
+        (Some(Reply::Admitted), UnknownReason::NoReply),
         (Some(Reply::NotReady), UnknownReason::NoReply),
         (Some(Reply::Running), UnknownReason::Running),
     ];
@@ -346,7 +355,7 @@
         let late = decision(starter.on(now(1_000), starter::Event::Tick));
         assert_eq!(late, Some(Decision::Unknown(why)));
         // A word that comes after that starts nothing.
-        assert_eq!(hear(&mut starter, 1, Reply::Alone), None);
+        assert_eq!(hear(&mut starter, 1, Reply::AdmittedAlone), None);
     }
 }
 
--- a/tests/order/callers.rs
+++ b/tests/order/callers.rs
@@ -4,7 +4,7 @@
 
 use bramleypier::{
     order::{
-        AHEAD, Answer, Order,
+        Answer, MAX_AHEAD, Order,
         starter::{self, Decision, End},
     },
     request::Attempt,
@@ -16,7 +16,7 @@
     pub(super) fn fresh(&self, dated: bool, ahead: u64) -> (Order, Told) {
         let order = Order {
             id: format!("dispatch/{}", self.orders.len()),
-            created_at: dated.then_some(self.wall + Duration::from_secs(ahead).min(AHEAD)),
+            created_at: dated.then_some(self.wall + Duration::from_secs(ahead).min(MAX_AHEAD)),
             fingerprint: 0,
         };
         let until = if dated {
--- a/tests/order/world.rs
+++ b/tests/order/world.rs
@@ -105,7 +105,7 @@
         }
         let domain = |(name, vm): (&String, &Vm)| (name.clone(), DOMAINS[vm.domain].to_string());
         let vms = world.vms.iter().map(domain).collect();
-        world.record = (1, Views::first(&vms, SHARDS));
+        world.record = (1, Views::initial(&vms, SHARDS));
         for vm in world.vms.values_mut() {
             vm.reads.push(world.record.clone());
         }
@@ -219,7 +219,7 @@
             self.ask(vm, order, 1)?;
             self.rounds(6)?;
             if self.orders[order].1.sent.is_none() {
-                let view = &self.record.1.of(&self.orders[order].0.id);
+                let view = &self.record.1.view_of(&self.orders[order].0.id);
                 return Err(format!(
                     "fresh order {order} did not run: {view:?} {:?}",
                     self.last
--- a/tests/order_model.rs
+++ b/tests/order_model.rs
@@ -85,14 +85,14 @@
 #[test]
 fn the_checks_notice_each_missing_rule() {
     let flaws = [
-        Flaw::HomeAlone,
+        Flaw::HomeOnly,
         Flaw::MixedViews,
-        Flaw::ResignInDoubt,
-        Flaw::ResignIdly,
-        Flaw::LostIsFree,
-        Flaw::AnyPrint,
+        Flaw::ResignDuringWrite,
+        Flaw::ActAfterResigning,
+        Flaw::LostIsNotRun,
+        Flaw::IgnoreFingerprints,
         Flaw::NoTransfer,
-        Flaw::SuspectGone,
+        Flaw::SuspectIsGone,
         Flaw::NoHorizon,
         Flaw::NoFloor,
     ];
