--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,4 +1,6 @@
-//! Handovers: facts that a range has a new owner.
+//! Handovers: statements that a range has a new owner from an epoch on.
+//!
+//! VMs apply a handover without waiting until the record of its group carries it.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -8,32 +10,32 @@
     range::Range,
 };
 
-/// A fact: from this epoch on the first of the chain owns the range.
+/// A statement that the first target of the chain owns the range from this epoch on.
 ///
-/// A range at an epoch has one handover at most, whoever derives it, so hearing one twice, late or
-/// out of order changes nothing: the higher epoch wins.
+/// There is at most one handover of a range for each epoch, whichever VM derives it. Receiving one twice, late or
+/// out of order is therefore harmless: the higher epoch wins.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Handover {
-    /// The group.
+    /// The group that the range belongs to.
     pub group: GroupId,
-    /// The range.
+    /// The range that changes its owner.
     pub range: Range,
     /// The new owner's epoch.
     pub epoch: Epoch,
-    /// The new owner, then its heirs in order.
+    /// The new owner, then its successors in order.
     pub chain: Vec<Successor>,
 }
 
-/// A target under one term of its membership.
+/// A target during one term of its membership: an owner, or one that may follow it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Successor {
     /// The target.
     pub target: TargetId,
-    /// Its term.
+    /// The term of its membership.
     pub term: Term,
 }
 
-/// Handovers by range and epoch.
+/// Handovers, by range and epoch.
 pub type Handovers = IndexMap<(Range, Epoch), Handover>;
--- a/src/key.rs
+++ b/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys and their place in the hash space.
+//! The hash of keys: which point of the hash space a key has, and the weights of rendezvous hashing.
 
 use xxhash_rust::xxh3;
 
@@ -7,7 +7,7 @@
 
 /// Returns the point of a key: XXH3-64 of its bytes with seed 0.
 ///
-/// The hash is part of the contract with targets; it never changes.
+/// The hash is part of the contract with targets, so it must never change.
 ///
 /// # Example
 ///
@@ -21,7 +21,7 @@
     xxh3::xxh3_64(key.as_bytes())
 }
 
-/// Returns the weight of a candidate for a subject, for rendezvous hashing: the highest wins.
+/// Returns the weight of a candidate for a subject in rendezvous hashing; the candidate with the highest is chosen.
 ///
 /// # Example
 ///
--- a/src/order/decision.rs
+++ b/src/order/decision.rs
@@ -1,32 +1,32 @@
-//! What an entry VM decides on an order.
+//! An entry VM's decision on an order.
 
 use super::Answer;
 
-/// What is decided on an order.
+/// Whether an order may run, or else what its caller is answered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Run it, and report how it ended. Until then nobody else runs it, so if it is given up before
-    /// it starts, `not-run` is the truth for its id.
+    /// Run it, and report how it ended. No other attempt runs until then, so if this one is cancelled before it
+    /// starts, `not-run` is the correct outcome for its id.
     Run,
     /// It ran before; this is its answer.
     Ran(Answer),
-    /// It may have run before. It is safe to send it again with the same id.
+    /// It may have run before. Sending it again with the same id is safe.
     Unknown(UnknownReason),
-    /// The id was used for something else; this attempt was not run, and the caller is at fault.
+    /// The id was used for another request, which is the caller's fault; this attempt did not run.
     Mismatch,
 }
 
-/// Why it can't be said whether an order ran.
+/// Why it is unknown whether an order ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnknownReason {
-    /// It may have run, and nobody knows any more.
+    /// It may have run, but its outcome is lost.
     Lost,
-    /// It was still running when the caller's time ended.
+    /// Another attempt was still running at the caller's deadline.
     Running,
-    /// The members of its shard gave no answer in time.
+    /// The members of its shard did not reply before the deadline.
     NoReply,
-    /// The members' memory is full.
+    /// The memory of the members is full.
     MemoryFull,
-    /// The id is dated too far ahead.
+    /// The id is dated too far in the future.
     DatedAhead,
 }
--- a/src/order/entry.rs
+++ b/src/order/entry.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one order, and what that says to an attempt.
+//! What a VM keeps of one order, and what follows from it for a new attempt.
 
 use std::time::Duration;
 
@@ -8,49 +8,49 @@
 use super::{Answer, Attempt, AttemptState};
 use crate::request::Fingerprint;
 
-/// What an entry costs besides its texts and bodies, in bytes: resident memory as measured, with the
-/// maps' spare room.
+/// The memory that an entry takes besides its texts and bodies, in bytes: resident memory, including the spare
+/// capacity of the maps.
 pub(super) const ENTRY_BYTES: usize = 768;
 
-/// One order.
+/// The attempts at one order, as sent between VMs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
-    /// The time that its id carries.
+    /// The time that the order's id carries, since the Unix epoch; `None` if the id has none.
     #[serde(rename = "made")]
     pub created_at: Option<Duration>,
-    /// How long ago it last changed, where the entry travels.
+    /// How long ago it last changed; set only when the entry is sent to another VM.
     pub age: Duration,
-    /// The attempts.
+    /// The attempts at the order.
     pub attempts: IndexMap<Attempt, AttemptRecord>,
 }
 
-/// One attempt, as remembered.
+/// One attempt, as kept in memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AttemptRecord {
-    /// What it asked for.
+    /// The fingerprint of its request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// What became of it.
+    /// Its state.
     #[serde(rename = "fate")]
     pub state: AttemptState,
 }
 
-/// What the memory says to an attempt that wants to run.
+/// The result of checking an attempt that wants to run against the memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CheckResult {
-    /// No attempt ran or may run.
+    /// No attempt ran, may have run or may still run.
     Allowed,
-    /// This one is the one that may run.
+    /// This attempt is open already, and no other is.
     AlreadyOpen,
-    /// Another may be running.
+    /// Another attempt may be running.
     Running,
-    /// One ran.
+    /// An attempt ran.
     Ran(Answer),
-    /// One may have run, or the memory doesn't reach back so far.
+    /// An attempt may have run, or the memory may have evicted the order.
     Unknown,
-    /// One that asked for something else ran or may run.
+    /// An attempt with another request ran, or may run.
     Mismatch,
     /// This attempt has ended without running.
     Ended,
--- a/src/order/ledger.rs
+++ b/src/order/ledger.rs
@@ -1,4 +1,7 @@
-//! One VM as home or standby of its shards.
+//! The state machine of one VM as home or standby of shards.
+//!
+//! It answers the starts of entry VMs, records how attempts ended, and asks after attempts that stay open. It also
+//! proposes new views when a member is lost or shuts down, and resigns from its shards when its own VM shuts down.
 
 use std::time::Duration;
 
@@ -14,30 +17,30 @@
 };
 use crate::id::{Version, VmId};
 
-/// How many open attempts are asked after in one round.
+/// The highest number of queries about open attempts in one round.
 const MAX_QUERIES: usize = 64;
-/// How long an attempt is open before it is asked after.
+/// How long an attempt is unchanged before its entry VM is asked how it ended.
 const QUERY_AFTER: Duration = Duration::from_secs(2);
-/// How long an attempt is open before it counts as lost; longer than requests may take.
+/// How long an attempt is unchanged before its outcome counts as unknown; longer than requests may take.
 const LOST_AFTER: Duration = Duration::from_mins(5);
-/// How long until a write that is in doubt is tried again.
+/// How long until a write with an unknown result is retried.
 const WRITE_RETRY: Duration = Duration::from_secs(1);
-/// How long the VMs have to be the same before shards move only to be spread better.
+/// How long the membership must be unchanged before shards move for a better distribution only.
 const REBALANCE_DELAY: Duration = Duration::from_secs(10);
 
-/// What happens to a [`Ledger`].
+/// An input of a [`Ledger`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The record was read; version 0 with no shards if there is none.
+    /// The record of views was read; version 0 with no shards if there is none.
     Views {
         /// Its version.
         version: Version,
         /// The record.
         views: Views,
     },
-    /// The membership changed.
+    /// The known membership changed.
     Peers(Peers),
-    /// A message came in.
+    /// A message was received.
     Message {
         /// The VM that sent it.
         from: VmId,
@@ -61,13 +64,13 @@
     shards: Vec<Replica>,
     peers: Peers,
     rebalance_after: Duration,
-    /// The base of a write whose state isn't known, and when it was last sent.
+    /// The base version of a write with an unknown result, and when the write, or the read after it, was last sent.
     unconfirmed: Option<(Version, Duration)>,
     last_query: Duration,
 }
 
 impl Ledger {
-    /// Creates a ledger that knows nothing yet.
+    /// Creates a ledger without views.
     ///
     /// # Example
     ///
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Leaves out a rule, for tests.
+    /// Leaves out a safety rule, for tests.
     #[doc(hidden)]
     #[must_use]
     pub fn with_flaw(mut self, flaw: Flaw) -> Self {
@@ -98,7 +101,7 @@
         self
     }
 
-    /// Returns whether no shard needs this VM any longer, so that it may stop.
+    /// Returns whether no shard depends on this VM any longer, so that it may stop.
     ///
     /// # Example
     ///
@@ -109,8 +112,8 @@
     /// ```
     pub fn is_idle(&self) -> bool {
         let mut mine = self.shards.iter().filter(|it| it.view.has_member(&self.vm));
-        // Whoever resigned to a VM that is gone can't tell what that one did before: its own
-        // memory is worth nothing any more.
+        // The other member may have admitted attempts after this VM resigned to it. Once that one is gone, this VM's
+        // memory may lack them, so that nothing can rely on it any more.
         let gone = |vm: &VmId| *vm == self.vm || self.peers.gone.contains(vm);
         mine.all(|replica| match replica.resignation {
             Resignation::Acknowledged => true,
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Returns how many shards this VM is home of, standby of, and still without memory of.
+    /// Returns of how many shards this VM is the home, the standby, and a member without the complete memory.
     ///
     /// # Example
     ///
@@ -135,7 +138,7 @@
         (homes, mine().count() - homes, empty)
     }
 
-    /// Returns how many orders are remembered, and their size in bytes.
+    /// Returns how many orders are in memory, and their size in bytes.
     ///
     /// # Example
     ///
@@ -149,7 +152,7 @@
         sizes.fold((0, 0), |sum, size| (sum.0 + size.0, sum.1 + size.1))
     }
 
-    /// Returns how many orders were forgotten for lack of room; it only grows.
+    /// Returns how many orders were evicted for lack of memory since the start.
     ///
     /// # Example
     ///
@@ -162,7 +165,7 @@
         self.shards.iter().map(|it| it.memory.evicted()).sum()
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the effects to carry out.
     ///
     /// # Example
     ///
@@ -264,6 +267,7 @@
         }
     }
 
+    /// Replies to an entry VM that asks whether an attempt may run.
     fn on_start(
         &mut self,
         now: Duration,
@@ -298,6 +302,7 @@
         vec![reply(attempt, view, answer)]
     }
 
+    /// Records and acknowledges the end of an attempt, and replies to the attempts that waited for it.
     fn on_finish(
         &mut self,
         now: Duration,
@@ -323,7 +328,7 @@
         let mut effects = vec![ack];
         if changed {
             effects.extend(forwarded);
-            effects.extend(replica.retry_waiters(now, &self.vm, &order.id));
+            effects.extend(replica.answer_waiters(now, &self.vm, &order.id));
         }
         effects
     }
@@ -342,8 +347,9 @@
         effects
     }
 
-    /// Asks entry VMs after attempts that have been open for long, and gives up those of VMs that
-    /// are gone or don't answer. Should one of them end after all, that account is still taken.
+    /// Asks entry VMs how their long open attempts ended, and marks those of lost or unresponsive VMs as unknown.
+    ///
+    /// A report of such an attempt's end that arrives later is still accepted.
     fn query_attempts(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
         let Some(before) = now.checked_sub(QUERY_AFTER) else {
@@ -357,7 +363,7 @@
         for replica in mine {
             let lost = |vm: &VmId| self.peers.gone.contains(vm);
             for id in replica.memory.mark_unknown(lost, lost_before) {
-                effects.extend(replica.retry_waiters(now, &self.vm, &id));
+                effects.extend(replica.answer_waiters(now, &self.vm, &id));
             }
             let left = MAX_QUERIES.saturating_sub(effects.len());
             let open = replica.memory.open_attempts(before).take(left);
@@ -369,7 +375,7 @@
         effects
     }
 
-    /// Resigns from every shard that the other member can go on with, once this VM stops.
+    /// Resigns, once this VM shuts down, from every shard that the other member can continue alone.
     fn resign(&mut self, now: Duration) -> Vec<Effect> {
         let leaving = self.peers.vms.get(&self.vm).is_some_and(|it| it.leaving);
         let unconfirmed = self.unconfirmed.is_some() && self.flaw != Flaw::ResignDuringWrite;
@@ -382,7 +388,7 @@
             .collect()
     }
 
-    /// Proposes the views that are needed, or a single one that is only wanted.
+    /// Proposes all views that are required, or else a single one that improves the distribution.
     fn propose(&mut self, now: Duration, wall: Duration) -> Vec<Effect> {
         let Some(base) = self.version else {
             return vec![Effect::Read];
@@ -421,19 +427,22 @@
         effects
     }
 
-    /// Returns all views with the changes; nothing if there are none.
+    /// Returns all views with the changes; empty if there are none.
     fn next_views(&self, now: Duration, wall: Duration) -> Vec<View> {
         let members = || self.shards.iter().enumerate();
         let required: IndexMap<Shard, View> = members()
             .filter_map(|(shard, it)| {
-                Some((shard, self.member(shard, it)?.required(&self.peers, wall)?))
+                Some((
+                    shard,
+                    self.member(shard, it)?.required_view(&self.peers, wall)?,
+                ))
             })
             .collect();
         let transferring = self.shards.iter().any(Replica::is_transferring);
         let stable = now >= self.rebalance_after && !transferring && required.is_empty();
         let improved = || {
             members().find_map(|(shard, it)| {
-                Some((shard, self.member(shard, it)?.improved(&self.peers)?))
+                Some((shard, self.member(shard, it)?.improved_view(&self.peers)?))
             })
         };
         let changes = match stable.then(improved).flatten() {
@@ -447,6 +456,7 @@
         next.cloned().collect()
     }
 
+    /// Returns this VM's position in a shard; `None` if it resigned and must propose nothing.
     fn member<'a>(&'a self, shard: Shard, replica: &'a Replica) -> Option<Member<'a>> {
         let resigned = matches!(
             replica.resignation,
@@ -461,6 +471,7 @@
         })
     }
 
+    /// Returns the replica of a shard, if its view is the given one.
     fn replica(&mut self, shard: Shard, view: ViewNumber) -> Option<&mut Replica> {
         let replica = self.shards.get_mut(shard)?;
         (replica.view.number == view).then_some(replica)
--- a/src/order/memory.rs
+++ b/src/order/memory.rs
@@ -1,4 +1,8 @@
-//! What one VM remembers of one shard's orders.
+//! One VM's memory of the orders of one shard.
+//!
+//! It records the attempts at each order, checks new attempts against them, and evicts ended orders when it is full.
+//! Evicted orders stay safe: a dated id raises the floor, up to which unrecorded ids count as unknown, and an undated
+//! id is kept for its retention.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,12 +12,12 @@
 use super::{Attempt, AttemptState, Flaw, Order, OrderId, entry::ENTRY_BYTES, stored::StoredOrder};
 use crate::id::VmId;
 
-/// How much is remembered, and for how long.
+/// How much a memory keeps, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes for one shard.
+    /// The size limit of one shard's memory, in bytes.
     pub bytes: usize,
-    /// How long an order whose id has no date is remembered at the least.
+    /// How long an order whose id has no date is kept at least.
     pub retention: Duration,
 }
 
@@ -26,14 +30,14 @@
     }
 }
 
-/// One shard's orders.
+/// The orders of one shard.
 #[derive(Clone, Debug, Default)]
 pub struct Memory {
     limits: Limits,
     entries: IndexMap<OrderId, StoredOrder>,
-    /// Ids by arrival, for forgetting; one that is gone from `entries` is skipped.
+    /// Ids in the order of arrival, for eviction; ids that are no longer in `entries` are skipped.
     arrivals: VecDeque<OrderId>,
-    /// The orders with an open attempt: few, and examined through often.
+    /// The ids of orders with an open attempt: few, and scanned often.
     open: IndexSet<OrderId>,
     bytes: usize,
     floor: Duration,
@@ -59,7 +63,7 @@
         }
     }
 
-    /// Returns whether nothing is remembered.
+    /// Returns whether the memory holds no order.
     ///
     /// # Example
     ///
@@ -72,7 +76,7 @@
         self.entries.is_empty()
     }
 
-    /// Returns how many orders are remembered, and their size in bytes.
+    /// Returns how many orders are in memory, and their size in bytes.
     ///
     /// # Example
     ///
@@ -85,7 +89,7 @@
         (self.entries.len(), self.bytes)
     }
 
-    /// Returns how many orders were forgotten for lack of room.
+    /// Returns how many orders were evicted for lack of memory.
     ///
     /// # Example
     ///
@@ -98,7 +102,7 @@
         self.evicted
     }
 
-    /// Returns the date up to which ids may have been forgotten.
+    /// Returns the date up to which ids may have been evicted.
     ///
     /// # Example
     ///
@@ -111,7 +115,7 @@
         self.floor
     }
 
-    /// Raises the date up to which ids may have been forgotten.
+    /// Raises the date up to which ids may have been evicted.
     ///
     /// # Example
     ///
@@ -128,7 +132,7 @@
         self.floor = self.floor.max(floor);
     }
 
-    /// Returns the ids, in no order.
+    /// Returns the ids, in arbitrary order.
     ///
     /// # Example
     ///
@@ -141,7 +145,7 @@
         self.entries.keys()
     }
 
-    /// Returns an entry as it travels, with its age.
+    /// Returns an entry as sent to another VM, with its age.
     ///
     /// # Example
     ///
@@ -159,7 +163,7 @@
         Some(entry)
     }
 
-    /// Returns the attempts that are open and last changed before `before`, of all orders.
+    /// Returns the open attempts of all orders that last changed before `before`.
     ///
     /// # Example
     ///
@@ -181,12 +185,12 @@
         })
     }
 
-    /// Returns what the memory says to an attempt that wants to run.
+    /// Checks an attempt that wants to run against the memory.
     ///
     /// # Example
     ///
     /// ```
-    /// use bramleypier::order::{Attempt, Order, memory::{Memory, CheckResult}};
+    /// use bramleypier::order::{Attempt, Order, memory::{CheckResult, Memory}};
     ///
     /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
     /// let attempt = Attempt { vm: "a#1".into(), seq: 1 };
@@ -206,14 +210,14 @@
         }
     }
 
-    /// Takes in an account of an attempt; returns whether it was news.
+    /// Merges a report on an attempt; returns whether it changed anything.
     ///
     /// # Example
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::order::{Attempt, AttemptState, Order, memory::{Memory, CheckResult}};
+    /// use bramleypier::order::{Attempt, AttemptState, Order, memory::{CheckResult, Memory}};
     ///
     /// let mut memory = Memory::default();
     /// let order = Order { id: "dispatch/1".into(), created_at: None, fingerprint: 1 };
@@ -258,7 +262,7 @@
         changed
     }
 
-    /// Takes in an entry that travelled here.
+    /// Merges an entry that another VM sent.
     ///
     /// # Example
     ///
@@ -283,8 +287,8 @@
         }
     }
 
-    /// Marks open attempts of lost VMs, and those that last changed before `unchanged_since`, as unknown;
-    /// returns their orders.
+    /// Marks open attempts of lost VMs, and those of orders that last changed before `unchanged_since`, as unknown;
+    /// returns the ids of these orders.
     ///
     /// # Example
     ///
@@ -336,7 +340,7 @@
         record.is_some_and(|record| record.state == AttemptState::Open)
     }
 
-    /// Forgets everything, for a VM that is no longer a member.
+    /// Removes all orders, for a VM that is no longer a member.
     ///
     /// # Example
     ///
@@ -354,10 +358,10 @@
         };
     }
 
-    /// Makes room for one more order; returns whether there is any.
+    /// Evicts orders until one more fits; returns whether it does.
     ///
-    /// What goes first is the oldest that has ended. A dated id raises the floor, so that it is
-    /// `unknown` from then on. An undated one goes only once its retention is over.
+    /// The oldest orders that have ended are evicted first. A dated id raises the floor, so that it counts as unknown
+    /// from then on. An undated one is evicted only after its retention.
     ///
     /// # Example
     ///
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -1,19 +1,19 @@
-//! The record of orders: non-idempotent requests run at most once.
+//! Makes non-idempotent requests (*orders*) run at most once.
 //!
-//! Ids of orders hash to shards. For each shard one [`view::View`] names a *home* and a *standby*.
-//! An entry VM ([`starter`]) sends `Start` to both at once, and may run the order only if, under
-//! the same view, the home says [`Reply::Admitted`] and the standby says [`Reply::Recorded`]. The
-//! home is the arbiter: it says so to one attempt at a time. The standby is the memory: whatever
-//! ran is known to both, so that the loss of either forgets nothing ([`ledger`]).
+//! The ids of orders hash to shards. For each shard a [`view::View`] names two members, a *home* and a *standby*.
+//! An entry VM ([`starter`]) sends `Start` to both at once, and may run the order only if, under the same view, the
+//! home replies [`Reply::Admitted`] and the standby replies [`Reply::Recorded`]. The home is the arbiter: it admits
+//! one attempt at a time. The standby is the second copy: both know of every order that ran, so that the loss of
+//! one VM loses no order ([`ledger`]).
 //!
-//! Views change by compare-and-swap on one record in the platform's service ([`plan`]). Only a home
-//! or standby with the whole memory names itself the next home, and it acts for the old view until
-//! the moment it learns of the new one: that moment is the cut. A member that stops in an orderly
-//! way resigns to the other, which then acts alone without a write.
+//! Views change by compare-and-swap on one record in the platform's service ([`plan`]). Only a home or standby with
+//! the complete memory proposes itself as the next home, and it acts under the old view until it learns of the new
+//! one; from that moment on it acts under the new view only. A member that shuts down resigns to the other, which
+//! then acts alone without a write.
 //!
-//! No clock and no failure detector decides safety, with one exception: once both memories are
-//! lost, which needs proof that both VMs are gone for good, the next view has a *horizon*, and ids
-//! not provably younger than it are answered `unknown`.
+//! Safety depends on no clock and no failure detector, with one exception: once both memories are lost, which
+//! requires proof that both VMs are gone for good, the next view has a *horizon*, and ids that are not provably
+//! younger than it are answered `unknown`.
 
 pub mod decision;
 pub mod entry;
@@ -42,44 +42,44 @@
 pub type OrderId = String;
 /// The index of a shard.
 pub type Shard = usize;
-/// The number of a view of one shard; it only grows.
+/// The number of a view of one shard; each new view has a higher one.
 pub type ViewNumber = u64;
 
-/// How far an id's time may be ahead of the clock of the VM that takes it.
+/// How far the time in an id may be ahead of the clock of the VM that receives it.
 pub const MAX_AHEAD: Duration = Duration::from_secs(15);
 /// How far a horizon is ahead of the clock of the VM that sets it: [`MAX_AHEAD`], and as much again for
-/// the skew between VMs.
+/// the clock skew between VMs.
 pub const HORIZON_MARGIN: Duration = Duration::from_secs(30);
 
-/// One try of one entry VM to run an order, under one view.
+/// One attempt of an entry VM to run an order, under one view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Attempt {
     /// The entry VM.
     pub vm: VmId,
-    /// The VM's count of attempts.
+    /// The sequence number of the attempt at this VM.
     pub seq: u64,
 }
 
-/// What became of an attempt.
+/// The state of an attempt, as far as a VM knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum AttemptState {
-    /// It may be running or may yet run.
+    /// It may be running, or may still start.
     Open,
     /// It has ended, and may have run.
     Unknown,
-    /// It did not run and never will: its entry VM says so.
+    /// It did not run and never will, as its entry VM reported.
     NotRun,
-    /// It ran, with this answer.
+    /// It ran and got this answer.
     Ran(Answer),
 }
 
 impl AttemptState {
-    /// Takes in another account of the same attempt; the surer one stays.
+    /// Merges another report on the same attempt and returns whether the state changed; the more certain state wins.
     ///
-    /// Only the entry VM says `NotRun` or `Ran`, and it never says both, so the order in which
-    /// accounts arrive doesn't matter.
+    /// Only the entry VM reports `NotRun` or `Ran`, and never both for one attempt, so the order in which reports
+    /// arrive doesn't matter.
     ///
     /// # Example
     ///
@@ -92,13 +92,14 @@
     /// assert_eq!(state, AttemptState::NotRun);
     /// ```
     pub fn merge(&mut self, other: Self) -> bool {
-        let surer = other.rank() > self.rank();
-        if surer {
+        let more_certain = other.rank() > self.rank();
+        if more_certain {
             *self = other;
         }
-        surer
+        more_certain
     }
 
+    /// Returns how certain the state is; a higher rank replaces a lower one.
     fn rank(&self) -> u8 {
         match self {
             Self::Open => 0,
@@ -108,20 +109,20 @@
     }
 }
 
-/// A target's answer, as far as it is kept for those who ask again.
+/// A target's answer, as kept for callers that send the order again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// The media type.
     pub media: String,
-    /// The body; nothing if it was too large to keep.
+    /// The body; `None` if it was too large to keep.
     pub body: Option<Vec<u8>>,
 }
 
 impl Answer {
-    /// Creates the record of an answer; a body above `limit` bytes is left out.
+    /// Creates the record of an answer; a body of more than `limit` bytes is left out.
     ///
     /// # Example
     ///
@@ -139,67 +140,67 @@
     }
 }
 
-/// What an order is, as far as the record needs to know.
+/// What identifies an order and the request that it stands for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
     /// Its id.
     pub id: OrderId,
-    /// The time that its id carries, since the Unix epoch.
+    /// The time that its id carries, since the Unix epoch; `None` if the id has none.
     #[serde(rename = "made")]
     pub created_at: Option<Duration>,
-    /// What it asks for.
+    /// The fingerprint of the request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
 }
 
-/// What VMs tell each other about orders.
+/// A message between VMs about orders.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// An entry VM to home and standby: may this attempt run?
+    /// An entry VM asks home and standby whether this attempt may run.
     Start {
         /// The order.
         order: Order,
         /// The attempt.
         attempt: Attempt,
-        /// The view under which it is asked.
+        /// The view under which the entry VM asks.
         view: ViewNumber,
         /// The entry VM's wall clock, since the Unix epoch.
         wall: Duration,
     },
-    /// Home or standby to the entry VM.
+    /// Home or standby replies to a start.
     Reply {
         /// The attempt.
         attempt: Attempt,
-        /// The view for which the reply holds.
+        /// The view under which the reply is valid.
         view: ViewNumber,
         /// The reply.
         reply: Reply,
     },
-    /// An entry VM to home and standby: how an attempt ended.
+    /// An entry VM reports to home and standby how an attempt ended.
     Finish {
         /// The order.
         order: Order,
         /// The attempt.
         attempt: Attempt,
-        /// How it ended.
+        /// The state in which it ended.
         #[serde(rename = "fate")]
         state: AttemptState,
     },
-    /// Home or standby to the entry VM: the end of the attempt is known here.
+    /// Home or standby acknowledges to the entry VM that it recorded the end of the attempt.
     Finished {
         /// The attempt.
         attempt: Attempt,
     },
-    /// Home or standby to the entry VM: how did this attempt end?
+    /// Home or standby asks the entry VM how this attempt ended.
     Ask {
         /// The order.
         order: Order,
         /// The attempt.
         attempt: Attempt,
     },
-    /// Home to a new standby: a part of the memory.
+    /// A home sends a part of its memory to a new standby.
     Transfer {
         /// The shard.
         shard: Shard,
@@ -207,14 +208,14 @@
         view: ViewNumber,
         /// The index of the part.
         part: u64,
-        /// Whether it is the last.
+        /// Whether it is the last part.
         last: bool,
-        /// Ids dated up to this may have been forgotten.
+        /// Orders whose ids are dated up to this may have been evicted.
         floor: Duration,
         /// The entries.
         entries: Vec<(OrderId, memory::Entry)>,
     },
-    /// A new standby to its home: the part is in memory.
+    /// A new standby acknowledges a part to its home.
     Installed {
         /// The shard.
         shard: Shard,
@@ -223,14 +224,14 @@
         /// The index of the part.
         part: u64,
     },
-    /// A member to the other: it will do nothing more under this view, whatever comes.
+    /// A member tells the other that it will admit and record nothing more under this view.
     Resign {
         /// The shard.
         shard: Shard,
         /// The view.
         view: ViewNumber,
     },
-    /// The answer to it.
+    /// The other member acknowledges the resignation.
     Resigned {
         /// The shard.
         shard: Shard,
@@ -240,7 +241,7 @@
 }
 
 impl Message {
-    /// Returns whether the message is for the [`Starter`]; all others are for the [`Ledger`].
+    /// Returns whether the message is for the [`Starter`]; if not, it is for the [`Ledger`].
     ///
     /// # Example
     ///
@@ -257,17 +258,17 @@
     }
 }
 
-/// What home or standby say to a start.
+/// The reply of a home or standby to a start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// Home: no other attempt ran, runs or will run before this one has ended.
+    /// From a home: no other attempt ran, is running or will run before this one has ended.
     #[serde(rename = "yours")]
     Admitted,
-    /// The only member that is left: the same, and no second word is needed.
+    /// From the only member left: the same, and no reply of a second member is needed.
     #[serde(rename = "alone")]
     AdmittedAlone,
-    /// Standby: the attempt is in memory.
+    /// From a standby: the attempt is recorded.
     #[serde(rename = "remembered")]
     Recorded,
     /// Another attempt may be running.
@@ -276,19 +277,19 @@
     Ran(Answer),
     /// The order may have run.
     Unknown,
-    /// The id was used for something else.
+    /// The id was used for another request.
     Mismatch,
-    /// This attempt can't run any more; another may.
+    /// This attempt can no longer run; a new one may.
     Ended,
-    /// The memory is full of orders that must not be forgotten.
+    /// The memory is full of orders that must not be evicted.
     Full,
-    /// The member can't speak for the view now.
+    /// The member can't decide under this view now.
     NotReady,
     /// There is a newer view of the shard.
     Moved(View),
 }
 
-/// What the state machines ask of the task around them.
+/// What the state machines ask their task to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message to a VM.
@@ -298,20 +299,20 @@
         /// The message.
         message: Message,
     },
-    /// Read the record from the platform's service and tell both machines.
+    /// Read the record from the platform's service and pass it to both state machines.
     Read,
     /// Write the record if its version is still `base` (0: it must not exist), then read it.
     Write {
-        /// The version that is replaced.
+        /// The version that the write replaces.
         base: crate::id::Version,
         /// The new record.
         views: Views,
     },
-    /// A change of state for the time line.
+    /// Record a change of state on the time line.
     Note(Note),
-    /// The starter's decision on an order.
+    /// Answer a caller's order with the starter's decision.
     Decide {
-        /// The order's number at this entry VM, from `Begin`.
+        /// The number of the order at this entry VM, as given with `Begin`.
         token: u64,
         /// The decision.
         decision: starter::Decision,
@@ -329,53 +330,53 @@
     pub change: Change,
 }
 
-/// What changed.
+/// The kind of a change of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Change {
-    /// This VM is the home.
+    /// This VM became the home.
     Home,
-    /// This VM is the standby.
+    /// This VM became the standby.
     Standby,
-    /// This VM is neither any longer.
+    /// This VM is no longer a member.
     Left,
-    /// The standby has the whole memory.
+    /// The standby has the complete memory.
     Installed,
-    /// Both memories were lost; older ids are unknown.
+    /// Both memories were lost; ids up to the horizon are answered `unknown`.
     Horizon,
-    /// This VM wants another view.
+    /// This VM proposed a new view.
     Proposed,
 }
 
-/// A rule left out, for tests that show that the checks notice.
+/// A safety rule to leave out, for tests which show that the checks detect that.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flaw {
     /// Every rule holds.
     #[default]
     None,
-    /// The home's word alone lets an order run.
+    /// The home's reply alone lets an order run.
     HomeOnly,
-    /// Words of different views count together.
+    /// Replies under different views count together.
     MixedViews,
-    /// A member resigns while a write of its own is in doubt.
+    /// A member resigns while the result of its own write is unknown.
     ResignDuringWrite,
-    /// A member goes on after it resigned.
+    /// A member continues to act after it resigned.
     ActAfterResigning,
-    /// A lost attempt counts as not run.
+    /// An attempt with an unknown outcome counts as not run.
     LostIsNotRun,
-    /// Fingerprints are not compared.
+    /// Fingerprints of requests are not compared.
     IgnoreFingerprints,
-    /// A standby counts as installed at once.
+    /// A standby counts as complete before it has the memory.
     NoTransfer,
-    /// A member that is only suspected counts as gone.
+    /// A member that is only suspected to have failed counts as gone for good.
     SuspectIsGone,
-    /// Views after the loss of both have no horizon.
+    /// The view after the loss of both memories has no horizon.
     NoHorizon,
-    /// Forgetting leaves no floor.
+    /// Ids up to the floor are not treated as possibly evicted.
     NoFloor,
 }
 
-/// Returns the shard of an order.
+/// Returns the shard of an order, given the number of shards.
 ///
 /// # Example
 ///
--- a/src/order/pending.rs
+++ b/src/order/pending.rs
@@ -1,4 +1,4 @@
-//! One attempt of an entry VM, on its way.
+//! One attempt of an entry VM, from the start message to the acknowledged report of its end.
 
 use std::time::Duration;
 
@@ -10,21 +10,23 @@
 };
 use crate::id::VmId;
 
-/// How long after its caller's time a running order counts as forgotten, and may have run.
+/// How long after its caller's deadline a running order counts as abandoned, with an unknown outcome.
 const ABANDONED_AFTER: Duration = Duration::from_secs(30);
-/// How long until a message is sent again.
+/// How long until an unanswered message is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A caller's order, as it began.
+/// A caller's order, as received.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     pub(super) token: u64,
     pub(super) order: Order,
     pub(super) deadline: Duration,
-    /// How far back undated ids are remembered counts from here, however long the answer takes.
+    /// The wall clock when the order was received. The retention of undated ids counts from here, however long
+    /// the replies take.
     pub(super) wall: Duration,
 }
 
+/// An attempt, until its end is acknowledged by the members.
 #[derive(Debug)]
 pub(super) struct Pending {
     pub(super) request: Request,
@@ -33,13 +35,14 @@
     pub(super) sent_at: Duration,
 }
 
+/// The phase of an attempt.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// The members are asked.
+    /// The members are asked whether the attempt may run.
     Asking(MemberReplies),
-    /// The entry VM may run it.
+    /// The attempt may run at the entry VM.
     Running,
-    /// The members are told how it ended.
+    /// The members are sent the state in which it ended, until all have acknowledged it.
     Reporting {
         state: AttemptState,
         acknowledged: IndexSet<VmId>,
@@ -47,7 +50,7 @@
     },
 }
 
-/// What the members said, with the views for which they said it.
+/// The replies of the members, with the views under which they are valid.
 #[derive(Debug, Default)]
 pub(super) struct MemberReplies {
     pub(super) home: Option<ViewNumber>,
@@ -57,14 +60,17 @@
 }
 
 impl MemberReplies {
+    /// Returns whether the replies allow the attempt to run.
     pub(super) fn may_run(&self, flaw: Flaw) -> bool {
         let same = self.home == self.standby || flaw == Flaw::MixedViews;
         let both = self.home.is_some() && self.standby.is_some() && same;
         self.sole_member || both || (self.home.is_some() && flaw == Flaw::HomeOnly)
     }
 
-    /// Returns what is said to a caller whose time ended. Without the words of both members even
-    /// an order that was never sent may have run before.
+    /// Returns the decision at the caller's deadline.
+    ///
+    /// It is always unknown: without the replies of both members, even an order that this VM never sent may have run
+    /// before.
     pub(super) fn timeout_decision(&self) -> Decision {
         Decision::Unknown(if self.running {
             UnknownReason::Running
@@ -75,6 +81,7 @@
 }
 
 impl Pending {
+    /// Returns whether something has to be sent again or given up.
     pub(super) fn is_due(&self, now: Duration) -> bool {
         match self.phase {
             Phase::Asking(_) => {
@@ -85,6 +92,7 @@
         }
     }
 
+    /// Returns the start messages to both members, or a read of the views if none are known.
     pub(super) fn start_messages(&self, vm: &str, seq: u64) -> Vec<Effect> {
         let Some(view) = &self.view else {
             return vec![Effect::Read];
@@ -102,7 +110,7 @@
         view.members().map(send).collect()
     }
 
-    /// Tells those members of the newest view that don't know yet.
+    /// Returns the reports to members of the newest view that have not acknowledged the end yet.
     pub(super) fn finish_messages(&self, vm: &str, seq: u64, views: &Views) -> Vec<Effect> {
         let Phase::Reporting {
             state,
--- a/src/order/plan.rs
+++ b/src/order/plan.rs
@@ -1,8 +1,8 @@
-//! When a shard gets another view, and which.
+//! Decides when a shard gets a new view, and which one.
 //!
-//! A pure function of what one VM knows. Whatever it proposes is safe, for compare-and-swap and the
-//! rules of [`super`] decide; what it decides well or badly is only how soon a shard has two
-//! members again, and how often it moves.
+//! The proposals are a pure function of what one VM knows. Any proposal is safe, because compare-and-swap and the
+//! rules of [`super`] ensure that; its quality affects only how soon a shard has two members again, and how often
+//! it moves.
 
 use std::time::Duration;
 
@@ -14,43 +14,43 @@
 };
 use crate::id::{DomainId, VmId};
 
-/// A VM, as the membership sees it.
+/// A VM's state in the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its failure domain.
     pub domain: DomainId,
-    /// Whether it answers.
+    /// Whether it is reachable.
     pub up: bool,
-    /// Whether it is stopping.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// What one VM knows of the others.
+/// The membership, as one VM knows it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Peers {
     /// The VMs, this one included.
     pub vms: IndexMap<VmId, Peer>,
-    /// VMs that are proved to be gone for good.
+    /// VMs that are proven to be gone for good.
     pub gone: IndexSet<VmId>,
 }
 
-/// What one VM is for one shard.
+/// One VM's position in one shard, from which it proposes views.
 #[derive(Clone, Copy, Debug)]
 pub struct Member<'a> {
     /// The VM.
     pub vm: &'a str,
     /// The shard.
     pub shard: Shard,
-    /// Its newest view.
+    /// The newest view of the shard.
     pub view: &'a View,
-    /// Whether the VM has the whole memory of the shard.
+    /// Whether the VM has the complete memory of the shard.
     pub complete: bool,
-    /// A rule that tests leave out.
+    /// The safety rule that a test leaves out.
     pub flaw: Flaw,
 }
 
 impl Peers {
-    /// Returns the VMs that can take duties, with their failure domains.
+    /// Returns the VMs that can become home or standby, with their failure domains.
     ///
     /// # Example
     ///
@@ -82,7 +82,7 @@
 }
 
 impl Member<'_> {
-    /// Returns the view that has to follow, if any: a member is lost or leaves.
+    /// Returns the view that must follow because a member is lost or shuts down, if any.
     ///
     /// # Example
     ///
@@ -99,16 +99,16 @@
     ///     horizon: None,
     /// };
     /// let member = Member { vm: "a#1", shard: 0, view: &view, complete: true, flaw: Flaw::None };
-    /// assert_eq!(member.required(&Peers::default(), Duration::ZERO), None);
+    /// assert_eq!(member.required_view(&Peers::default(), Duration::ZERO), None);
     /// ```
-    pub fn required(&self, peers: &Peers, wall: Duration) -> Option<View> {
+    pub fn required_view(&self, peers: &Peers, wall: Duration) -> Option<View> {
         if self.complete && self.view.has_member(self.vm) {
             return self.replace_other(peers);
         }
         self.start_empty(peers, wall)
     }
 
-    /// Returns the view that would spread the shards better, if any.
+    /// Returns a view that would distribute the shards better, if any.
     ///
     /// # Example
     ///
@@ -123,9 +123,9 @@
     ///     horizon: None,
     /// };
     /// let member = Member { vm: "a#1", shard: 0, view: &view, complete: true, flaw: Flaw::None };
-    /// assert_eq!(member.improved(&Peers::default()), None);
+    /// assert_eq!(member.improved_view(&Peers::default()), None);
     /// ```
-    pub fn improved(&self, peers: &Peers) -> Option<View> {
+    pub fn improved_view(&self, peers: &Peers) -> Option<View> {
         if !self.complete || !peers.is_usable(self.vm) {
             return None;
         }
@@ -140,7 +140,8 @@
             .then(|| self.view.next(self.vm, Some(self.view.home.clone())))
     }
 
-    /// Replaces the other member, if it is lost or leaves.
+    /// Returns a view with this VM as home and another standby, if the other member is lost or shuts down, or if there
+    /// is none yet.
     fn replace_other(&self, peers: &Peers) -> Option<View> {
         let other = self.view.members().find(|vm| *vm != self.vm);
         if other.is_some_and(|vm| peers.is_usable(vm)) {
@@ -152,7 +153,9 @@
         (next.is_some() || departed).then(|| self.view.next(self.vm, next))
     }
 
-    /// Founds a new memory, if every VM that had the old one is gone for good.
+    /// Returns a view with an empty memory and a horizon, if every VM that had the complete memory is gone for good.
+    ///
+    /// A standby without the complete memory proposes itself; otherwise the VM with the highest weight does.
     fn start_empty(&self, peers: &Peers, wall: Duration) -> Option<View> {
         let mine = self.view.standby.as_deref() == Some(self.vm);
         let gone = |vm: &VmId| peers.is_gone(vm, self.flaw) || (mine && vm == self.vm);
--- a/src/order/replica.rs
+++ b/src/order/replica.rs
@@ -1,4 +1,7 @@
-//! One VM's part in one shard.
+//! One VM's state as a member of one shard: its view, its memory and its role.
+//!
+//! It decides which replies the VM may give under the view, transfers the memory to a new standby in parts, and
+//! handles resignations.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,11 +14,11 @@
 };
 use crate::id::VmId;
 
-/// How many entries one part of a transfer carries.
+/// The number of entries in one part of a transfer.
 const ENTRIES_PER_PART: usize = 256;
-/// How many attempts wait for others in one shard; more have to ask again by themselves.
+/// The highest number of attempts per shard that wait for others to end; further ones must ask again.
 const MAX_WAITERS: usize = 1_024;
-/// How long until a message is sent again.
+/// How long until an unanswered message is sent again.
 const RESEND_INTERVAL: Duration = Duration::from_millis(200);
 
 /// One VM's view and memory of one shard.
@@ -23,9 +26,9 @@
 pub(super) struct Replica {
     pub(super) view: View,
     pub(super) memory: Memory,
-    /// Whether the memory is whole for this view.
+    /// Whether the memory is complete under this view.
     pub(super) complete: bool,
-    /// The next part of the transfer that this standby takes.
+    /// The index of the next part of the transfer that this standby expects.
     part: u64,
     outgoing: Option<OutgoingTransfer>,
     waiters: IndexMap<Attempt, Waiter>,
@@ -35,18 +38,18 @@
 /// Whether a member has resigned from the view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Resignation {
-    /// Neither has.
+    /// Neither member has.
     #[default]
     None,
-    /// This VM has, and last said so at that reading.
+    /// This VM has, and last sent its resignation at that time.
     Sent(Duration),
-    /// This VM has, and the other knows.
+    /// This VM has, and the other member acknowledged it.
     Acknowledged,
-    /// The other has: this VM acts alone.
+    /// The other member has: this VM acts alone.
     Received,
 }
 
-/// A transfer to a new standby, part by part.
+/// A transfer of the memory to a new standby, in parts.
 #[derive(Debug)]
 struct OutgoingTransfer {
     ids: VecDeque<OrderId>,
@@ -54,13 +57,14 @@
     sent_at: Duration,
 }
 
+/// An attempt that waits until another attempt at its order ends.
 #[derive(Debug)]
 struct Waiter {
     order: Order,
     wall: Duration,
 }
 
-/// What a member may say under its view.
+/// The role in which a member replies under its view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     Home,
@@ -94,10 +98,10 @@
         (replica, notes)
     }
 
-    /// Goes on to a newer view.
+    /// Changes to a newer view.
     pub(super) fn change(&mut self, vm: &str, shard: Shard, next: View, flaw: Flaw) -> Vec<Effect> {
         let was_member = self.view.has_member(vm);
-        // Only a member with the whole memory proposes itself as the next home.
+        // Only a member with the complete memory proposes itself as the next home.
         let kept = self.complete && next.number == self.view.number + 1;
         let home = next.home == vm;
         self.complete = home && (kept || next.complete_since == next.number);
@@ -128,12 +132,12 @@
         notes
     }
 
-    /// Returns whether the standby still lacks a part of the memory.
+    /// Returns whether the transfer to the standby is unfinished.
     pub(super) fn is_transferring(&self) -> bool {
         self.outgoing.is_some()
     }
 
-    /// Returns what this VM may say now.
+    /// Returns the role in which this VM may reply now; `None` if it may not decide.
     pub(super) fn role(&self, vm: &str, flaw: Flaw) -> Option<Role> {
         let resigned = matches!(
             self.resignation,
@@ -154,7 +158,7 @@
         }
     }
 
-    /// Returns whether the order may have been started and lost with both memories.
+    /// Returns whether the order may have been started before both memories were lost.
     pub(super) fn may_be_lost(&self, order: &Order, wall: Duration, retention: Duration) -> bool {
         let Some(horizon) = self.view.horizon else {
             return false;
@@ -165,6 +169,7 @@
         }
     }
 
+    /// Records an attempt as standby.
     pub(super) fn record_attempt(
         &mut self,
         now: Duration,
@@ -182,6 +187,7 @@
         Reply::Recorded
     }
 
+    /// Decides as home or sole member whether an attempt may run, and records it if so.
     pub(super) fn arbitrate(
         &mut self,
         now: Duration,
@@ -215,18 +221,24 @@
         }
     }
 
-    /// Returns what the memory says; `free` if it has nothing against the attempt.
-    pub(super) fn check(&self, order: &Order, attempt: &Attempt, role: Role, free: Reply) -> Reply {
+    /// Returns the reply that follows from the memory; `allowed` if nothing in it prevents the attempt.
+    pub(super) fn check(
+        &self,
+        order: &Order,
+        attempt: &Attempt,
+        role: Role,
+        allowed: Reply,
+    ) -> Reply {
         let took_over = role == Role::Sole && self.view.standby.is_some();
         match self.memory.check(order, attempt) {
-            // What it remembered as a standby was perhaps never admitted: others may be waiting
-            // in the same way, and would wait for each other.
+            // The attempt was recorded by this VM as standby, and the home may never have admitted it. Other
+            // attempts at the order may be in the same state, and would wait for each other.
             CheckResult::AlreadyOpen | CheckResult::Running
                 if took_over && self.memory.is_open(&order.id, attempt) =>
             {
                 Reply::Ended
             }
-            CheckResult::Allowed | CheckResult::AlreadyOpen => free,
+            CheckResult::Allowed | CheckResult::AlreadyOpen => allowed,
             CheckResult::Running => Reply::Running,
             CheckResult::Ran(answer) => Reply::Ran(answer),
             CheckResult::Unknown => Reply::Unknown,
@@ -235,8 +247,8 @@
         }
     }
 
-    /// Answers the attempts that wait for an order, now that something changed.
-    pub(super) fn retry_waiters(&mut self, now: Duration, vm: &str, id: &OrderId) -> Vec<Effect> {
+    /// Replies to the attempts that wait for an order, after one of its attempts changed.
+    pub(super) fn answer_waiters(&mut self, now: Duration, vm: &str, id: &OrderId) -> Vec<Effect> {
         let Some(role) = self.role(vm, Flaw::None).filter(|it| *it != Role::Standby) else {
             return Vec::new();
         };
@@ -252,7 +264,7 @@
         effects
     }
 
-    /// Passes news on to a standby whose transfer may have gone past the entry already.
+    /// Forwards an attempt's end to a standby whose transfer may have sent the entry already.
     pub(super) fn forward(
         &self,
         order: &Order,
@@ -270,7 +282,7 @@
         })
     }
 
-    /// Sends the part of the transfer that is due.
+    /// Sends the current part of the transfer, if it is due.
     pub(super) fn send_part(&mut self, now: Duration, shard: Shard) -> Option<Effect> {
         let outgoing = self.outgoing.as_mut()?;
         if !outgoing.sent_at.is_zero() && now < outgoing.sent_at + RESEND_INTERVAL {
@@ -292,7 +304,7 @@
         })
     }
 
-    /// Takes the standby's word for a part, and sends the next.
+    /// Handles the standby's acknowledgement of a part, and sends the next one.
     pub(super) fn on_installed(&mut self, now: Duration, shard: Shard, part: u64) -> Vec<Effect> {
         let Some(outgoing) = self.outgoing.as_mut().filter(|it| it.part == part) else {
             return Vec::new();
@@ -307,6 +319,7 @@
         self.send_part(now, shard).into_iter().collect()
     }
 
+    /// Merges a part of the transfer and acknowledges it; parts that come too early or from another VM are ignored.
     pub(super) fn install_part(
         &mut self,
         now: Duration,
@@ -333,7 +346,7 @@
         }]
     }
 
-    /// Resigns to the other member, if that one can go on.
+    /// Resigns to the other member, if that one can continue alone.
     pub(super) fn resign(&mut self, now: Duration, vm: &str, shard: Shard) -> Option<Effect> {
         let due = match self.resignation {
             Resignation::None => self.outgoing.is_none() && self.view.standby.is_some(),
@@ -354,7 +367,7 @@
         })
     }
 
-    /// Takes the other's resignation. Should both resign at once, the standby goes on.
+    /// Handles the other member's resignation. If both resign at once, the standby continues.
     pub(super) fn on_resign(&mut self, vm: &str, from: VmId, shard: Shard) -> Vec<Effect> {
         let resigned = matches!(
             self.resignation,
--- a/src/order/starter.rs
+++ b/src/order/starter.rs
@@ -1,4 +1,7 @@
-//! The entry VM's side of an order: may it run, and what is its caller told?
+//! The state machine of an entry VM for the orders of its callers.
+//!
+//! It asks home and standby whether an order may run, decides what its caller is answered, and reports to the members
+//! how the attempt ended, until they have acknowledged it.
 
 use std::time::Duration;
 
@@ -15,43 +18,43 @@
     request::Proof,
 };
 
-/// How long the end of an attempt is reported to members that don't answer.
+/// How long the end of an attempt is sent again to members that don't acknowledge it.
 const REPORT_DURATION: Duration = Duration::from_mins(1);
 
-/// What happens to a [`Starter`].
+/// An input of a [`Starter`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The record was read, or heard of.
+    /// The record of views was read, or received from another VM.
     Views {
         /// Its version.
         version: Version,
         /// The record.
         views: Views,
     },
-    /// A caller's order came in.
+    /// A caller's order was received.
     Begin {
-        /// The entry VM's own number for it; never used twice.
+        /// The entry VM's number for the order; never used twice.
         token: u64,
         /// The order.
         order: Order,
-        /// The reading at which its caller gives up.
+        /// The time of the monotonic clock at which its caller gives up.
         deadline: Duration,
         /// The wall clock, since the Unix epoch.
         wall: Duration,
     },
-    /// An order that was to run has ended.
+    /// An order that was allowed to run has ended.
     Ended {
         /// Its number.
         token: u64,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// The caller went away before it heard the decision, so nothing was sent.
+    /// The caller disconnected before it received the decision, so nothing was sent to a target.
     Cancelled {
         /// Its number.
         token: u64,
     },
-    /// A message came in.
+    /// A message was received.
     Message {
         /// The VM that sent it.
         from: VmId,
@@ -62,18 +65,18 @@
     Tick,
 }
 
-/// How an order that was to run has ended.
+/// How an order that was allowed to run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum End {
     /// It ran.
     Ran(Answer),
     /// It may have run.
     Unknown,
-    /// It is proved that it did not run, and it won't.
+    /// It is proven that it did not run and will not.
     NotRun(Proof),
 }
 
-/// The state of an entry VM's orders.
+/// The state of an entry VM's orders, as a state machine without I/O.
 #[derive(Debug)]
 pub struct Starter {
     vm: VmId,
@@ -85,7 +88,7 @@
 }
 
 impl Starter {
-    /// Creates a starter that knows nothing yet.
+    /// Creates a starter without views.
     ///
     /// # Example
     ///
@@ -105,7 +108,7 @@
         }
     }
 
-    /// Leaves out a rule, for tests.
+    /// Leaves out a safety rule, for tests.
     #[doc(hidden)]
     #[must_use]
     pub fn with_flaw(mut self, flaw: Flaw) -> Self {
@@ -113,7 +116,7 @@
         self
     }
 
-    /// Returns whether no order is under way and the end of each is known to its members.
+    /// Returns whether no order is in progress and no end of an attempt is still being reported.
     ///
     /// # Example
     ///
@@ -126,7 +129,7 @@
         self.pending.is_empty()
     }
 
-    /// Takes an event.
+    /// Handles an event and returns the effects to carry out.
     ///
     /// # Example
     ///
@@ -143,7 +146,7 @@
     ///     deadline: Duration::from_secs(1),
     ///     wall: Duration::ZERO,
     /// });
-    /// assert_eq!(effects, [Effect::Read]); // nothing is known of the views yet
+    /// assert_eq!(effects, [Effect::Read]); // no views are known yet
     /// ```
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
         match event {
@@ -176,7 +179,7 @@
         self.restart_stale(now)
     }
 
-    /// Starts anew what is asked under views that have passed.
+    /// Restarts the attempts that were asked for under older views.
     fn restart_stale(&mut self, now: Duration) -> Vec<Effect> {
         let asking = |it: &Pending| matches!(it.phase, Phase::Asking(_));
         let stale = self.pending.iter().filter(|(_, it)| {
@@ -216,7 +219,7 @@
         self.start_attempt(now, request)
     }
 
-    /// Begins an attempt: a new one for each view.
+    /// Starts an attempt under the newest view; each view needs a new attempt.
     fn start_attempt(&mut self, now: Duration, request: Request) -> Vec<Effect> {
         self.seq += 1;
         let view = self.views.view_of(&request.order.id);
@@ -231,7 +234,7 @@
         effects
     }
 
-    /// Gives an attempt up and begins another.
+    /// Ends an attempt as not run and starts a new one for the same order.
     fn restart(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
         let Some(pending) = self.pending.get(&seq) else {
             return Vec::new();
@@ -248,7 +251,7 @@
         effects
     }
 
-    /// Ends what was not decided when its caller's time ended.
+    /// Ends an attempt that is still undecided at its caller's deadline.
     fn time_out(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
         let pending = self.pending.get(&seq);
         let undecided = pending.and_then(|it| match &it.phase {
@@ -263,7 +266,7 @@
         effects
     }
 
-    /// Goes on with the same attempt under another view, which is wrong.
+    /// Continues the same attempt under another view, which is unsafe; for [`Flaw::MixedViews`] only.
     fn switch_view(&mut self, seq: u64) -> Vec<Effect> {
         if let Some(pending) = self.pending.get_mut(&seq) {
             pending.view = self
@@ -296,6 +299,7 @@
         seq.map_or_else(Vec::new, |seq| self.close(now, seq, AttemptState::NotRun))
     }
 
+    /// Returns the sequence number of the first pending attempt that matches.
     fn find<P>(&self, predicate: P) -> Option<u64>
     where
         P: Fn(&Pending) -> bool,
@@ -304,7 +308,7 @@
         found.next().map(|(seq, _)| *seq)
     }
 
-    /// Ends an attempt and tells the members.
+    /// Ends an attempt and reports its state to the members.
     fn close(&mut self, now: Duration, seq: u64, state: AttemptState) -> Vec<Effect> {
         let Some(pending) = self.pending.get_mut(&seq) else {
             return Vec::new();
@@ -385,8 +389,8 @@
         if !replies.may_run(flaw) {
             return Vec::new();
         }
-        // A VM that was frozen may get both words long after its caller's time ended; by then what
-        // the members knew of the id may have been forgotten.
+        // A VM that was suspended may read both replies long after its caller's deadline. By then the members may
+        // have evicted the id, so that the order could run twice.
         if pending.request.deadline <= now {
             return self.time_out(now, seq);
         }
@@ -394,7 +398,7 @@
         vec![decide(token, Decision::Run)]
     }
 
-    /// Takes a newer view that a member told.
+    /// Adopts a newer view that a member sent.
     fn on_moved(&mut self, now: Duration, seq: u64, newer: View) -> Vec<Effect> {
         let Some(pending) = self.pending.get(&seq) else {
             return Vec::new();
@@ -426,8 +430,7 @@
         }
     }
 
-    /// Says how an attempt ended, or that it is forgotten here. While it is open there is nothing
-    /// to say.
+    /// Reports how an attempt ended, or that its outcome is no longer known here; an open attempt gets no reply.
     fn on_query(&self, from: VmId, order: Order, attempt: Attempt) -> Vec<Effect> {
         let state = match self.pending.get(&attempt.seq).map(|it| &it.phase) {
             Some(Phase::Asking(_) | Phase::Running) => return Vec::new(),
@@ -454,7 +457,7 @@
         effects
     }
 
-    /// Sends again what got no answer, or gives up.
+    /// Sends unanswered messages again, or ends the attempt.
     fn resend(&mut self, now: Duration, seq: u64) -> Vec<Effect> {
         let Some(pending) = self.pending.get_mut(&seq) else {
             return Vec::new();
--- a/src/order/stored.rs
+++ b/src/order/stored.rs
@@ -1,4 +1,4 @@
-//! One order in memory, with its attempts.
+//! One order in memory, and the rules that check a new attempt against the earlier ones.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 };
 use crate::request::Fingerprint;
 
-/// How many attempts of one order are kept; those that did not run go first.
+/// How many attempts of one order are kept; only attempts that did not run are removed.
 const MAX_ATTEMPTS: usize = 16;
 
-/// One order in memory.
+/// One order in memory, with what its eviction depends on.
 #[derive(Clone, Debug)]
 pub(super) struct StoredOrder {
     pub(super) entry: Entry,
@@ -39,7 +39,9 @@
         }
     }
 
-    /// Returns what the attempts say; nothing if none of them ran or may run.
+    /// Checks an attempt against the kept ones; `None` if nothing kept prevents it from running.
+    ///
+    /// `AlreadyOpen` is returned where this attempt itself is the only open one.
     pub(super) fn check(
         &self,
         order: &Order,
@@ -90,11 +92,14 @@
         attempts.any(|record| record.state == AttemptState::Open)
     }
 
+    /// Returns whether the order may be evicted: no attempt is open, and its id is dated, so that the floor covers
+    /// it, or its retention is over.
     pub(super) fn is_evictable(&self, now: Duration, retention: Duration) -> bool {
         let dated = self.entry.created_at.is_some();
         !self.is_open() && (dated || self.changed_at + retention <= now)
     }
 
+    /// Removes the oldest attempts that did not run while there are too many.
     pub(super) fn trim_attempts(&mut self) {
         let attempts = &mut self.entry.attempts;
         while attempts.len() > MAX_ATTEMPTS {
--- a/src/order/view.rs
+++ b/src/order/view.rs
@@ -1,4 +1,4 @@
-//! Views: who is home and standby of each shard.
+//! Views: which VMs are home and standby of each shard, and the choice of those VMs by rendezvous hashing.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     key,
 };
 
-/// How many shards a new record has; the number never changes afterwards.
+/// The number of shards of a new record; it is fixed afterwards.
 pub const SHARDS: usize = 64;
 
 /// Home and standby of one shard.
@@ -20,19 +20,19 @@
 pub struct View {
     /// The view's number.
     pub number: ViewNumber,
-    /// The arbiter.
+    /// The VM that admits attempts.
     pub home: VmId,
-    /// The second memory; nothing while there is no other VM.
+    /// The VM with the second copy of the memory; `None` while there is no other VM.
     pub standby: Option<VmId>,
-    /// The view since which nothing was lost: the first, or the last after a loss of both.
+    /// The view since which no memory was lost: the first view, or the one after the last loss of both memories.
     #[serde(rename = "founded")]
     pub complete_since: ViewNumber,
-    /// Ids not provably younger than this were perhaps lost, since the Unix epoch.
+    /// Orders whose ids are not provably younger than this may have been lost; since the Unix epoch.
     pub horizon: Option<Duration>,
 }
 
 impl View {
-    /// Returns whether the VM is home or standby.
+    /// Returns whether the VM is the home or the standby.
     ///
     /// # Example
     ///
@@ -52,7 +52,7 @@
         self.home == vm || self.standby.as_deref() == Some(vm)
     }
 
-    /// Returns home and standby.
+    /// Returns the home and the standby, if there is one.
     ///
     /// # Example
     ///
@@ -71,7 +71,7 @@
         std::iter::once(&self.home).chain(&self.standby)
     }
 
-    /// Returns the view that follows, with another home and standby and the same memory.
+    /// Returns the next view, with the given home and standby and the same memory.
     ///
     /// # Example
     ///
@@ -108,7 +108,7 @@
 }
 
 impl Views {
-    /// Creates the first record.
+    /// Creates the initial record.
     ///
     /// # Example
     ///
@@ -152,7 +152,7 @@
     }
 }
 
-/// Returns the VM that is best as home of a shard: the highest by rendezvous hash.
+/// Returns the preferred home of a shard: the VM with the highest rendezvous weight.
 ///
 /// # Example
 ///
@@ -168,7 +168,8 @@
     Some(best.clone())
 }
 
-/// Returns the VM that is best as standby: in another failure domain than the home if there is one.
+/// Returns the preferred standby of a shard: the VM with the highest rendezvous weight, in another failure domain
+/// than the home if possible.
 ///
 /// # Example
 ///
@@ -190,7 +191,7 @@
     Some(best.0.clone())
 }
 
-/// Returns the weight of a VM as home of a shard.
+/// Returns the rendezvous weight of a VM for a shard.
 ///
 /// # Example
 ///
--- a/src/range.rs
+++ b/src/range.rs
@@ -4,7 +4,7 @@
 
 use crate::key::Point;
 
-/// A part of the hash space, both bounds inclusive.
+/// A range of the hash space; both bounds are inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Range {
@@ -21,7 +21,7 @@
         end: Point::MAX,
     };
 
-    /// Returns whether the point lies in this range.
+    /// Returns whether the range contains the point.
     ///
     /// # Example
     ///
@@ -34,7 +34,7 @@
         self.start <= point && point <= self.end
     }
 
-    /// Returns whether the two ranges share a point.
+    /// Returns whether the two ranges have a point in common.
     ///
     /// # Example
     ///
@@ -49,7 +49,7 @@
         self.start <= other.end && other.start <= self.end
     }
 
-    /// Returns how many points the range holds, as a share of the hash space from 0 to 1.
+    /// Returns the size of the range as a fraction of the hash space, from 0 to 1.
     ///
     /// # Example
     ///
@@ -60,7 +60,7 @@
     /// ```
     #[allow(
         clippy::cast_precision_loss,
-        reason = "a share needs no more than 53 bits"
+        reason = "53 bits are precise enough for a fraction of the hash space"
     )]
     pub fn share(&self) -> f64 {
         ((self.end - self.start) as f64 + 1.0) / (Point::MAX as f64 + 1.0)
@@ -68,7 +68,7 @@
 
     /// Splits the range into `count` parts of nearly equal size, in order.
     ///
-    /// A count of zero, or more parts than points, gives as many parts as there can be.
+    /// A count of zero gives one part; a count above the number of points gives one part per point.
     ///
     /// # Example
     ///
