--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,4 @@
-//! Orders in single fault cases, step by step.
+//! The order state machines in single fault cases, step by step.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     Attempt { vm: vm.into(), seq }
 }
 
-/// Returns a home whose standby is installed.
+/// Returns a home whose view has a standby.
 fn home(limits: Limits, horizon: Option<Duration>) -> Ledger {
     let mut home = Ledger::new(HOME, limits);
     let first = View {
@@ -53,7 +53,7 @@
     home
 }
 
-fn say(ledger: &mut Ledger, from: &str, message: Message) -> Vec<Effect> {
+fn deliver(ledger: &mut Ledger, from: &str, message: Message) -> Vec<Effect> {
     let from = from.into();
     ledger.on(now(1), ledger::Event::Message { from, message })
 }
@@ -65,7 +65,7 @@
         view,
         wall: WALL,
     };
-    let effects = say(ledger, &attempt.vm, message);
+    let effects = deliver(ledger, &attempt.vm, message);
     let reply = effects.into_iter().find_map(|effect| match effect {
         Effect::Send {
             message: Message::Reply { reply, .. },
@@ -73,7 +73,7 @@
         } => Some(reply),
         _ => None,
     });
-    reply.expect("every start is answered")
+    reply.expect("every start gets a reply")
 }
 
 fn finish(
@@ -87,7 +87,7 @@
         attempt: attempt.clone(),
         state,
     };
-    say(ledger, &attempt.vm, message)
+    deliver(ledger, &attempt.vm, message)
 }
 
 fn ran() -> AttemptState {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_resend_hears_what_became_of_the_first() {
+fn a_resent_order_gets_the_state_of_the_first_attempt() {
     let AttemptState::Ran(answer) = ran() else {
         unreachable!()
     };
@@ -122,11 +122,11 @@
 }
 
 #[test]
-fn late_and_doubled_messages_change_nothing() {
+fn late_and_duplicate_messages_change_nothing() {
     let mut home = home(Limits::default(), None);
     let (one, two) = (attempt("a#1", 1), attempt("a#1", 2));
     let order = order("s/1", 1);
-    // The end of the first attempt overtakes its start.
+    // The end of the first attempt arrives before its start.
     finish(&mut home, &order, &one, AttemptState::NotRun);
     assert_eq!(start(&mut home, &order, &two, 1), Reply::Admitted);
     assert_eq!(start(&mut home, &order, &one, 1), Reply::Ended);
@@ -141,13 +141,13 @@
 }
 
 #[test]
-fn those_who_wait_are_told_at_once() {
+fn a_waiting_attempt_gets_a_reply_when_the_other_ends() {
     let mut home = home(Limits::default(), None);
     let (order, one, two) = (order("s/1", 1), attempt("a#1", 1), attempt("b#1", 1));
     start(&mut home, &order, &one, 1);
     assert_eq!(start(&mut home, &order, &two, 1), Reply::Running);
     let effects = finish(&mut home, &order, &one, AttemptState::NotRun);
-    let told = Effect::Send {
+    let expected_reply = Effect::Send {
         to: "b#1".into(),
         message: Message::Reply {
             attempt: two,
@@ -155,11 +155,11 @@
             reply: Reply::Admitted,
         },
     };
-    assert!(effects.contains(&told), "{effects:?}");
+    assert!(effects.contains(&expected_reply), "{effects:?}");
 }
 
 #[test]
-fn a_standby_says_nothing_before_it_has_the_memory() {
+fn a_standby_records_nothing_before_its_memory_is_complete() {
     let mut standby = Ledger::new(STANDBY, Limits::default());
     let views = Views {
         shards: vec![view(1, HOME, STANDBY)],
@@ -175,18 +175,18 @@
         floor: Duration::ZERO,
         entries: Vec::new(),
     };
-    say(&mut standby, HOME, part(2, 0, true)); // of another view
-    say(&mut standby, "x#1", part(1, 0, true)); // not from the home
-    say(&mut standby, HOME, part(1, 1, true)); // before the first
-    say(&mut standby, HOME, part(1, 0, false));
+    deliver(&mut standby, HOME, part(2, 0, true)); // of another view
+    deliver(&mut standby, "x#1", part(1, 0, true)); // not from the home
+    deliver(&mut standby, HOME, part(1, 1, true)); // before the first part
+    deliver(&mut standby, HOME, part(1, 0, false));
     assert_eq!(start(&mut standby, &order, &one, 1), Reply::NotReady);
-    say(&mut standby, HOME, part(1, 0, false)); // doubled
-    say(&mut standby, HOME, part(1, 1, true));
+    deliver(&mut standby, HOME, part(1, 0, false)); // duplicate
+    deliver(&mut standby, HOME, part(1, 1, true));
     assert_eq!(start(&mut standby, &order, &one, 1), Reply::Recorded);
 }
 
 #[test]
-fn an_old_view_is_corrected_and_a_newer_one_is_read() {
+fn a_start_under_another_view_is_not_admitted() {
     let mut home = home(Limits::default(), None);
     let views = Views {
         shards: vec![view(2, HOME, "other#1")],
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn after_a_loss_of_both_only_younger_ids_run() {
+fn after_the_loss_of_both_memories_only_younger_ids_run() {
     let horizon = Some(WALL);
     let hour = Duration::from_hours(1);
     let cases = [
@@ -220,17 +220,17 @@
             view: 1,
             wall,
         };
-        let effects = say(&mut home, "a#1", message);
-        let told = effects.iter().any(|effect| {
+        let effects = deliver(&mut home, "a#1", message);
+        let replied = effects.iter().any(|effect| {
             matches!(effect, Effect::Send { message: Message::Reply { reply, .. }, .. }
                 if *reply == expected)
         });
-        assert!(told, "{created_at:?} {wall:?}: {effects:?}");
+        assert!(replied, "{created_at:?} {wall:?}: {effects:?}");
     }
 }
 
 #[test]
-fn what_is_forgotten_is_never_run_again() {
+fn an_evicted_order_never_runs_again() {
     let limits = Limits {
         bytes: 6_000,
         ..Limits::default()
@@ -255,21 +255,21 @@
             "{n}: {found:?}"
         );
     }
-    // Undated ids are not forgotten in time, so there is no room for more.
+    // Undated ids are not evicted before their retention ends, so the memory fills up.
     let undated = |n: u64| Order {
         created_at: None,
         ..order(&format!("s/u{n}"), 1)
     };
-    let mut told = Vec::new();
+    let mut replies = Vec::new();
     for n in 0..20 {
-        told.push(start(&mut home, &undated(n), &attempt("a#1", 100 + n), 1));
+        replies.push(start(&mut home, &undated(n), &attempt("a#1", 100 + n), 1));
         finish(&mut home, &undated(n), &attempt("a#1", 100 + n), ran());
     }
-    assert!(told.contains(&Reply::Full) && told.contains(&Reply::Admitted));
+    assert!(replies.contains(&Reply::Full) && replies.contains(&Reply::Admitted));
 }
 
-/// Returns a starter that asks for one order, as its first attempt.
-fn asking() -> Starter {
+/// Returns a starter that has asked whether one order may run, as its first attempt.
+fn asking_starter() -> Starter {
     let mut starter = Starter::new("a#1");
     let views = Views {
         shards: vec![view(1, HOME, STANDBY)],
@@ -285,7 +285,7 @@
     starter
 }
 
-fn hear(starter: &mut Starter, view: u64, reply: Reply) -> Option<Decision> {
+fn deliver_reply(starter: &mut Starter, view: u64, reply: Reply) -> Option<Decision> {
     let message = Message::Reply {
         attempt: attempt("a#1", 1),
         view,
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn only_the_words_of_both_let_an_order_run() {
+fn an_order_runs_only_with_the_replies_of_both_members() {
     let cases = [
         (vec![(1, Reply::Admitted)], None),
         (vec![(1, Reply::Recorded)], None),
@@ -331,16 +331,16 @@
         (vec![(1, Reply::Mismatch)], Some(Decision::Mismatch)),
     ];
     for (replies, expected) in cases {
-        let mut starter = asking();
+        let mut starter = asking_starter();
         let decisions = replies
             .iter()
-            .map(|(view, reply)| hear(&mut starter, *view, reply.clone()));
+            .map(|(view, reply)| deliver_reply(&mut starter, *view, reply.clone()));
         assert_eq!(decisions.flatten().next(), expected, "{replies:?}");
     }
 }
 
 #[test]
-fn a_caller_whose_time_ends_is_not_told_not_run() {
+fn an_undecided_order_is_unknown_at_its_deadline() {
     let cases = [
         (None, UnknownReason::NoReply),
         (Some(Reply::Admitted), UnknownReason::NoReply),
@@ -348,20 +348,20 @@
         (Some(Reply::Running), UnknownReason::Running),
     ];
     for (reply, why) in cases {
-        let mut starter = asking();
+        let mut starter = asking_starter();
         if let Some(reply) = reply {
-            assert_eq!(hear(&mut starter, 1, reply), None);
+            assert_eq!(deliver_reply(&mut starter, 1, reply), None);
         }
-        let late = decision(starter.on(now(1_000), starter::Event::Tick));
-        assert_eq!(late, Some(Decision::Unknown(why)));
-        // A word that comes after that starts nothing.
-        assert_eq!(hear(&mut starter, 1, Reply::AdmittedAlone), None);
+        let timed_out = decision(starter.on(now(1_000), starter::Event::Tick));
+        assert_eq!(timed_out, Some(Decision::Unknown(why)));
+        // A reply after the deadline starts nothing.
+        assert_eq!(deliver_reply(&mut starter, 1, Reply::AdmittedAlone), None);
     }
 }
 
 #[test]
-fn an_id_from_the_future_is_not_run() {
-    let mut starter = asking();
+fn an_id_dated_in_the_future_does_not_run() {
+    let mut starter = asking_starter();
     let begin = starter::Event::Begin {
         token: 7,
         order: Order {
@@ -371,6 +371,6 @@
         deadline: now(1_000),
         wall: WALL,
     };
-    let told = decision(starter.on(now(0), begin));
-    assert_eq!(told, Some(Decision::Unknown(UnknownReason::DatedAhead)));
+    let decided = decision(starter.on(now(0), begin));
+    assert_eq!(decided, Some(Decision::Unknown(UnknownReason::DatedAhead)));
 }
--- a/tests/order/callers.rs
+++ b/tests/order/callers.rs
@@ -1,4 +1,4 @@
-//! What callers send, and what they are told.
+//! The callers of the model: which orders they send, and the checks of the decisions that they get.
 
 use std::time::Duration;
 
@@ -10,60 +10,68 @@
     request::Attempt,
 };
 
-use super::{Asked, OPEN_ORDERS, RETENTION, Stage, Told, World};
+use super::{History, PendingOrder, RECENT_ORDERS, RETENTION, Stage, World};
 
 impl World {
-    pub(super) fn fresh(&self, dated: bool, ahead: u64) -> (Order, Told) {
+    /// Returns a new order, with an id that is undated or dated up to `ahead` seconds in the future.
+    pub(super) fn new_order(&self, dated: bool, ahead: u64) -> (Order, History) {
         let order = Order {
             id: format!("dispatch/{}", self.orders.len()),
             created_at: dated.then_some(self.wall + Duration::from_secs(ahead).min(MAX_AHEAD)),
             fingerprint: 0,
         };
-        let until = if dated {
+        let resend_until = if dated {
             Duration::MAX
         } else {
             self.wall + RETENTION
         };
         (
             order,
-            Told {
-                until,
-                ..Told::default()
+            History {
+                resend_until,
+                ..History::default()
             },
         )
     }
 
+    /// Sends a new order, or one of the most recent ones again.
     pub(super) fn submit(&mut self, a: usize, b: usize) -> Result<(), String> {
         if self.orders.is_empty() || b.is_multiple_of(4) {
             let ahead = u64::try_from(b / 4 % 16).unwrap_or(0);
-            self.orders.push(self.fresh(!b.is_multiple_of(32), ahead));
+            self.orders
+                .push(self.new_order(!b.is_multiple_of(32), ahead));
         }
-        let recent = self.orders.len().min(OPEN_ORDERS);
+        let recent = self.orders.len().min(RECENT_ORDERS);
         let mut order = self.orders.len() - 1 - b / 7 % recent;
-        if self.orders[order].1.until < self.wall {
-            // An undated id is remembered for its retention only.
-            self.orders.push(self.fresh(true, 0));
+        if self.orders[order].1.resend_until < self.wall {
+            // An undated id is kept for its retention only.
+            self.orders.push(self.new_order(true, 0));
             order = self.orders.len() - 1;
         }
         let fingerprint = if b.is_multiple_of(11) { 2 } else { 1 };
-        self.ask(a, order, fingerprint)
+        self.send_order(a, order, fingerprint)
     }
 
-    pub(super) fn ask(&mut self, vm: usize, order: usize, fingerprint: u128) -> Result<(), String> {
+    pub(super) fn send_order(
+        &mut self,
+        vm: usize,
+        order: usize,
+        fingerprint: u128,
+    ) -> Result<(), String> {
         let name = self.name(vm);
         if self.vms[&name].paused {
             return Ok(());
         }
         self.tokens += 1;
         let token = self.tokens;
-        let asked = Asked {
+        let pending = PendingOrder {
             order,
             fingerprint,
             stage: Stage::Asking,
         };
-        self.asked.insert((name.clone(), token), asked);
-        let (known, told) = &mut self.orders[order];
-        told.fingerprints.insert(fingerprint);
+        self.pending.insert((name.clone(), token), pending);
+        let (known, history) = &mut self.orders[order];
+        history.fingerprints.insert(fingerprint);
         let event = starter::Event::Begin {
             token,
             order: Order {
@@ -73,60 +81,61 @@
             deadline: self.now + Duration::from_secs(4),
             wall: self.wall,
         };
-        self.start_event(&name, event)
+        self.starter_event(&name, event)
     }
 
-    /// Runs, refuses or loses an order that may run.
-    pub(super) fn progress(&mut self, a: usize, b: usize) -> Result<(), String> {
-        let may = self.asked.iter().filter(|(key, it)| {
+    /// Ends an order that may run: it ran, it was refused, or its outcome is unknown.
+    pub(super) fn end_run(&mut self, a: usize, b: usize) -> Result<(), String> {
+        let may = self.pending.iter().filter(|(key, it)| {
             it.stage == Stage::MayRun && self.vms.get(&key.0).is_some_and(|vm| !vm.paused)
         });
         let keys: Vec<_> = may.map(|(key, _)| key.clone()).collect();
         let Some(key) = keys.get(a % keys.len().max(1)) else {
             return Ok(());
         };
-        let asked = self.asked.remove(key).unwrap();
-        let id = asked.order;
-        let told = &mut self.orders[id].1;
+        let pending = self.pending.remove(key).unwrap();
+        let id = pending.order;
+        let history = &mut self.orders[id].1;
         let end = if b % 4 == 3 {
-            if told.sent.is_some() {
-                return Err(format!("order {id} was told not-run and ran"));
+            if history.sent.is_some() {
+                return Err(format!("order {id} was reported as not run but ran"));
             }
             self.counts.not_run += 1;
             End::NotRun(Attempt::new().admit().proof())
         } else {
-            if told.sent.is_some() {
+            if history.sent.is_some() {
                 return Err(format!("order {id} was sent twice"));
             }
-            told.sent = Some(asked.fingerprint);
+            history.sent = Some(pending.fingerprint);
             self.counts.sent += 1;
             match b % 4 {
                 2 => End::Unknown,
-                _ => End::Ran(Answer::new(200, "", &asked.fingerprint.to_be_bytes(), 64)),
+                _ => End::Ran(Answer::new(200, "", &pending.fingerprint.to_be_bytes(), 64)),
             }
         };
         let event = starter::Event::Ended { token: key.1, end };
-        self.start_event(&key.0, event)
+        self.starter_event(&key.0, event)
     }
 
-    pub(super) fn decided(
+    /// Checks a decision against the order's history.
+    pub(super) fn check_decision(
         &mut self,
         key: &(String, u64),
         decision: Decision,
     ) -> Result<(), String> {
-        let Some(asked) = self.asked.get_mut(key) else {
+        let Some(pending) = self.pending.get_mut(key) else {
             return Err(format!("{key:?} was decided twice"));
         };
-        let (id, fingerprint) = (asked.order, asked.fingerprint);
-        self.last = Some(decision.clone());
-        let told = &self.orders[id].1;
+        let (id, fingerprint) = (pending.order, pending.fingerprint);
+        self.last_decision = Some(decision.clone());
+        let history = &self.orders[id].1;
         match decision {
             Decision::Run => {
-                asked.stage = Stage::MayRun;
-                let mut others = self.asked.iter().filter(|(other, it)| {
+                pending.stage = Stage::MayRun;
+                let mut others = self.pending.iter().filter(|(other, it)| {
                     *other != key && it.order == id && it.stage == Stage::MayRun
                 });
-                if others.next().is_some() || told.sent.is_some() {
+                if others.next().is_some() || history.sent.is_some() {
                     return Err(format!("order {id} may run twice"));
                 }
                 return Ok(());
@@ -134,19 +143,21 @@
             Decision::Ran(answer) => {
                 self.counts.recorded += 1;
                 let body = answer.body.as_deref() == Some(fingerprint.to_be_bytes().as_slice());
-                if told.sent != Some(fingerprint) || !body {
-                    return Err(format!("order {id} got an answer that is not its own"));
+                if history.sent != Some(fingerprint) || !body {
+                    return Err(format!("order {id} got the answer of another request"));
                 }
             }
             Decision::Mismatch => {
                 self.counts.mismatch += 1;
-                if told.fingerprints.len() < 2 {
-                    return Err(format!("order {id} was always the same"));
+                if history.fingerprints.len() < 2 {
+                    return Err(format!(
+                        "order {id} got a mismatch but was always the same request"
+                    ));
                 }
             }
             Decision::Unknown(_) => self.counts.unknown += 1,
         }
-        self.asked.remove(key);
+        self.pending.remove(key);
         Ok(())
     }
 }
--- a/tests/order/world.rs
+++ b/tests/order/world.rs
@@ -1,4 +1,5 @@
-//! VMs with real ledgers and starters, messages that come late, twice or never, and a record.
+//! A simulated fleet: VMs with real ledgers and starters, messages that are delayed, duplicated or lost, and a store
+//! with the record of views.
 
 mod callers;
 
@@ -14,12 +15,12 @@
 
 const DOMAINS: [&str; 3] = ["north", "centre", "south"];
 const SHARDS: usize = 2;
-/// Orders that callers send again and again.
-const OPEN_ORDERS: usize = 4;
-/// How long undated ids are remembered.
+/// The number of recent orders that callers send again.
+const RECENT_ORDERS: usize = 4;
+/// How long undated ids are kept.
 const RETENTION: Duration = Duration::from_mins(10);
 
-/// A step: which one, and two numbers that choose its subjects.
+/// A step of a history: its kind, and two numbers that select what it acts on.
 pub type Op = (u8, u16, u16);
 
 struct Vm {
@@ -28,7 +29,7 @@
     domain: usize,
     paused: bool,
     leaving: bool,
-    reads: Vec<(u64, Views)>,
+    pending_reads: Vec<(u64, Views)>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -37,18 +38,19 @@
     MayRun,
 }
 
-struct Asked {
+struct PendingOrder {
     order: usize,
     fingerprint: u128,
     stage: Stage,
 }
 
+/// What happened to an order so far.
 #[derive(Default)]
-struct Told {
+struct History {
     fingerprints: IndexSet<u128>,
-    /// The wall clock until which callers send it again.
-    until: Duration,
-    /// What was sent to a target and not refused by it.
+    /// The wall clock until which callers send the order again.
+    resend_until: Duration,
+    /// The fingerprint of the request that was sent to a target and not refused.
     sent: Option<u128>,
 }
 
@@ -69,15 +71,15 @@
     wall: Duration,
     vms: IndexMap<String, Vm>,
     gone: IndexSet<String>,
-    starts: u64,
-    bag: Vec<(String, String, Message)>,
+    started: u64,
+    in_flight: Vec<(String, String, Message)>,
     writes: Vec<(u64, Views)>,
     record: (u64, Views),
-    up: bool,
-    orders: Vec<(Order, Told)>,
-    asked: BTreeMap<(String, u64), Asked>,
+    store_up: bool,
+    orders: Vec<(Order, History)>,
+    pending: BTreeMap<(String, u64), PendingOrder>,
     tokens: u64,
-    last: Option<Decision>,
+    last_decision: Option<Decision>,
     pub counts: Counts,
 }
 
@@ -89,15 +91,15 @@
             wall: Duration::from_secs(1_000_000),
             vms: IndexMap::new(),
             gone: IndexSet::new(),
-            starts: 0,
-            bag: Vec::new(),
+            started: 0,
+            in_flight: Vec::new(),
             writes: Vec::new(),
             record: (0, Views::default()),
-            up: true,
+            store_up: true,
             orders: Vec::new(),
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             tokens: 0,
-            last: None,
+            last_decision: None,
             counts: Counts::default(),
         };
         for domain in [0, 1, 2, 0, 1] {
@@ -107,14 +109,14 @@
         let vms = world.vms.iter().map(domain).collect();
         world.record = (1, Views::initial(&vms, SHARDS));
         for vm in world.vms.values_mut() {
-            vm.reads.push(world.record.clone());
+            vm.pending_reads.push(world.record.clone());
         }
         world
     }
 
     fn start(&mut self, domain: usize) {
-        self.starts += 1;
-        let name = format!("vm#{}", self.starts);
+        self.started += 1;
+        let name = format!("vm#{}", self.started);
         let limits = Limits {
             bytes: 7_000,
             retention: RETENTION,
@@ -125,7 +127,7 @@
             domain,
             paused: false,
             leaving: false,
-            reads: Vec::new(),
+            pending_reads: Vec::new(),
         };
         self.vms.insert(name, vm);
     }
@@ -136,17 +138,17 @@
         match kind % 100 {
             0..=9 => self.submit(a, b),
             10..=43 => (0..=b % 8).try_for_each(|step| self.deliver(a + step * b, false)),
-            44..=47 => self.flush(b % 64),
+            44..=47 => self.deliver_many(b % 64),
             48..=50 => self.deliver(a, true),
             51..=52 => {
-                if !self.bag.is_empty() {
-                    self.bag.swap_remove(a % self.bag.len());
+                if !self.in_flight.is_empty() {
+                    self.in_flight.swap_remove(a % self.in_flight.len());
                 }
                 Ok(())
             }
             53..=58 => self.tick(a, u64::try_from(b % 120).unwrap_or(0)),
             59..=62 => (0..self.vms.len()).try_for_each(|vm| self.tick(vm, 30)),
-            63..=70 => self.progress(a, b),
+            63..=70 => self.end_run(a, b),
             71 => {
                 self.crash(a);
                 Ok(())
@@ -159,15 +161,15 @@
                 self.pause(a, false);
                 Ok(())
             }
-            78..=79 => self.hear(a, Some(b)),
-            80..=81 => self.hear(a, None),
-            82..=83 => (0..self.vms.len()).try_for_each(|vm| self.hear(vm, None)),
+            78..=79 => self.update_peers(a, Some(b)),
+            80..=81 => self.update_peers(a, None),
+            82..=83 => (0..self.vms.len()).try_for_each(|vm| self.update_peers(vm, None)),
             84..=85 => {
                 self.leave(a);
                 Ok(())
             }
             86 => {
-                self.up = b % 4 != 0;
+                self.store_up = b % 4 != 0;
                 Ok(())
             }
             87..=90 => {
@@ -189,40 +191,39 @@
                 Ok(())
             }
             _ => {
-                self.depart();
+                self.stop_idle();
                 Ok(())
             }
         }
     }
 
-    /// Mends everything and lets all messages through; then every order must be decided, and a
-    /// fresh one must run.
+    /// Ends all faults and delivers all messages; then every order must be decided, and a new one must run.
     pub fn settle(&mut self) -> Result<(), String> {
-        self.up = true;
+        self.store_up = true;
         for vm in self.vms.values_mut() {
             vm.paused = false;
         }
         self.rounds(60)?;
-        if let Some((key, asked)) = self.asked.iter().find(|it| it.1.stage == Stage::Asking) {
-            return Err(format!("{key:?} of order {} undecided", asked.order));
+        if let Some((key, pending)) = self.pending.iter().find(|it| it.1.stage == Stage::Asking) {
+            return Err(format!("{key:?} of order {} undecided", pending.order));
         }
-        // Past the retention of what fills the memory.
+        // Passes the retention of the orders that fill the memory.
         self.wall += Duration::from_mins(15);
         self.now += Duration::from_mins(15);
         self.rounds(20)?;
-        // Past the horizon, if both memories of a shard were lost.
+        // Passes the horizon, if both memories of a shard were lost.
         self.wall += Duration::from_mins(1);
         for _ in 0..4 {
-            self.orders.push(self.fresh(true, 0));
+            self.orders.push(self.new_order(true, 0));
             let order = self.orders.len() - 1;
-            let vm = usize::try_from(self.starts).unwrap_or(0);
-            self.ask(vm, order, 1)?;
+            let vm = usize::try_from(self.started).unwrap_or(0);
+            self.send_order(vm, order, 1)?;
             self.rounds(6)?;
             if self.orders[order].1.sent.is_none() {
                 let view = &self.record.1.view_of(&self.orders[order].0.id);
                 return Err(format!(
-                    "fresh order {order} did not run: {view:?} {:?}",
-                    self.last
+                    "new order {order} did not run: {view:?} {:?}",
+                    self.last_decision
                 ));
             }
         }
@@ -231,20 +232,20 @@
 
     fn rounds(&mut self, count: u64) -> Result<(), String> {
         for _ in 0..count {
-            self.depart();
+            self.stop_idle();
             for vm in 0..self.vms.len() {
-                self.hear(vm, None)?;
+                self.update_peers(vm, None)?;
                 self.read(vm, usize::MAX)?;
                 self.tick(vm, 50)?;
             }
-            while !self.bag.is_empty() {
+            while !self.in_flight.is_empty() {
                 self.deliver(0, false)?;
             }
             while !self.writes.is_empty() {
                 self.write(0);
             }
-            while self.asked.values().any(|it| it.stage == Stage::MayRun) {
-                self.progress(0, 0)?;
+            while self.pending.values().any(|it| it.stage == Stage::MayRun) {
+                self.end_run(0, 0)?;
             }
         }
         Ok(())
@@ -255,7 +256,7 @@
         self.vms.get_index(index).unwrap().0.clone()
     }
 
-    fn start_event(&mut self, name: &str, event: starter::Event) -> Result<(), String> {
+    fn starter_event(&mut self, name: &str, event: starter::Event) -> Result<(), String> {
         let effects = self.vms[name].starter.on(self.now, event);
         self.perform(name, effects)
     }
@@ -268,14 +269,14 @@
     fn perform(&mut self, name: &str, effects: Vec<Effect>) -> Result<(), String> {
         for effect in effects {
             match effect {
-                Effect::Send { to, message } => self.bag.push((name.into(), to, message)),
-                Effect::Read if self.up => {
+                Effect::Send { to, message } => self.in_flight.push((name.into(), to, message)),
+                Effect::Read if self.store_up => {
                     let record = self.record.clone();
-                    self.vms[name].reads.push(record);
+                    self.vms[name].pending_reads.push(record);
                 }
                 Effect::Write { base, views } => self.writes.push((base, views)),
                 Effect::Decide { token, decision } => {
-                    self.decided(&(name.into(), token), decision)?;
+                    self.check_decision(&(name.into(), token), decision)?;
                 }
                 Effect::Read | Effect::Note(_) => {}
             }
@@ -284,37 +285,37 @@
     }
 
     fn deliver(&mut self, index: usize, keep: bool) -> Result<(), String> {
-        if self.bag.is_empty() {
+        if self.in_flight.is_empty() {
             return Ok(());
         }
-        let index = index % self.bag.len();
-        let to = &self.bag[index].1;
+        let index = index % self.in_flight.len();
+        let to = &self.in_flight[index].1;
         if self.vms.get(to).is_some_and(|vm| vm.paused) {
             return Ok(());
         }
         let (from, to, message) = if keep {
-            self.bag[index].clone()
+            self.in_flight[index].clone()
         } else {
-            self.bag.swap_remove(index)
+            self.in_flight.swap_remove(index)
         };
         if !self.vms.contains_key(&to) {
             return Ok(());
         }
         if message.is_for_starter() {
-            self.start_event(&to, starter::Event::Message { from, message })
+            self.starter_event(&to, starter::Event::Message { from, message })
         } else {
             self.ledger_event(&to, ledger::Event::Message { from, message })
         }
     }
 
-    /// Lets messages through in order, newest first or oldest first.
-    fn flush(&mut self, count: usize) -> Result<(), String> {
+    /// Delivers messages in turn, from the newest or from the oldest on.
+    fn deliver_many(&mut self, count: usize) -> Result<(), String> {
         for step in 0..count {
-            let last = self.bag.len().saturating_sub(1);
+            let last = self.in_flight.len().saturating_sub(1);
             self.deliver(if count.is_multiple_of(2) { last } else { step }, false)?;
         }
-        // What waits for very long is lost.
-        self.bag.truncate(200);
+        // All but the first 200 messages are lost.
+        self.in_flight.truncate(200);
         Ok(())
     }
 
@@ -326,12 +327,12 @@
             return Ok(());
         }
         let wall = self.wall;
-        self.start_event(&name, starter::Event::Tick)?;
+        self.starter_event(&name, starter::Event::Tick)?;
         self.ledger_event(&name, ledger::Event::Tick { wall })
     }
 
-    /// Tells a VM who is there; one may be suspected wrongly.
-    fn hear(&mut self, index: usize, suspect: Option<usize>) -> Result<(), String> {
+    /// Gives a VM the current membership, in which one VM may be suspected wrongly.
+    fn update_peers(&mut self, index: usize, suspect: Option<usize>) -> Result<(), String> {
         let name = self.name(index);
         if self.vms[&name].paused {
             return Ok(());
@@ -357,7 +358,7 @@
         self.vms[&name].paused = paused;
     }
 
-    /// A VM is lost with all it knew, and another starts in its place.
+    /// Stops a VM, which loses its state, and starts another in its place.
     fn crash(&mut self, index: usize) {
         let name = self.name(index);
         self.remove(&name);
@@ -365,7 +366,7 @@
 
     fn remove(&mut self, name: &str) {
         let vm = self.vms.shift_remove(name).unwrap();
-        self.asked.retain(|key, _| key.0 != name);
+        self.pending.retain(|key, _| key.0 != name);
         self.gone.insert(name.into());
         self.start(vm.domain);
     }
@@ -377,8 +378,8 @@
         }
     }
 
-    /// A VM that leaves is stopped once nobody needs it.
-    fn depart(&mut self) {
+    /// Stops a VM that shuts down, once it is idle.
+    fn stop_idle(&mut self) {
         let idle = self.vms.iter().find(|(_, vm)| {
             vm.leaving && !vm.paused && vm.ledger.is_idle() && vm.starter.is_idle()
         });
@@ -388,7 +389,7 @@
     }
 
     fn write(&mut self, index: usize) {
-        if self.writes.is_empty() || !self.up {
+        if self.writes.is_empty() || !self.store_up {
             return;
         }
         let (base, views) = self.writes.swap_remove(index % self.writes.len());
@@ -398,24 +399,24 @@
         }
     }
 
-    /// One of a VM's machines gets a record that was read, perhaps long ago.
+    /// Passes a record that was read, perhaps long ago, to the state machines of a VM, or to one of them.
     fn read(&mut self, index: usize, b: usize) -> Result<(), String> {
         let name = self.name(index);
         if self.vms[&name].paused {
             return Ok(());
         }
         let all = b == usize::MAX;
-        if self.up && (all || b.is_multiple_of(3)) {
+        if self.store_up && (all || b.is_multiple_of(3)) {
             let record = self.record.clone();
-            self.vms[&name].reads.push(record);
+            self.vms[&name].pending_reads.push(record);
         }
-        let reads = &mut self.vms[&name].reads;
-        let Some((version, views)) = reads.pop() else {
+        let pending_reads = &mut self.vms[&name].pending_reads;
+        let Some((version, views)) = pending_reads.pop() else {
             return Ok(());
         };
         if all || !b.is_multiple_of(5) {
             let views = views.clone();
-            self.start_event(&name, starter::Event::Views { version, views })?;
+            self.starter_event(&name, starter::Event::Views { version, views })?;
         }
         if all || b % 5 != 1 {
             self.ledger_event(&name, ledger::Event::Views { version, views })?;
--- a/tests/order_model.rs
+++ b/tests/order_model.rs
@@ -1,6 +1,6 @@
-//! Orders under faults that come at any moment: at most one run, and truthful words.
+//! Model test of orders under random faults: an order runs at most once, and callers get correct outcomes.
 //!
-//! `BRAMLEYPIER_CASES` sets the number of histories.
+//! A history is a random sequence of steps; `BRAMLEYPIER_CASES` sets the number of histories.
 
 #[path = "order/world.rs"]
 mod world;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Adds up what long histories do, so that a run in which nothing happens is noticed.
+/// Guards against histories that exercise nothing: each outcome must occur in some history.
 #[test]
 fn histories_reach_every_outcome() {
     let mut runner = runner();
@@ -82,8 +82,9 @@
     assert!(reached.iter().all(|count| *count > 0), "{sum:?}");
 }
 
+/// Leaves out one safety rule at a time; the checks must detect each omission.
 #[test]
-fn the_checks_notice_each_missing_rule() {
+fn the_checks_detect_each_missing_rule() {
     let flaws = [
         Flaw::HomeOnly,
         Flaw::MixedViews,
@@ -103,8 +104,8 @@
             run(&ops, flaw)
         });
         let found = histories.position(|outcome| outcome.is_err());
-        println!("{flaw:?}: noticed in history {found:?}");
-        assert!(found.is_some(), "{flaw:?} was not noticed");
+        println!("{flaw:?}: detected in history {found:?}");
+        assert!(found.is_some(), "{flaw:?} was not detected");
     }
 }
 
@@ -113,9 +114,9 @@
     TestRunner::new_with_rng(Config::default(), rng)
 }
 
-/// The shortest form of a history that a run of 40,000 found: a VM gets both words for an attempt 700 s
-/// after it asked, when the members have forgotten that the order ran.
-const FROZEN_CALLER: [Op; 34] = [
+/// A minimised history, found among 40,000: a suspended entry VM gets both replies to an attempt 700 s after it asked,
+/// when the members have evicted the record that the order ran.
+const LATE_REPLIES: [Op; 34] = [
     (104, 45058, 61345),
     (197, 11481, 9292),
     (101, 21473, 53452),
@@ -152,7 +153,8 @@
     (246, 50646, 23738),
 ];
 
+/// Guards against a second run of an order whose replies arrive after its caller's deadline.
 #[test]
 fn an_order_does_not_run_after_its_callers_time_ended() {
-    run(&FROZEN_CALLER, Flaw::None).unwrap();
+    run(&LATE_REPLIES, Flaw::None).unwrap();
 }
