--- a/src/handover.rs
+++ b/src/handover.rs
@@ -27,7 +27,7 @@
     pub chain: Vec<Successor>,
 }
 
-/// A target during one term of its membership: an owner, or one that may follow it.
+/// A target in a chain of owners, with the term of its membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Successor {
--- a/src/order/ledger.rs
+++ b/src/order/ledger.rs
@@ -1,7 +1,8 @@
 //! The state machine of one VM as home or standby of shards.
 //!
-//! It answers the starts of entry VMs, records how attempts ended, and asks after attempts that stay open. It also
-//! proposes new views when a member is lost or shuts down, and resigns from its shards when its own VM shuts down.
+//! It replies to the starts of entry VMs, records how attempts ended, and asks entry VMs about attempts that stay
+//! open. It also proposes new views when a member is lost or shuts down, and resigns from its shards when its own VM
+//! shuts down.
 
 use std::time::Duration;
 
@@ -122,7 +123,8 @@
         })
     }
 
-    /// Returns of how many shards this VM is the home, the standby, and a member without the complete memory.
+    /// Returns the number of shards of which this VM is the home, of which it is the standby, and of which it still
+    /// lacks the complete memory.
     ///
     /// # Example
     ///
@@ -456,7 +458,7 @@
         next.cloned().collect()
     }
 
-    /// Returns this VM's position in a shard; `None` if it resigned and must propose nothing.
+    /// Returns this VM's position in a shard; `None` if it resigned, so that it must not propose views.
     fn member<'a>(&'a self, shard: Shard, replica: &'a Replica) -> Option<Member<'a>> {
         let resigned = matches!(
             replica.resignation,
--- a/src/order/mod.rs
+++ b/src/order/mod.rs
@@ -224,7 +224,7 @@
         /// The index of the part.
         part: u64,
     },
-    /// A member tells the other that it will admit and record nothing more under this view.
+    /// A member tells the other that it no longer admits or records attempts under this view.
     Resign {
         /// The shard.
         shard: Shard,
@@ -289,7 +289,7 @@
     Moved(View),
 }
 
-/// What the state machines ask their task to carry out.
+/// An action that the state machines request from the task that runs them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message to a VM.
@@ -347,7 +347,7 @@
     Proposed,
 }
 
-/// A safety rule to leave out, for tests which show that the checks detect that.
+/// A safety rule to leave out, for tests which show that the checks detect its absence.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flaw {
@@ -372,7 +372,7 @@
     SuspectIsGone,
     /// The view after the loss of both memories has no horizon.
     NoHorizon,
-    /// Ids up to the floor are not treated as possibly evicted.
+    /// Ids dated up to the floor count as never seen.
     NoFloor,
 }
 
--- a/src/order/replica.rs
+++ b/src/order/replica.rs
@@ -26,7 +26,7 @@
 pub(super) struct Replica {
     pub(super) view: View,
     pub(super) memory: Memory,
-    /// Whether the memory is complete under this view.
+    /// Whether the memory holds all orders that the view covers.
     pub(super) complete: bool,
     /// The index of the next part of the transfer that this standby expects.
     part: u64,
@@ -98,7 +98,7 @@
         (replica, notes)
     }
 
-    /// Changes to a newer view.
+    /// Changes to a newer view, in which this VM may have another role or none.
     pub(super) fn change(&mut self, vm: &str, shard: Shard, next: View, flaw: Flaw) -> Vec<Effect> {
         let was_member = self.view.has_member(vm);
         // Only a member with the complete memory proposes itself as the next home.
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns the reply that follows from the memory; `allowed` if nothing in it prevents the attempt.
+    /// Returns the reply that follows from the memory; `allowed` if no recorded attempt prevents this one.
     pub(super) fn check(
         &self,
         order: &Order,
@@ -319,7 +319,7 @@
         self.send_part(now, shard).into_iter().collect()
     }
 
-    /// Merges a part of the transfer and acknowledges it; parts that come too early or from another VM are ignored.
+    /// Merges a part of the transfer and acknowledges it; parts out of order or not from the home are ignored.
     pub(super) fn install_part(
         &mut self,
         now: Duration,
--- a/src/order/stored.rs
+++ b/src/order/stored.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Checks an attempt against the kept ones; `None` if nothing kept prevents it from running.
+    /// Checks an attempt against the kept ones; `None` if no earlier attempt prevents it.
     ///
     /// `AlreadyOpen` is returned where this attempt itself is the only open one.
     pub(super) fn check(
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -354,7 +354,7 @@
         }
         let timed_out = decision(starter.on(now(1_000), starter::Event::Tick));
         assert_eq!(timed_out, Some(Decision::Unknown(why)));
-        // A reply after the deadline starts nothing.
+        // A reply after the deadline doesn't start the order.
         assert_eq!(deliver_reply(&mut starter, 1, Reply::AdmittedAlone), None);
     }
 }
--- a/tests/order_model.rs
+++ b/tests/order_model.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Guards against histories that exercise nothing: each outcome must occur in some history.
+/// Guards against histories that exercise too little: each outcome must occur in some history.
 #[test]
 fn histories_reach_every_outcome() {
     let mut runner = runner();
