--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,4 +1,8 @@
-//! Which ranges to move, split and join, so that targets carry like loads and few ranges move.
+//! Load balancing: which ranges to move, split or join.
+//!
+//! The plan evens out the load per slot among the targets of a group and moves few ranges, since a
+//! range that moves is unavailable for a short time. It changes only a record; grantors carry out
+//! the moves as handovers.
 
 use indexmap::IndexMap;
 
@@ -10,60 +14,62 @@
     range::Range,
 };
 
-/// The load of a part of the hash space.
+/// The measured load of a part of the hash space.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
-    /// The part: a range, or a single hot point.
+    /// A range, or a single hot point.
     pub range: Range,
-    /// Work a second, in slots kept busy or requests; all of one unit.
+    /// Work per second, as busy slots or as requests; all loads use the same unit.
     pub rate: f64,
 }
 
-/// The imbalance that is let be when churn and unavailable time weigh the same.
+/// The tolerated imbalance when churn and unavailable time have equal weights.
 const THRESHOLD: f64 = 0.1;
-/// The least and the greatest imbalance that weights can make of it.
-const THRESHOLDS: (f64, f64) = (0.06, 0.12);
-/// The share of the weight that the size of a range has, against its load.
-const SPACE: f64 = 0.05;
-/// The share of the space that a target without load may gather, times the number of targets.
-const JOINING: f64 = 1.1;
-/// The least part of the wanted relief for which a range is moved.
-const LEAST: f64 = 0.1;
-/// The most steps of one plan.
-const STEPS: usize = 16;
-/// Neighbours lighter than this share of a target's mean load are joined.
-const COLD: f64 = 0.01;
+/// The lowest and highest tolerated imbalance, whatever the weights.
+const THRESHOLD_RANGE: (f64, f64) = (0.06, 0.12);
+/// The part of a range's weight that comes from its size; the rest comes from its load.
+const SIZE_WEIGHT: f64 = 0.05;
+/// The largest part of the hash space that a target without load is given, as a multiple of its
+/// part by slots.
+const JOINING_SPACE: f64 = 1.1;
+/// The smallest part of the wanted reduction that justifies a move.
+const MIN_REDUCTION: f64 = 0.1;
+/// The maximum number of steps in one plan.
+const MAX_STEPS: usize = 16;
+/// Neighbouring ranges are joined if their weights sum to less than this part of the mean per slot.
+const COLD_PART: f64 = 0.01;
 
-/// A change of the record for balance.
+/// A change of a record that improves the balance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// The range that holds the point is to go to the target of this index among the members.
+    /// Moves a range to another target.
     Move {
         /// A point of the range.
         at: Point,
-        /// The index of the target.
+        /// The index of the target among the record's members.
         to: usize,
     },
-    /// A range is to start at the point.
+    /// Splits a range in two.
     Split {
-        /// The point.
+        /// The first point of the upper part.
         at: Point,
     },
-    /// The point is to stand alone.
+    /// Gives a point a range of its own.
     Isolate {
         /// The point.
         point: Point,
     },
-    /// The range that starts at the point is to be joined to the one before it.
+    /// Joins a range to the one before it.
     Join {
-        /// The point.
+        /// The first point of the upper range.
         at: Point,
     },
 }
 
-/// Marks the ranges of leaving and draining targets for the least loaded others.
+/// Marks each range of a leaving or draining target to move to the target with the least space.
 ///
-/// `tends` says whose ranges the caller may move, `drains` who takes no more work.
+/// `may_move` returns whether the caller may move a target's ranges, and `is_draining` whether a
+/// target takes no more work.
 ///
 /// # Example
 ///
@@ -74,9 +80,9 @@
 /// balance::drain_targets(&mut record, |_| true, |_| false);
 /// assert_eq!(record, Record::default());
 /// ```
-pub fn drain_targets<T, D>(record: &mut Record, tends: T, drains: D)
+pub fn drain_targets<M, D>(record: &mut Record, may_move: M, is_draining: D)
 where
-    T: Fn(&str) -> bool,
+    M: Fn(&str) -> bool,
     D: Fn(&str) -> bool,
 {
     for index in 0..record.ranges.len() {
@@ -86,33 +92,37 @@
             .members
             .get(owner)
             .is_some_and(|member| member.leaving);
-        if entry.moving || !tends(owner) || !(leaving || drains(owner)) {
+        if entry.moving || !may_move(owner) || !(leaving || is_draining(owner)) {
             continue;
         }
-        let shares = shares(record);
+        let shares = space_shares(record);
         let target = record
             .members
             .iter()
             .enumerate()
             .filter(|(_, (target, member))| {
                 successors::is_eligible(member)
-                    && !drains(target)
+                    && !is_draining(target)
                     && !member.boot.is_empty()
                     && *target != owner
             })
-            .min_by(|(_, (a, _)), (_, (b, _))| of(&shares, a).total_cmp(&of(&shares, b)))
+            .min_by(|(_, (a, _)), (_, (b, _))| {
+                share_of(&shares, a).total_cmp(&share_of(&shares, b))
+            })
             .map(|(to, _)| to);
         if let Some(to) = target {
-            mark(record, index, to);
+            mark_move(record, index, to);
         }
     }
 }
 
-/// Returns the steps that bring the loads closer together, or none when that isn't worth a move.
+/// Returns the steps that even out the loads, or none if no step is worth its cost.
 ///
-/// The greatest load may exceed the mean by a threshold that the document's weights set: the more
-/// churn costs against unavailable time, the higher. A step must take a fair part off that
-/// excess, so that noise moves nothing.
+/// The highest load may exceed the mean by a threshold, which rises with the document's weight of
+/// churn relative to that of unavailable time. A move must take a minimum part of the excess away,
+/// so that noise in the measurements moves no range.
+///
+/// `may_move` returns whether the caller may move a target's ranges.
 ///
 /// # Example
 ///
@@ -136,28 +146,28 @@
 /// };
 /// assert!(balance::plan(&Record::default(), &[], &document, |_| true).is_empty());
 /// ```
-pub fn plan<T>(record: &Record, loads: &[Load], document: &Document, tends: T) -> Vec<Step>
+pub fn plan<M>(record: &Record, loads: &[Load], document: &Document, may_move: M) -> Vec<Step>
 where
-    T: Fn(&str) -> bool,
+    M: Fn(&str) -> bool,
 {
-    let mut trial = record.clone();
+    let mut planned = record.clone();
     let mut steps = Vec::new();
     let limit = 1.0 + threshold(document);
-    while steps.len() < STEPS {
-        let scale = Scale::new(&trial, loads);
-        let Some(found) = relieve(&trial, loads, &scale, limit, &tends) else {
+    while steps.len() < MAX_STEPS {
+        let weights = TargetWeights::new(&planned, loads);
+        let Some(found) = relieve(&planned, loads, &weights, limit, &may_move) else {
             break;
         };
-        apply(&mut trial, &found);
+        apply(&mut planned, &found);
         steps.extend(found);
     }
     if steps.is_empty() {
-        steps.extend(cold(&trial, loads, document, &tends));
+        steps.extend(join_cold(&planned, loads, document, &may_move));
     }
     steps
 }
 
-/// Applies steps to a record; those that no longer fit change nothing.
+/// Applies steps to a record; a step that no longer applies changes nothing.
 ///
 /// # Example
 ///
@@ -177,7 +187,7 @@
         match *step {
             Step::Move { at, to } => {
                 if let Some(index) = find(record, at) {
-                    mark(record, index, to);
+                    mark_move(record, index, to);
                 }
             }
             Step::Split { at } => {
@@ -195,7 +205,7 @@
     }
 }
 
-/// Returns the greatest load of a target over the mean, by slot; 1 without load.
+/// Returns the highest load per slot of a target divided by the mean; 1 without load.
 ///
 /// # Example
 ///
@@ -205,18 +215,19 @@
 /// assert!((balance::imbalance(&Record::default(), &[]) - 1.0).abs() < 1e-9);
 /// ```
 pub fn imbalance(record: &Record, loads: &[Load]) -> f64 {
-    let scale = Scale::new(record, loads);
-    let greatest = scale.targets.values().map(|load| load.rate);
-    let mean = scale.total / scale.slots;
+    let weights = TargetWeights::new(record, loads);
+    let per_target = weights.targets.values().map(|target| target.weight);
+    let mean = weights.total / weights.slots;
     if mean > 0.0 {
-        greatest.fold(0.0, f64::max) / mean
+        per_target.fold(0.0, f64::max) / mean
     } else {
         1.0
     }
 }
 
-/// Puts a target at the head of a range's heirs and asks the owner to hand it over.
-fn mark(record: &mut Record, index: usize, to: usize) {
+/// Makes a target the first successor of a range and marks the range as moving, which asks its
+/// owner to hand it over.
+fn mark_move(record: &mut Record, index: usize, to: usize) {
     let Some(target) = record
         .members
         .get_index(to)
@@ -234,72 +245,82 @@
     entry.moving = true;
 }
 
+/// Returns by which part of the mean the highest load may exceed it.
 fn threshold(document: &Document) -> f64 {
     let weight = document.churn_weight / document.unavailable_weight;
     let weight = if weight.is_finite() { weight } else { 1.0 };
-    (THRESHOLD * weight).clamp(THRESHOLDS.0, THRESHOLDS.1)
+    (THRESHOLD * weight).clamp(THRESHOLD_RANGE.0, THRESHOLD_RANGE.1)
 }
 
-/// The loads of a record's targets; a moving range counts for its next owner.
-struct Scale {
-    targets: IndexMap<TargetId, Sum>,
+/// The weights of a record's targets; a moving range counts for its next owner.
+struct TargetWeights {
+    targets: IndexMap<TargetId, TargetWeight>,
+    /// The sum of the weights of all ranges.
     total: f64,
     slots: f64,
 }
 
-/// What one target carries, by slot.
+/// The ranges of one target, summed up.
 #[derive(Clone, Copy, Default)]
-struct Sum {
-    rate: f64,
+struct TargetWeight {
+    /// Weight per slot.
+    weight: f64,
+    /// Measured load.
     measured: f64,
+    /// Part of the hash space.
     share: f64,
 }
 
-impl Scale {
+impl TargetWeights {
     fn new(record: &Record, loads: &[Load]) -> Self {
-        let mut scale = Self {
+        let mut weights = Self {
             targets: IndexMap::new(),
             total: 0.0,
             slots: 0.0,
         };
         for (target, member) in &record.members {
             if successors::is_eligible(member) && !member.boot.is_empty() {
-                scale.targets.insert(target.clone(), Sum::default());
-                scale.slots += f64::from(member.slots.max(1));
+                weights
+                    .targets
+                    .insert(target.clone(), TargetWeight::default());
+                weights.slots += f64::from(member.slots.max(1));
             }
         }
-        let spread = Spread::new(record, loads);
+        let load_map = LoadMap::new(record, loads);
         for entry in &record.ranges {
             let target = &entry.chain[usize::from(entry.moving && entry.chain.len() > 1)];
-            let (measured, share) = (spread.measured(entry.range), entry.range.share());
-            let rate = spread.rate(measured, share);
-            scale.total += rate;
+            let (measured, share) = (load_map.measured(entry.range), entry.range.share());
+            let weight = load_map.weight(measured, share);
+            weights.total += weight;
             let slots = record
                 .members
                 .get(target)
                 .map_or(1, |member| member.slots.max(1));
-            if let Some(sum) = scale.targets.get_mut(target) {
-                sum.rate += rate / f64::from(slots);
+            if let Some(sum) = weights.targets.get_mut(target) {
+                sum.weight += weight / f64::from(slots);
                 sum.measured += measured;
                 sum.share += share;
             }
         }
-        scale
+        weights
     }
 
+    /// Returns the mean weight per slot.
     fn mean(&self) -> f64 {
         self.total / self.slots.max(1.0)
     }
 }
 
-/// The measured loads, in order, with what makes them comparable to the size of ranges.
-struct Spread {
+/// The measured loads sorted by range, with the totals that make load and size comparable.
+struct LoadMap {
     loads: Vec<Load>,
+    /// The sum of all loads.
     total: f64,
+    /// The part of the hash space that the record covers.
     space: f64,
 }
 
-impl Spread {
+impl LoadMap {
     fn new(record: &Record, loads: &[Load]) -> Self {
         let mut loads = loads.to_vec();
         loads.sort_by_key(|load| load.range);
@@ -310,7 +331,7 @@
         }
     }
 
-    /// Returns the load measured in a part of the space.
+    /// Returns the load measured in a part of the hash space.
     fn measured(&self, range: Range) -> f64 {
         let first = self
             .loads
@@ -318,23 +339,23 @@
         self.loads[first..]
             .iter()
             .take_while(|load| load.range.start <= range.end)
-            .map(|load| load.rate * common(load.range, range) / load.range.share())
+            .map(|load| load.rate * overlap_share(load.range, range) / load.range.share())
             .sum()
     }
 
-    /// Returns a range's part of the whole: mostly its load, and a little its size.
-    fn rate(&self, measured: f64, share: f64) -> f64 {
+    /// Returns a range's part of the total weight: mostly its load, and to a small part its size.
+    fn weight(&self, measured: f64, share: f64) -> f64 {
         let size = share / self.space.max(f64::MIN_POSITIVE);
         if self.total > 0.0 {
-            (1.0 - SPACE) * measured / self.total + SPACE * size
+            (1.0 - SIZE_WEIGHT) * measured / self.total + SIZE_WEIGHT * size
         } else {
             size
         }
     }
 }
 
-/// Returns the share of the space that two ranges have in common.
-fn common(one: Range, other: Range) -> f64 {
+/// Returns the part of the hash space that two ranges have in common.
+fn overlap_share(one: Range, other: Range) -> f64 {
     if !one.overlaps(&other) {
         return 0.0;
     }
@@ -345,28 +366,32 @@
     range.share()
 }
 
-/// Returns the steps that relieve the most loaded target that may be relieved.
-fn relieve<T>(
+/// Returns the steps that take load off the most loaded target whose ranges may move.
+///
+/// The aim is to move half of its distance from the least loaded target, which then gets the load.
+/// If no range of a fitting weight exists, the steps divide the heaviest one.
+fn relieve<M>(
     record: &Record,
     loads: &[Load],
-    scale: &Scale,
+    weights: &TargetWeights,
     limit: f64,
-    tends: &T,
+    may_move: &M,
 ) -> Option<Vec<Step>>
 where
-    T: Fn(&str) -> bool,
+    M: Fn(&str) -> bool,
 {
-    let mean = scale.mean();
-    let lightest =
-        |(_, a): &(&TargetId, &Sum), (_, b): &(&TargetId, &Sum)| a.rate.total_cmp(&b.rate);
-    let (to, light) = scale.targets.iter().min_by(lightest)?;
-    let joining = light.measured <= 0.0;
-    let (from, heavy) = scale
+    let mean = weights.mean();
+    let by_weight = |(_, a): &(&TargetId, &TargetWeight), (_, b): &(&TargetId, &TargetWeight)| {
+        a.weight.total_cmp(&b.weight)
+    };
+    let (to, lightest) = weights.targets.iter().min_by(by_weight)?;
+    let joining = lightest.measured <= 0.0;
+    let (from, heaviest) = weights
         .targets
         .iter()
-        .filter(|(target, sum)| tends(target) && sum.rate > light.rate)
-        .max_by(lightest)?;
-    let uneven = heavy.rate > mean * limit || (joining && light.rate < mean / limit);
+        .filter(|(target, sum)| may_move(target) && sum.weight > lightest.weight)
+        .max_by(by_weight)?;
+    let uneven = heaviest.weight > mean * limit || (joining && lightest.weight < mean / limit);
     if !uneven {
         return None;
     }
@@ -374,49 +399,50 @@
         .members
         .get(to)
         .map_or(1.0, |member| f64::from(member.slots.max(1)));
-    let want = (heavy.rate - light.rate) / 2.0 * slots;
-    let room = (JOINING * slots / scale.slots - light.share).max(0.0);
+    let wanted = (heaviest.weight - lightest.weight) / 2.0 * slots;
+    let max_share = (JOINING_SPACE * slots / weights.slots - lightest.share).max(0.0);
     let space: f64 = record.ranges.iter().map(|entry| entry.range.share()).sum();
-    let room = if joining { room * space } else { f64::MAX };
+    let max_share = if joining { max_share * space } else { f64::MAX };
     let index = record.members.get_index_of(to)?;
-    let spread = Spread::new(record, loads);
+    let load_map = LoadMap::new(record, loads);
     let own = |entry: &&Entry| !entry.moving && entry.chain[0] == *from;
     let fits = |entry: &&Entry| {
-        let rate = rate(&spread, entry);
-        rate <= want && rate >= want * LEAST && entry.range.share() <= room
+        let weight = entry_weight(&load_map, entry);
+        weight <= wanted && weight >= wanted * MIN_REDUCTION && entry.range.share() <= max_share
     };
     let entries = || record.ranges.iter().filter(own);
     let best = entries()
         .filter(fits)
-        .max_by(|a, b| rate(&spread, a).total_cmp(&rate(&spread, b)));
+        .max_by(|a, b| entry_weight(&load_map, a).total_cmp(&entry_weight(&load_map, b)));
     if let Some(entry) = best {
         let at = entry.range.start;
         return Some(vec![Step::Move { at, to: index }]);
     }
     let hottest = entries()
-        .filter(|entry| rate(&spread, entry) > want)
-        .max_by(|a, b| rate(&spread, a).total_cmp(&rate(&spread, b)))?;
-    divide(&spread, hottest, want)
+        .filter(|entry| entry_weight(&load_map, entry) > wanted)
+        .max_by(|a, b| entry_weight(&load_map, a).total_cmp(&entry_weight(&load_map, b)))?;
+    divide(&load_map, hottest, wanted)
 }
 
-fn rate(spread: &Spread, entry: &Entry) -> f64 {
-    spread.rate(spread.measured(entry.range), entry.range.share())
+fn entry_weight(load_map: &LoadMap, entry: &Entry) -> f64 {
+    load_map.weight(load_map.measured(entry.range), entry.range.share())
 }
 
-/// Returns the step that divides a range: a hot point stands alone, or the load is halved.
-fn divide(spread: &Spread, entry: &Entry, want: f64) -> Option<Vec<Step>> {
+/// Returns the step that divides a range: it isolates the hottest point if that alone is heavy
+/// enough, and else halves the range.
+fn divide(load_map: &LoadMap, entry: &Entry, wanted: f64) -> Option<Vec<Step>> {
     if entry.range.start == entry.range.end {
         return None;
     }
     let inside =
         |load: &&Load| load.range.start == load.range.end && entry.range.contains(load.range.start);
-    let hot = spread
+    let hot = load_map
         .loads
         .iter()
         .filter(inside)
         .max_by(|a, b| a.rate.total_cmp(&b.rate));
     if let Some(hot) = hot
-        && spread.rate(hot.rate, 0.0) > want / 2.0
+        && load_map.weight(hot.rate, 0.0) > wanted / 2.0
     {
         let point = hot.range.start;
         return Some(vec![Step::Isolate { point }]);
@@ -425,34 +451,38 @@
     Some(vec![Step::Split { at }])
 }
 
-/// Returns the joins of cold neighbours, when there are more ranges than the document asks for.
-fn cold<T>(record: &Record, loads: &[Load], document: &Document, tends: &T) -> Vec<Step>
+/// Returns the joins of neighbouring ranges with little load, if there are more ranges than the
+/// document asks for.
+fn join_cold<M>(record: &Record, loads: &[Load], document: &Document, may_move: &M) -> Vec<Step>
 where
-    T: Fn(&str) -> bool,
+    M: Fn(&str) -> bool,
 {
     let wanted = record.members.len() * usize::try_from(document.ranges).unwrap_or(1);
     if record.ranges.len() <= wanted {
         return Vec::new();
     }
-    let spread = Spread::new(record, loads);
-    let limit = Scale::new(record, loads).mean() * COLD;
-    let joins = |pair: &&[Entry]| {
-        let same = pair[0].chain[0] == pair[1].chain[0] && tends(&pair[0].chain[0]);
-        let still = !pair[0].moving && !pair[1].moving;
-        same && still && rate(&spread, &pair[0]) + rate(&spread, &pair[1]) < limit
+    let load_map = LoadMap::new(record, loads);
+    let limit = TargetWeights::new(record, loads).mean() * COLD_PART;
+    let can_join = |pair: &&[Entry]| {
+        let same_owner = pair[0].chain[0] == pair[1].chain[0] && may_move(&pair[0].chain[0]);
+        let settled = !pair[0].moving && !pair[1].moving;
+        same_owner
+            && settled
+            && entry_weight(&load_map, &pair[0]) + entry_weight(&load_map, &pair[1]) < limit
     };
-    let pairs = record.ranges.windows(2).filter(joins);
+    let pairs = record.ranges.windows(2).filter(can_join);
     let excess = record.ranges.len() - wanted;
     pairs
-        .take(excess.min(STEPS))
+        .take(excess.min(MAX_STEPS))
         .map(|pair| Step::Join {
             at: pair[1].range.start,
         })
         .collect()
 }
 
-/// Returns the share of the space that each target holds, moving ranges counted for the next.
-fn shares(record: &Record) -> IndexMap<TargetId, f64> {
+/// Returns the part of the hash space that each target holds; a moving range counts for its next
+/// owner.
+fn space_shares(record: &Record) -> IndexMap<TargetId, f64> {
     let mut shares = IndexMap::new();
     for entry in &record.ranges {
         let target = &entry.chain[usize::from(entry.moving && entry.chain.len() > 1)];
@@ -461,6 +491,6 @@
     shares
 }
 
-fn of(shares: &IndexMap<TargetId, f64>, target: &str) -> f64 {
+fn share_of(shares: &IndexMap<TargetId, f64>, target: &str) -> f64 {
     shares.get(target).copied().unwrap_or(0.0)
 }
--- a/src/limit/admission.rs
+++ b/src/limit/admission.rs
@@ -1,4 +1,8 @@
-//! The way to one target: what is sent now, what waits, and what is refused.
+//! Admission control for one target: which requests are sent now, queued or refused.
+//!
+//! Each class of requests has a queue of its own. A request is queued only if it can be expected to
+//! be sent before its class's queueing time and its own deadline end; else it is refused at once.
+//! The state is changed by events alone, so that tests can drive it with a clock of their own.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,75 +11,75 @@
 use super::{
     ConcurrencyLimit, blend,
     concurrency::{self, Sample, Slots},
-    share::{self, Lane},
+    share::{self, ClassState},
 };
 use crate::{document::Class, request::Deadline};
 
-/// The part of a new sample in the averages.
-const PART: f64 = 0.1;
-/// The time over which the drain rate is measured.
+/// The weight of a new sample in the average service time.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// The time over which a class's rate of completions is measured.
 const RATE_SPAN: Duration = Duration::from_millis(500);
-/// How many may wait in a class of which nothing was measured yet.
+/// The longest queue of a class whose service time isn't known yet.
 const UNKNOWN_QUEUE: usize = 8;
-/// The shortest time to come back.
+/// The shortest time after which a refused request may be sent again.
 const RETRY_MIN: Duration = Duration::from_millis(50);
-/// The longest time to come back.
+/// The longest time after which a refused request may be sent again.
 const RETRY_MAX: Duration = Duration::from_secs(30);
 
-/// What a request counts for at the least, however soon it ends.
-const LEAST_HOLD: Duration = Duration::from_micros(1);
+/// The slot time that is counted for a request at the least, however soon it ends.
+const MIN_SLOT_TIME: Duration = Duration::from_micros(1);
 
-/// The caller's number of a request; never used twice.
+/// The number that the user of the queue gives to a request; never used twice.
 pub type Ticket = u64;
 
-/// What happens at a gate.
+/// An input of an [`AdmissionQueue`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request came in.
+    /// A request arrived.
     Request {
-        /// Its number.
+        /// The number of the request.
         ticket: Ticket,
         /// Its class.
         class: String,
-        /// When its time ends.
+        /// Its deadline.
         deadline: Deadline,
     },
-    /// A request that was admitted has ended.
+    /// An admitted request ended.
     Ended {
-        /// Its number.
+        /// The number of the request.
         ticket: Ticket,
-        /// How.
+        /// How it ended.
         sample: Sample,
     },
-    /// The caller of a request that waits went away.
+    /// The caller of a queued request cancelled it.
     Cancelled {
-        /// Its number.
+        /// The number of the request.
         ticket: Ticket,
     },
-    /// The target has started and is cold.
+    /// The target has just started, and needs a warm-up.
     ColdStart,
-    /// The target says that it is overloaded.
+    /// The target reports that it is overloaded.
     Overloaded,
-    /// The target gets no new work.
+    /// The target takes no new requests any more.
     Drain,
-    /// The document, or the number of VMs, changed.
+    /// The document or the number of VMs changed.
     Slots(Slots),
     /// Time passed.
     Tick,
 }
 
-/// What a gate decides.
+/// A decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Send the request.
     Admit(Ticket),
-    /// Refuse the request; it was not sent.
+    /// Refuse the request, which was not sent.
     Refuse {
-        /// Its number.
+        /// The number of the request.
         ticket: Ticket,
-        /// Why.
+        /// Why it is refused.
         reason: RefusalReason,
-        /// When to come back.
+        /// The time after which the caller may send it again.
         retry_after: Duration,
     },
 }
@@ -85,67 +89,70 @@
 pub enum RefusalReason {
     /// The service has no such class.
     UnknownClass,
-    /// It would wait for longer than its class or its deadline allows.
+    /// The expected wait is longer than the class or the deadline allows.
     QueueFull,
-    /// Its time ended while it waited.
+    /// The request was queued for as long as its class or its deadline allows.
     QueueTimeout,
-    /// The target can't be reached.
+    /// No connection to the target can be established.
     Unreachable,
-    /// The target is leaving.
+    /// The target takes no new requests.
     Draining,
 }
 
-/// The state of the way to one target.
+/// The queued and in-flight requests of this VM for one target.
 #[derive(Debug)]
 pub struct AdmissionQueue {
-    cap: ConcurrencyLimit,
-    lanes: IndexMap<String, Queue>,
-    flying: IndexMap<Ticket, Flight>,
+    limit: ConcurrencyLimit,
+    classes: IndexMap<String, ClassQueue>,
+    in_flight: IndexMap<Ticket, Flight>,
     draining: bool,
 }
 
+/// The requests of one class.
 #[derive(Debug)]
-struct Queue {
+struct ClassQueue {
+    /// Percent of the slots.
     share: u32,
-    longest: Duration,
-    waiting: VecDeque<Waiting>,
-    used: u32,
-    /// Seconds that a request takes.
-    hold: Option<f64>,
-    /// For how long its requests have held slots, for each percent of its share.
-    passed: Duration,
-    rate: Rate,
+    max_wait: Duration,
+    queued: VecDeque<Queued>,
+    in_flight: u32,
+    /// The average time of a request at the target, in seconds.
+    service_time: Option<f64>,
+    /// The time for which its requests have held slots, divided by its share in percent.
+    virtual_time: Duration,
+    completions: CompletionRate,
 }
 
-impl Queue {
+impl ClassQueue {
     fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.used == 0
+        self.queued.is_empty() && self.in_flight == 0
     }
 }
 
 /// A request that was sent.
 #[derive(Clone, Copy, Debug)]
 struct Flight {
-    lane: usize,
-    since: Duration,
+    /// The index of its class.
+    class: usize,
+    sent: Duration,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct Queued {
     ticket: Ticket,
     until: Duration,
 }
 
-/// How many requests end in a second.
+/// The measured number of requests that end per second.
 #[derive(Debug, Default)]
-struct Rate {
+struct CompletionRate {
     since: Duration,
     ended: u32,
     measured: Option<f64>,
 }
 
-impl Rate {
-    fn take(&mut self, now: Duration) {
+impl CompletionRate {
+    fn count(&mut self, now: Duration) {
         self.ended += 1;
         let span = now.saturating_sub(self.since);
         if span < RATE_SPAN {
@@ -160,15 +167,15 @@
         self.ended = 0;
     }
 
-    /// Starts a new span after a time in which there was nothing to do.
-    fn wake(&mut self, now: Duration) {
+    /// Starts a new span, so that an idle time doesn't lower the rate.
+    fn restart(&mut self, now: Duration) {
         self.since = now;
         self.ended = 0;
     }
 }
 
 impl AdmissionQueue {
-    /// Creates the gate of a target for the classes of its service.
+    /// Creates the queue of a target with the classes of its service.
     ///
     /// # Example
     ///
@@ -176,26 +183,26 @@
     /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots};
     /// use indexmap::IndexMap;
     ///
-    /// let gate = AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
-    /// assert_eq!(gate.in_flight(), 0);
+    /// let queue = AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
+    /// assert_eq!(queue.in_flight(), 0);
     /// ```
     pub fn new(slots: Slots, classes: &IndexMap<String, Class>) -> Self {
-        let queue = |class: &Class| Queue {
+        let queue = |class: &Class| ClassQueue {
             share: class.share,
-            longest: class.queue,
-            waiting: VecDeque::new(),
-            used: 0,
-            hold: None,
-            passed: Duration::ZERO,
-            rate: Rate::default(),
+            max_wait: class.queue,
+            queued: VecDeque::new(),
+            in_flight: 0,
+            service_time: None,
+            virtual_time: Duration::ZERO,
+            completions: CompletionRate::default(),
         };
         Self {
-            cap: ConcurrencyLimit::new(slots),
-            lanes: classes
+            limit: ConcurrencyLimit::new(slots),
+            classes: classes
                 .iter()
                 .map(|(name, class)| (name.clone(), queue(class)))
                 .collect(),
-            flying: IndexMap::new(),
+            in_flight: IndexMap::new(),
             draining: false,
         }
     }
@@ -211,10 +218,10 @@
     /// assert_eq!(AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).in_flight(), 0);
     /// ```
     pub fn in_flight(&self) -> usize {
-        self.flying.len()
+        self.in_flight.len()
     }
 
-    /// Returns how many requests wait.
+    /// Returns how many requests are queued.
     ///
     /// # Example
     ///
@@ -225,7 +232,7 @@
     /// assert_eq!(AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).waiting(), 0);
     /// ```
     pub fn waiting(&self) -> usize {
-        self.lanes.values().map(|lane| lane.waiting.len()).sum()
+        self.classes.values().map(|class| class.queued.len()).sum()
     }
 
     /// Returns how many requests may be in flight.
@@ -239,24 +246,28 @@
     /// assert_eq!(AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new()).limit(), 3);
     /// ```
     pub fn limit(&self) -> u32 {
-        self.cap.limit()
+        self.limit.limit()
     }
 
-    /// Takes an event.
+    /// Handles an event, and returns the decisions that follow from it and from the time.
     ///
     /// # Example
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::limit::{AdmissionQueue, concurrency::Slots, admission::{Effect, Event, RefusalReason}};
+    /// use bramleypier::limit::{
+    ///     AdmissionQueue,
+    ///     admission::{Effect, Event, RefusalReason},
+    ///     concurrency::Slots,
+    /// };
     /// use bramleypier::request::Deadline;
     /// use indexmap::IndexMap;
     ///
-    /// let mut gate = AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
+    /// let mut queue = AdmissionQueue::new(Slots { slots: 2, vms: 1 }, &IndexMap::new());
     /// let deadline = Deadline { at: Duration::from_secs(1) };
-    /// let ask = Event::Request { ticket: 1, class: "look-up".into(), deadline };
-    /// let effects = gate.on(Duration::ZERO, ask);
+    /// let request = Event::Request { ticket: 1, class: "look-up".into(), deadline };
+    /// let effects = queue.on(Duration::ZERO, request);
     /// assert!(matches!(effects[..], [Effect::Refuse { reason: RefusalReason::UnknownClass, .. }]));
     /// ```
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Effect> {
@@ -266,13 +277,13 @@
                 ticket,
                 class,
                 deadline,
-            } => effects.extend(self.ask(now, ticket, &class, deadline)),
-            Event::Ended { ticket, sample } => self.done(now, ticket, sample),
-            Event::Cancelled { ticket } => self.dropped(ticket),
-            Event::ColdStart => self.cap.warm_up(),
-            Event::Overloaded => self.cap.hint_busy(),
+            } => effects.extend(self.enqueue(now, ticket, &class, deadline)),
+            Event::Ended { ticket, sample } => self.end(now, ticket, sample),
+            Event::Cancelled { ticket } => self.cancel(ticket),
+            Event::ColdStart => self.limit.warm_up(),
+            Event::Overloaded => self.limit.report_overload(),
             Event::Drain => effects.extend(self.drain()),
-            Event::Slots(slots) => self.cap.resize(slots),
+            Event::Slots(slots) => self.limit.resize(slots),
             Event::Tick => {}
         }
         effects.extend(self.expire(now));
@@ -280,7 +291,8 @@
         effects
     }
 
-    fn ask(
+    /// Queues a request, or refuses it.
+    fn enqueue(
         &mut self,
         now: Duration,
         ticket: Ticket,
@@ -297,176 +309,201 @@
         if self.draining {
             return refuse(RefusalReason::Draining, RETRY_MIN);
         }
-        let Some(index) = self.lanes.get_index_of(class) else {
+        let Some(index) = self.classes.get_index_of(class) else {
             return refuse(RefusalReason::UnknownClass, Duration::ZERO);
         };
-        let left = deadline.at.saturating_sub(now);
-        let longest = self.lanes[index].longest.min(left);
-        let closed = self.cap.closed(now).map(|until| until.saturating_sub(now));
-        if let Some(wait) = closed.filter(|wait| *wait > longest) {
+        let remaining = deadline.at.saturating_sub(now);
+        let max_wait = self.classes[index].max_wait.min(remaining);
+        let closed = self
+            .limit
+            .closed_until(now)
+            .map(|until| until.saturating_sub(now));
+        if let Some(wait) = closed.filter(|wait| *wait > max_wait) {
             return refuse(RefusalReason::Unreachable, wait);
         }
-        self.level(index);
-        if !self.would_send(index, now) && self.expected(index).is_none_or(|wait| wait > longest) {
-            self.cap.used_up();
-            return refuse(RefusalReason::QueueFull, self.retry(index, ticket));
+        self.catch_up(index);
+        if !self.would_send(index, now)
+            && self.expected_wait(index).is_none_or(|wait| wait > max_wait)
+        {
+            self.limit.mark_saturated();
+            return refuse(RefusalReason::QueueFull, self.retry_after(index, ticket));
         }
-        let lane = &mut self.lanes[index];
-        if lane.is_idle() {
-            lane.rate.wake(now);
+        let class = &mut self.classes[index];
+        if class.is_idle() {
+            class.completions.restart(now);
         }
-        let until = now + longest;
-        lane.waiting.push_back(Waiting { ticket, until });
+        let until = now + max_wait;
+        class.queued.push_back(Queued { ticket, until });
         None
     }
 
-    /// Brings a class that leaves slots of its own unused up to the least of the busy others, and to
-    /// all that was had if none is busy: what it left unused was lent, and is not owed.
-    fn level(&mut self, index: usize) {
-        let lane = &self.lanes[index];
-        if !lane.waiting.is_empty() || lane.used >= self.own(index).max(1) {
+    /// Raises the virtual time of a class that leaves slots of its own unused.
+    ///
+    /// It becomes at least the lowest of the other busy classes, or the highest of all classes if
+    /// no other is busy. Other classes borrowed the unused slots, and don't owe them.
+    fn catch_up(&mut self, index: usize) {
+        let class = &self.classes[index];
+        if !class.queued.is_empty() || class.in_flight >= self.own_slots(index).max(1) {
             return;
         }
-        let others = self.lanes.values().enumerate();
-        let others = others.filter(|(other, lane)| *other != index && !lane.is_idle());
-        let least = others.map(|(_, lane)| lane.passed).min();
-        let most = self.lanes.values().map(|lane| lane.passed).max();
-        let floor = least.or(most).unwrap_or_default();
-        let lane = &mut self.lanes[index];
-        lane.passed = lane.passed.max(floor);
+        let others = self.classes.values().enumerate();
+        let others = others.filter(|(other, class)| *other != index && !class.is_idle());
+        let lowest = others.map(|(_, class)| class.virtual_time).min();
+        let highest = self.classes.values().map(|class| class.virtual_time).max();
+        let floor = lowest.or(highest).unwrap_or_default();
+        let class = &mut self.classes[index];
+        class.virtual_time = class.virtual_time.max(floor);
     }
 
-    fn own(&self, index: usize) -> u32 {
-        let shares: Vec<_> = self.lanes.values().map(|lane| lane.share).collect();
-        share::own(self.cap.limit(), &shares)[index]
+    fn own_slots(&self, index: usize) -> u32 {
+        let shares: Vec<_> = self.classes.values().map(|class| class.share).collect();
+        share::own_slots(self.limit.limit(), &shares)[index]
     }
 
+    /// Returns whether a new request of the class would be sent at once.
     fn would_send(&self, index: usize, now: Duration) -> bool {
-        let lane = &self.lanes[index];
-        let lanes = self.view();
-        let fits = share::may_send(self.cap.limit(), &lanes, index);
-        lane.waiting.is_empty() && fits && self.cap.closed(now).is_none()
+        let class = &self.classes[index];
+        let classes = self.class_states();
+        let fits = share::may_send(self.limit.limit(), &classes, index);
+        class.queued.is_empty() && fits && self.limit.closed_until(now).is_none()
     }
 
-    /// Returns how long one more request of the class would wait, as far as is known; nothing if
-    /// nothing is known and enough wait already.
-    fn expected(&self, index: usize) -> Option<Duration> {
-        let lane = &self.lanes[index];
-        let ahead = u32::try_from(lane.waiting.len()).unwrap_or(u32::MAX);
+    /// Returns how long a new request of the class would wait.
+    ///
+    /// With an unknown service time this is zero up to [`UNKNOWN_QUEUE`] queued requests, and
+    /// unknown beyond.
+    fn expected_wait(&self, index: usize) -> Option<Duration> {
+        let class = &self.classes[index];
+        let ahead = u32::try_from(class.queued.len()).unwrap_or(u32::MAX);
         let Some(rate) = self.rate(index) else {
-            return (lane.waiting.len() < UNKNOWN_QUEUE).then_some(Duration::ZERO);
+            return (class.queued.len() < UNKNOWN_QUEUE).then_some(Duration::ZERO);
         };
         Some(seconds(f64::from(ahead.saturating_add(1)) / rate))
     }
 
-    /// Returns how many requests of the class end in a second: what was measured, and no less than
-    /// its own slots give.
+    /// Returns how many requests of the class end per second.
+    ///
+    /// This is the measured rate, but at least what the class's own slots serve.
     fn rate(&self, index: usize) -> Option<f64> {
-        let lane = &self.lanes[index];
-        let own = self.own(index).max(1);
-        let least = f64::from(own) / lane.hold?.max(1e-6);
-        // What is in flight beyond the target's slots waits there: holds are longer than work.
-        Some(lane.rate.measured.map_or(least, |rate| rate.max(least)))
+        let class = &self.classes[index];
+        let own = self.own_slots(index).max(1);
+        let lowest = f64::from(own) / class.service_time?.max(1e-6);
+        // Requests in flight beyond the target's slots queue there, which lengthens the measured
+        // service time: the rate computed from it alone would be too low.
+        Some(
+            class
+                .completions
+                .measured
+                .map_or(lowest, |rate| rate.max(lowest)),
+        )
     }
 
-    fn retry(&self, index: usize, ticket: Ticket) -> Duration {
-        let wait = self.expected(index).unwrap_or(RETRY_MIN);
+    /// Returns the time after which a refused request may be sent again: about twice the wait.
+    fn retry_after(&self, index: usize, ticket: Ticket) -> Duration {
+        let wait = self.expected_wait(index).unwrap_or(RETRY_MIN);
         concurrency::jitter(2 * wait, ticket.wrapping_mul(0x9e37_79b9)).clamp(RETRY_MIN, RETRY_MAX)
     }
 
-    fn done(&mut self, now: Duration, ticket: Ticket, sample: Sample) {
-        let Some(flight) = self.flying.swap_remove(&ticket) else {
+    fn end(&mut self, now: Duration, ticket: Ticket, sample: Sample) {
+        let Some(flight) = self.in_flight.swap_remove(&ticket) else {
             return;
         };
-        let lane = self.lanes.get_index_mut(flight.lane);
-        let (class, lane) = lane.expect("lanes stay");
-        lane.used -= 1;
-        let held = now.saturating_sub(flight.since).max(LEAST_HOLD);
-        lane.passed += held / lane.share.max(1);
+        let class = self.classes.get_index_mut(flight.class);
+        let (name, class) = class.expect("classes are never removed");
+        class.in_flight -= 1;
+        let slot_time = now.saturating_sub(flight.sent).max(MIN_SLOT_TIME);
+        class.virtual_time += slot_time / class.share.max(1);
         if let Sample::Answered(latency) = sample {
             let taken = latency.as_secs_f64();
-            lane.hold = Some(lane.hold.map_or(taken, |hold| blend(hold, taken, PART)));
-            lane.rate.take(now);
+            class.service_time = Some(
+                class
+                    .service_time
+                    .map_or(taken, |average| blend(average, taken, SAMPLE_WEIGHT)),
+            );
+            class.completions.count(now);
         }
-        self.cap.learn(now, class, sample, ticket);
+        self.limit.update(now, name, sample, ticket);
     }
 
-    fn dropped(&mut self, ticket: Ticket) {
-        for lane in self.lanes.values_mut() {
-            lane.waiting.retain(|waiting| waiting.ticket != ticket);
+    fn cancel(&mut self, ticket: Ticket) {
+        for class in self.classes.values_mut() {
+            class.queued.retain(|queued| queued.ticket != ticket);
         }
     }
 
     fn drain(&mut self) -> Vec<Effect> {
         self.draining = true;
-        let waiting = self
-            .lanes
+        let queued = self
+            .classes
             .values_mut()
-            .flat_map(|lane| lane.waiting.drain(..));
-        let refuse = |waiting: Waiting| Effect::Refuse {
-            ticket: waiting.ticket,
+            .flat_map(|class| class.queued.drain(..));
+        let refuse = |queued: Queued| Effect::Refuse {
+            ticket: queued.ticket,
             reason: RefusalReason::Draining,
             retry_after: RETRY_MIN,
         };
-        waiting.map(refuse).collect()
+        queued.map(refuse).collect()
     }
 
-    /// Refuses what has waited for too long.
+    /// Refuses the requests that were queued for too long.
     fn expire(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
-        for index in 0..self.lanes.len() {
-            let waiting = &mut self.lanes[index].waiting;
-            let late = waiting.iter().filter(|one| one.until <= now);
-            let late: Vec<_> = late.map(|one| one.ticket).collect();
-            waiting.retain(|one| one.until > now);
-            effects.extend(late.into_iter().map(|ticket| Effect::Refuse {
+        for index in 0..self.classes.len() {
+            let queued = &mut self.classes[index].queued;
+            let expired = queued.iter().filter(|request| request.until <= now);
+            let expired: Vec<_> = expired.map(|request| request.ticket).collect();
+            queued.retain(|request| request.until > now);
+            effects.extend(expired.into_iter().map(|ticket| Effect::Refuse {
                 ticket,
                 reason: RefusalReason::QueueTimeout,
-                retry_after: self.retry(index, ticket),
+                retry_after: self.retry_after(index, ticket),
             }));
         }
         effects
     }
 
-    /// Sends what may be sent. First in, first out: as nobody is let in who can't be served in
-    /// time, turning the queue round would only make some wait for longer.
+    /// Sends the queued requests that may be sent now.
+    ///
+    /// Each class is served first in, first out. Only requests that can be served in time are
+    /// queued, so serving the newest first would only make others wait for longer.
     fn send(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = Vec::new();
-        if self.cap.closed(now).is_some() {
+        if self.limit.closed_until(now).is_some() {
             return effects;
         }
-        while let Some(index) = share::next(self.cap.limit(), &self.view()) {
-            let lane = &mut self.lanes[index];
-            let Some(next) = lane.waiting.pop_front() else {
+        while let Some(index) = share::next(self.limit.limit(), &self.class_states()) {
+            let class = &mut self.classes[index];
+            let Some(next) = class.queued.pop_front() else {
                 break;
             };
-            lane.used += 1;
+            class.in_flight += 1;
             let flight = Flight {
-                lane: index,
-                since: now,
+                class: index,
+                sent: now,
             };
-            self.flying.insert(next.ticket, flight);
+            self.in_flight.insert(next.ticket, flight);
             effects.push(Effect::Admit(next.ticket));
         }
         if self.waiting() > 0 {
-            self.cap.used_up();
+            self.limit.mark_saturated();
         }
         effects
     }
 
-    fn view(&self) -> Vec<Lane> {
-        let view = |lane: &Queue| Lane {
-            share: lane.share,
-            used: lane.used,
-            waiting: lane.waiting.len(),
-            hold: seconds(lane.hold.unwrap_or_default()),
-            queue: lane.longest,
-            passed: lane.passed,
+    fn class_states(&self) -> Vec<ClassState> {
+        let state = |class: &ClassQueue| ClassState {
+            share: class.share,
+            in_flight: class.in_flight,
+            queued: class.queued.len(),
+            service_time: seconds(class.service_time.unwrap_or_default()),
+            max_wait: class.max_wait,
+            virtual_time: class.virtual_time,
         };
-        self.lanes.values().map(view).collect()
+        self.classes.values().map(state).collect()
     }
 }
 
+/// Returns a duration, or [`RETRY_MAX`] for one that is out of range.
 fn seconds(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or(RETRY_MAX)
 }
--- a/src/limit/concurrency.rs
+++ b/src/limit/concurrency.rs
@@ -1,58 +1,63 @@
-//! How many requests to have in flight at one target.
+//! The concurrency limit of one target: how many requests this VM may have in flight there.
+//!
+//! The limit starts at this VM's part of the target's slots and adapts to the latencies and
+//! failures that this VM sees. After failed connections it closes the target for a growing time.
 
 use std::{collections::VecDeque, time::Duration};
 
 use indexmap::IndexMap;
 
-/// How many answers make a window.
-const WINDOW: u32 = 16;
-/// How many windows the least mean latency is taken from.
+/// The number of answers of a class in one window.
+const WINDOW_ANSWERS: u32 = 16;
+/// The number of recent windows from which the lowest mean latency is taken.
 const WINDOWS: usize = 32;
-/// How much slower than the least mean counts as queueing at the target.
-const SLOW: f64 = 2.0;
-/// How much slower still lets the cap grow.
-const FAIR: f64 = 1.5;
-/// What is left of the cap after a slow window.
-const SLOW_CUT: f64 = 0.8;
-/// What is left of the cap after a refusal or a lost request.
-const HARD_CUT: f64 = 0.6;
-/// How long one hard cut holds before the next: its effect has to be seen first.
-const CUT_PAUSE: Duration = Duration::from_millis(200);
-/// The first wait after a failed connection.
+/// Above this multiple of the lowest mean latency requests count as queueing at the target.
+const SLOW_RATIO: f64 = 2.0;
+/// Up to this multiple of the lowest mean latency the limit may grow.
+const GROWTH_RATIO: f64 = 1.5;
+/// The factor applied to the limit after a slow window.
+const SLOW_DECREASE: f64 = 0.8;
+/// The factor applied to the limit after a refused or lost request.
+const FAILURE_DECREASE: f64 = 0.6;
+/// The shortest time between two decreases after failures: the effect of one must show first.
+const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
+/// The wait after the first failed connection; it doubles with each further one.
 const BACKOFF: Duration = Duration::from_millis(50);
 /// The longest wait after failed connections.
 const BACKOFF_MAX: Duration = Duration::from_secs(5);
 
-/// What a target can take at the most, as its document says.
+/// The capacity of a target, as its document states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slots {
-    /// How many requests it runs at a time.
+    /// The number of requests that the target runs at a time.
     pub slots: u32,
-    /// How many VMs share them; 1 for exclusive ownership.
+    /// The number of VMs that share the slots; 1 for exclusive ownership.
     pub vms: u32,
 }
 
-/// How one request ended, as far as the cap cares.
+/// How one request ended, as the concurrency limit needs to know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sample {
     /// The target answered after this time.
     Answered(Duration),
-    /// The target refused it: it is overloaded.
+    /// The target refused the request because of overload.
     Shed,
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// No answer came in time, or the connection broke.
+    /// No answer arrived in time, or the connection failed.
     Lost,
-    /// It says nothing about the target: it was cancelled.
+    /// The request was cancelled, which says nothing about the target.
     Cancelled,
 }
 
-/// The learned limit of requests in flight.
+/// An adaptive limit of the requests in flight at one target.
 ///
-/// It grows by one for each window of answers in which it was used up and the mean latency stayed
-/// near the least mean seen, so that it settles at the slots plus what the round trip holds. It
-/// shrinks by a factor when latency doubles, or when the target refuses or loses a request. Latency
-/// is compared within each class, for files take longer than look-ups at any load.
+/// - It grows by one after each window of answers in which it was reached and the mean latency
+///   stayed close to the lowest mean seen. It so settles at the slots plus the requests that are
+///   on the network.
+/// - It shrinks by a factor if the latency doubles, or if the target refuses or loses a request.
+/// - Latencies are compared within each class, since file requests take longer than look-ups at
+///   any load.
 ///
 /// # Example
 ///
@@ -66,30 +71,33 @@
 pub struct ConcurrencyLimit {
     slots: Slots,
     limit: f64,
-    most: f64,
-    used_up: bool,
+    max_limit: f64,
+    /// Whether the limit was reached since the last full window, decrease or overload report.
+    saturated: bool,
     classes: IndexMap<String, Latency>,
-    cut_until: Duration,
-    /// Answers since a cold start; nothing once it is over.
-    cold: Option<u32>,
+    next_decrease: Duration,
+    /// The number of answers since a cold start, until the warm-up is over.
+    warm_up: Option<u32>,
+    /// The number of failed connections in a row.
     failures: u32,
     closed_until: Duration,
 }
 
-/// The latency of one class.
+/// The latency of one class, in seconds.
 #[derive(Clone, Debug, Default)]
 struct Latency {
     sum: f64,
     count: u32,
+    /// The means of recent windows, oldest first.
     means: VecDeque<f64>,
 }
 
 impl Latency {
-    /// Takes a sample; at the end of a window returns its mean in units of the least.
-    fn take(&mut self, seconds: f64) -> Option<f64> {
+    /// Adds a sample; if it ends a window, returns the window's mean divided by the lowest mean.
+    fn add(&mut self, seconds: f64) -> Option<f64> {
         self.sum += seconds;
         self.count += 1;
-        if self.count < WINDOW {
+        if self.count < WINDOW_ANSWERS {
             return None;
         }
         let mean = self.sum / f64::from(self.count);
@@ -99,13 +107,13 @@
         if self.means.len() > WINDOWS {
             self.means.pop_front();
         }
-        let least = self.means.iter().copied().fold(f64::INFINITY, f64::min);
-        Some(mean / least.max(1e-6))
+        let lowest = self.means.iter().copied().fold(f64::INFINITY, f64::min);
+        Some(mean / lowest.max(1e-6))
     }
 }
 
 impl ConcurrencyLimit {
-    /// Creates the cap for a target that nothing is known of but its slots.
+    /// Creates the limit for a target of which only the slots are known.
     ///
     /// # Example
     ///
@@ -116,52 +124,57 @@
     /// ```
     pub fn new(slots: Slots) -> Self {
         let part = f64::from(slots.slots) / f64::from(slots.vms.max(1));
-        // One more than the slots travels while they work; a small part needs no more than itself.
+        // One request more than the slots covers the round trip. A part of less than one slot
+        // gets a single request.
         let limit = if part >= 1.0 { part + 1.0 } else { 1.0 };
         Self {
             slots,
             limit,
-            most: (4.0 * part).max(4.0),
-            used_up: false,
+            max_limit: (4.0 * part).max(4.0),
+            saturated: false,
             classes: IndexMap::new(),
-            cut_until: Duration::ZERO,
-            cold: None,
+            next_decrease: Duration::ZERO,
+            warm_up: None,
             failures: 0,
             closed_until: Duration::ZERO,
         }
     }
 
-    /// Takes a change of the document or of the number of VMs, and begins anew from it.
+    /// Restarts the limit from new slots, after a change of the document or of the number of VMs.
+    ///
+    /// Unchanged slots have no effect. What was measured is kept.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
-    /// cap.resize(Slots { slots: 4, vms: 1 });
-    /// assert_eq!(cap.limit(), 5);
+    /// let mut limit = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
+    /// limit.resize(Slots { slots: 4, vms: 1 });
+    /// assert_eq!(limit.limit(), 5);
     /// ```
     pub fn resize(&mut self, slots: Slots) {
         if slots == self.slots {
             return;
         }
-        let fresh = Self::new(slots);
+        let initial = Self::new(slots);
         self.slots = slots;
-        self.limit = fresh.limit;
-        self.most = fresh.most;
+        self.limit = initial.limit;
+        self.max_limit = initial.max_limit;
     }
 
-    /// Returns how many requests may be in flight, back-off aside; at the least 1.
+    /// Returns how many requests may be in flight, which is at least 1.
+    ///
+    /// The back-off after failed connections doesn't count here: see [`Self::closed_until`].
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
-    /// cap.warm_up();
-    /// assert_eq!(cap.limit(), 1);
+    /// let mut limit = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
+    /// limit.warm_up();
+    /// assert_eq!(limit.limit(), 1);
     /// ```
     #[allow(
         clippy::cast_possible_truncation,
@@ -170,12 +183,12 @@
     )]
     pub fn limit(&self) -> u32 {
         let limit = self.limit.floor().max(1.0) as u32;
-        // A cold target gets one more for each four answers.
-        let ramp = self.cold.map_or(u32::MAX, |answers| 1 + answers / 4);
+        // A cold target gets one request more after every fourth answer.
+        let ramp = self.warm_up.map_or(u32::MAX, |answers| 1 + answers / 4);
         limit.min(ramp)
     }
 
-    /// Returns when the next request may be sent, if the target is left alone for now.
+    /// Returns the time until which the target gets no requests, if it is backing off now.
     ///
     /// # Example
     ///
@@ -184,60 +197,61 @@
     ///
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Sample, Slots};
     ///
-    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
-    /// cap.learn(Duration::ZERO, "look-up", Sample::Unreachable, 7);
-    /// assert!(cap.closed(Duration::ZERO).is_some());
-    /// assert!(cap.closed(Duration::from_secs(1)).is_none());
+    /// let mut limit = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
+    /// limit.update(Duration::ZERO, "look-up", Sample::Unreachable, 7);
+    /// assert!(limit.closed_until(Duration::ZERO).is_some());
+    /// assert!(limit.closed_until(Duration::from_secs(1)).is_none());
     /// ```
-    pub fn closed(&self, now: Duration) -> Option<Duration> {
+    pub fn closed_until(&self, now: Duration) -> Option<Duration> {
         (now < self.closed_until).then_some(self.closed_until)
     }
 
-    /// Begins a cold start: one request at a time, then more with each few answers.
+    /// Begins a warm-up: one request at a time, and one more after every fourth answer.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
-    /// cap.warm_up();
-    /// assert_eq!(cap.limit(), 1);
+    /// let mut limit = ConcurrencyLimit::new(Slots { slots: 2, vms: 1 });
+    /// limit.warm_up();
+    /// assert_eq!(limit.limit(), 1);
     /// ```
     pub fn warm_up(&mut self) {
-        self.cold = Some(0);
+        self.warm_up = Some(0);
         self.classes.clear();
     }
 
-    /// Notes that a request had to wait since the limit was reached.
+    /// Records that a request had to wait or was refused because the limit was reached.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).used_up();
+    /// ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).mark_saturated();
     /// ```
-    pub fn used_up(&mut self) {
-        self.used_up = true;
+    pub fn mark_saturated(&mut self) {
+        self.saturated = true;
     }
 
-    /// Takes a weak hint: the target says that it is overloaded.
+    /// Records that the target reports overload.
     ///
-    /// Load reports lag and mislead, so a hint only keeps the cap from growing in this window.
+    /// Load reports lag behind and can be wrong, so this only keeps the limit from growing in the
+    /// current window.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Slots};
     ///
-    /// ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).hint_busy();
+    /// ConcurrencyLimit::new(Slots { slots: 2, vms: 1 }).report_overload();
     /// ```
-    pub fn hint_busy(&mut self) {
-        self.used_up = false;
+    pub fn report_overload(&mut self) {
+        self.saturated = false;
     }
 
-    /// Takes how a request ended; `dice` is any number, for jitter.
+    /// Adapts the limit to how a request ended; `random` is any number, for jitter.
     ///
     /// # Example
     ///
@@ -246,65 +260,65 @@
     ///
     /// use bramleypier::limit::concurrency::{ConcurrencyLimit, Sample, Slots};
     ///
-    /// let mut cap = ConcurrencyLimit::new(Slots { slots: 10, vms: 1 });
-    /// cap.learn(Duration::from_secs(1), "look-up", Sample::Shed, 7);
-    /// assert_eq!(cap.limit(), 6);
+    /// let mut limit = ConcurrencyLimit::new(Slots { slots: 10, vms: 1 });
+    /// limit.update(Duration::from_secs(1), "look-up", Sample::Shed, 7);
+    /// assert_eq!(limit.limit(), 6);
     /// ```
-    pub fn learn(&mut self, now: Duration, class: &str, sample: Sample, dice: u64) {
+    pub fn update(&mut self, now: Duration, class: &str, sample: Sample, random: u64) {
         match sample {
             Sample::Answered(latency) => self.answered(class, latency),
-            Sample::Shed | Sample::Lost => self.cut(now),
-            Sample::Unreachable => self.back_off(now, dice),
+            Sample::Shed | Sample::Lost => self.decrease(now),
+            Sample::Unreachable => self.back_off(now, random),
             Sample::Cancelled => {}
         }
     }
 
     fn answered(&mut self, class: &str, latency: Duration) {
         self.failures = 0;
-        self.cold = self.cold.map(|answers| answers + 1);
+        self.warm_up = self.warm_up.map(|answers| answers + 1);
         if self
-            .cold
+            .warm_up
             .is_some_and(|answers| f64::from(answers / 4) >= self.limit)
         {
-            self.cold = None;
+            self.warm_up = None;
         }
         if !self.classes.contains_key(class) {
             self.classes.insert(class.into(), Latency::default());
         }
-        let ratio = self.classes[class].take(latency.as_secs_f64());
+        let ratio = self.classes[class].add(latency.as_secs_f64());
         let Some(ratio) = ratio else {
             return;
         };
-        if ratio > SLOW {
-            self.limit = (self.limit * SLOW_CUT).max(1.0);
-        } else if ratio <= FAIR && self.used_up {
-            self.limit = (self.limit + 1.0).min(self.most);
+        if ratio > SLOW_RATIO {
+            self.limit = (self.limit * SLOW_DECREASE).max(1.0);
+        } else if ratio <= GROWTH_RATIO && self.saturated {
+            self.limit = (self.limit + 1.0).min(self.max_limit);
         }
-        self.used_up = false;
+        self.saturated = false;
     }
 
-    fn cut(&mut self, now: Duration) {
-        if now < self.cut_until {
+    fn decrease(&mut self, now: Duration) {
+        if now < self.next_decrease {
             return;
         }
-        self.cut_until = now + CUT_PAUSE;
-        self.limit = (self.limit * HARD_CUT).max(1.0);
-        self.used_up = false;
+        self.next_decrease = now + DECREASE_INTERVAL;
+        self.limit = (self.limit * FAILURE_DECREASE).max(1.0);
+        self.saturated = false;
     }
 
-    fn back_off(&mut self, now: Duration, dice: u64) {
-        // Failures of requests sent together count once.
-        if self.closed(now).is_some() {
+    fn back_off(&mut self, now: Duration, random: u64) {
+        // Requests that were sent together and fail together count as one failure.
+        if self.closed_until(now).is_some() {
             return;
         }
         let wait = BACKOFF.saturating_mul(1 << self.failures.min(16));
         self.failures += 1;
-        self.closed_until = now + jitter(wait.min(BACKOFF_MAX), dice);
-        self.cold = Some(0);
+        self.closed_until = now + jitter(wait.min(BACKOFF_MAX), random);
+        self.warm_up = Some(0);
     }
 }
 
-/// Spreads a wait between half and all of it.
+/// Returns a wait between half of the given one and all of it; `random` is any number.
 ///
 /// # Example
 ///
@@ -316,7 +330,7 @@
 /// let wait = concurrency::jitter(Duration::from_millis(100), 7);
 /// assert!(wait >= Duration::from_millis(50) && wait <= Duration::from_millis(100));
 /// ```
-pub fn jitter(wait: Duration, dice: u64) -> Duration {
-    let part = u32::try_from(dice % 1_024).unwrap_or(0);
+pub fn jitter(wait: Duration, random: u64) -> Duration {
+    let part = u32::try_from(random % 1_024).unwrap_or(0);
     wait / 2 + wait / 2 * part / 1_024
 }
--- a/src/limit/mod.rs
+++ b/src/limit/mod.rs
@@ -1,14 +1,14 @@
-//! Limits: how much work one target gets from this VM, and who goes first.
+//! Limits on the requests that this VM sends to each target, and the order of queued requests.
 //!
-//! - [`concurrency`] learns how many requests to have in flight;
-//! - [`share`] divides them among the classes of work;
-//! - [`admission`] admits, queues and refuses the requests for one target;
-//! - [`pick`] chooses among the targets of a shared service.
+//! - [`concurrency`] adapts the limit of requests in flight;
+//! - [`share`] divides it among the classes of requests;
+//! - [`admission`] admits, queues or refuses the requests for one target;
+//! - [`pick`] selects a target of a shared service.
 //!
-//! Each VM sees only its own requests. For a shared service its cap starts at its part of the
-//! target's slots. The owner of a key may be reached from any VM, so for exclusive ownership the
-//! cap starts at all of the slots; what several VMs then send too much shows as latency or as
-//! refusals at each of them, and each lowers its own cap.
+//! Each VM sees only its own requests. For a shared service its limit starts at its part of the
+//! target's slots. With exclusive ownership any VM may send to the owner of a key, so the limit
+//! starts at all of the slots. If several VMs together send too much then, each sees a higher
+//! latency or refusals, and lowers its own limit.
 
 pub mod admission;
 pub mod concurrency;
@@ -19,7 +19,7 @@
 pub use concurrency::ConcurrencyLimit;
 pub use pick::Pool;
 
-/// Moves an average towards a sample by a part of the difference.
-fn blend(average: f64, sample: f64, part: f64) -> f64 {
-    average + (sample - average) * part
+/// Returns the exponentially weighted moving average after a sample.
+fn blend(average: f64, sample: f64, weight: f64) -> f64 {
+    average + (sample - average) * weight
 }
--- a/src/limit/pick.rs
+++ b/src/limit/pick.rs
@@ -1,4 +1,7 @@
 //! The choice among the targets of a shared service.
+//!
+//! Requests go to the target with the fewest of this VM's requests in flight. Targets that are much
+//! slower than the others, fail often or hang are ejected for a while (outlier ejection).
 
 use std::time::Duration;
 
@@ -7,34 +10,35 @@
 use super::{blend, concurrency::Sample};
 use crate::{id::TargetId, key};
 
-/// The part of a new sample in the averages.
-const PART: f64 = 0.2;
-/// The part of a new sample in what is usual for a class.
-const USUAL: f64 = 0.02;
-/// How much slower than the median a target is set apart.
-const OUTLIER: f64 = 10.0;
-/// How many samples a target needs before it is judged.
-const JUDGED: u32 = 5;
-/// The part of failures at which a target is set apart.
-const FAILING: f64 = 0.5;
-/// How long a target is set apart at first; each further time takes as long again.
-const APART: Duration = Duration::from_secs(2);
-/// How long a target is set apart at the most.
-const APART_MAX: Duration = Duration::from_secs(30);
-/// How long a request in flight may take, in units of what is usual, before the target counts as
-/// hanging.
-const HANGING: f64 = 20.0;
-/// No target counts as hanging sooner than this.
-const HANGING_MIN: Duration = Duration::from_millis(250);
+/// The weight of a new sample in the averages of a target.
+const SAMPLE_WEIGHT: f64 = 0.2;
+/// The weight of a new sample in the average latency of a class.
+const CLASS_WEIGHT: f64 = 0.02;
+/// Above this multiple of the median latency a target is ejected.
+const OUTLIER_RATIO: f64 = 10.0;
+/// The number of samples that a target needs before it can be ejected.
+const MIN_SAMPLES: u32 = 5;
+/// Above this rate of failures a target is ejected.
+const MAX_FAILURE_RATE: f64 = 0.5;
+/// The length of the first ejection; each further one in a row is longer by as much.
+const EJECTION: Duration = Duration::from_secs(2);
+/// The maximum length of an ejection.
+const EJECTION_MAX: Duration = Duration::from_secs(30);
+/// The age of a request in flight at which the target counts as hanging, as a multiple of its
+/// class's average latency.
+const HANG_RATIO: f64 = 20.0;
+/// The minimum age of such a request.
+const HANG_MIN: Duration = Duration::from_millis(250);
 
-/// How to choose.
+/// How a target is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Policy {
-    /// Any, at random: a baseline.
+    /// Any target, at random: a baseline for comparison.
     Random,
-    /// The one with fewer requests in flight of two at random: a baseline.
+    /// Of two random targets the one with fewer requests in flight: a baseline for comparison.
     TwoChoices,
-    /// The one with the fewest of our requests in flight, ties by hash, outliers set apart.
+    /// The target with the fewest of this VM's requests in flight, ties broken by hash, without
+    /// ejected targets.
     #[default]
     LeastRequests,
 }
@@ -57,22 +61,25 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     policy: Policy,
-    /// What a request of each class takes, in seconds, over all targets.
+    /// The average latency of each class over all targets, in seconds.
     classes: IndexMap<String, f64>,
-    targets: IndexMap<TargetId, Seen>,
+    targets: IndexMap<TargetId, TargetStats>,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct TargetStats {
     /// The requests in flight, oldest first.
-    flying: IndexMap<u64, Flight>,
-    /// The latency in units of what is usual for the class.
+    in_flight: IndexMap<u64, Flight>,
+    /// The average latency, as a multiple of the class's average.
     latency: f64,
-    failing: f64,
+    /// The average rate of failures, from 0 to 1.
+    failure_rate: f64,
     samples: u32,
-    apart_until: Duration,
-    times: u32,
-    on_trial: bool,
+    ejected_until: Duration,
+    /// The number of ejections since the target last passed a probation.
+    ejections: u32,
+    /// Whether a request was sent after the last ejection; how it ends decides on the next one.
+    on_probation: bool,
 }
 
 #[derive(Debug)]
@@ -100,7 +107,7 @@
         }
     }
 
-    /// Sets which targets take new work; what is known of those that stay is kept.
+    /// Sets the targets that take new requests; the statistics of those that stay are kept.
     ///
     /// # Example
     ///
@@ -115,12 +122,12 @@
     {
         let mut known = std::mem::take(&mut self.targets);
         for target in targets {
-            let seen = known.swap_remove(&target).unwrap_or_default();
-            self.targets.insert(target, seen);
+            let stats = known.swap_remove(&target).unwrap_or_default();
+            self.targets.insert(target, stats);
         }
     }
 
-    /// Returns the target for a request; `dice` is any number that differs between requests.
+    /// Returns the target for a request; `random` is any number that differs between requests.
     ///
     /// # Example
     ///
@@ -133,24 +140,24 @@
     /// pool.set_targets(["a".to_string()]);
     /// assert_eq!(pool.pick(Duration::ZERO, 1).as_deref(), Some("a"));
     /// ```
-    pub fn pick(&self, now: Duration, dice: u64) -> Option<TargetId> {
+    pub fn pick(&self, now: Duration, random: u64) -> Option<TargetId> {
         let count = u64::try_from(self.targets.len())
             .ok()
             .filter(|it| *it > 0)?;
-        let at = |dice: u64| usize::try_from(dice % count).unwrap_or(0);
+        let at = |random: u64| usize::try_from(random % count).unwrap_or(0);
         let index = match self.policy {
-            Policy::Random => at(dice),
+            Policy::Random => at(random),
             Policy::TwoChoices => {
-                let (one, two) = (at(dice), at(dice / count));
-                let load = |index: usize| self.targets[index].flying.len();
+                let (one, two) = (at(random), at(random / count));
+                let load = |index: usize| self.targets[index].in_flight.len();
                 if load(two) < load(one) { two } else { one }
             }
-            Policy::LeastRequests => self.least(now, dice)?,
+            Policy::LeastRequests => self.least_requests(now, random)?,
         };
         self.targets.get_index(index).map(|(name, _)| name.clone())
     }
 
-    /// Notes that a request was sent.
+    /// Records that a request was sent.
     ///
     /// # Example
     ///
@@ -162,14 +169,14 @@
     /// Pool::default().started(Duration::ZERO, "a", "look-up", 1);
     /// ```
     pub fn started(&mut self, now: Duration, target: &str, class: &str, ticket: u64) {
-        if let Some(seen) = self.targets.get_mut(target) {
+        if let Some(stats) = self.targets.get_mut(target) {
             let class = class.into();
-            seen.flying.insert(ticket, Flight { sent: now, class });
-            seen.on_trial = seen.times > 0;
+            stats.in_flight.insert(ticket, Flight { sent: now, class });
+            stats.on_probation = stats.ejections > 0;
         }
     }
 
-    /// Notes how a request ended, and whether its answer was an error of the target.
+    /// Records how a request ended, and whether its answer was an error of the target.
     ///
     /// # Example
     ///
@@ -182,32 +189,32 @@
     /// ```
     pub fn ended(&mut self, now: Duration, target: &str, ticket: u64, sample: Sample, error: bool) {
         let median = self.median();
-        let Some(seen) = self.targets.get_mut(target) else {
+        let Some(stats) = self.targets.get_mut(target) else {
             return;
         };
-        let flight = seen.flying.shift_remove(&ticket);
+        let flight = stats.in_flight.shift_remove(&ticket);
         let Some(flight) = flight.filter(|_| sample != Sample::Cancelled) else {
             return;
         };
         let ratio = match sample {
-            // A fast error says nothing of how fast the target works.
+            // The latency of an error says nothing about how fast the target serves requests.
             Sample::Answered(latency) if !error => {
-                Some(usual(&mut self.classes, flight.class, latency))
+                Some(relative_latency(&mut self.classes, flight.class, latency))
             }
             _ => None,
         };
-        seen.take(ratio);
-        let slow = median.is_some_and(|median| seen.latency > OUTLIER * median);
-        let judged = seen.samples >= JUDGED || seen.on_trial;
-        if judged && (slow || seen.failing > FAILING) {
-            seen.set_apart(now);
-        } else if !error && seen.on_trial {
-            seen.times = 0;
-            seen.on_trial = false;
+        stats.add(ratio);
+        let slow = median.is_some_and(|median| stats.latency > OUTLIER_RATIO * median);
+        let enough_samples = stats.samples >= MIN_SAMPLES || stats.on_probation;
+        if enough_samples && (slow || stats.failure_rate > MAX_FAILURE_RATE) {
+            stats.eject(now);
+        } else if !error && stats.on_probation {
+            stats.ejections = 0;
+            stats.on_probation = false;
         }
     }
 
-    /// Returns whether the target is set apart or hangs.
+    /// Returns whether the target is ejected or hangs.
     ///
     /// # Example
     ///
@@ -216,47 +223,52 @@
     ///
     /// use bramleypier::limit::Pool;
     ///
-    /// assert!(!Pool::default().is_apart(Duration::ZERO, "a"));
+    /// assert!(!Pool::default().is_ejected(Duration::ZERO, "a"));
     /// ```
-    pub fn is_apart(&self, now: Duration, target: &str) -> bool {
-        let seen = self.targets.get(target);
-        seen.is_some_and(|seen| seen.is_apart(now, &self.classes))
+    pub fn is_ejected(&self, now: Duration, target: &str) -> bool {
+        let stats = self.targets.get(target);
+        stats.is_some_and(|stats| stats.is_ejected(now, &self.classes))
     }
 
-    /// Picks the target with the fewest requests in flight of those not set apart, or of all if
-    /// more than half are: then it is not they that are at fault.
-    fn least(&self, now: Duration, dice: u64) -> Option<usize> {
-        let fit = |seen: &Seen| !seen.is_apart(now, &self.classes);
-        let fits = self.targets.values().filter(|seen| fit(seen)).count();
-        let all = 2 * fits < self.targets.len();
+    /// Returns the target with the fewest requests in flight among those that aren't ejected.
+    ///
+    /// If more than half of the targets are ejected, the cause lies elsewhere, and it chooses among
+    /// all of them.
+    fn least_requests(&self, now: Duration, random: u64) -> Option<usize> {
+        let fit = |stats: &TargetStats| !stats.is_ejected(now, &self.classes);
+        let count = self.targets.values().filter(|stats| fit(stats)).count();
+        let all = 2 * count < self.targets.len();
         let candidates = self.targets.iter().enumerate();
-        let candidates = candidates.filter(|(_, (_, seen))| all || fit(seen));
-        let dice = dice.to_string();
-        let best = candidates.min_by_key(|(_, (name, seen))| {
-            // One that comes back is tried by one request at a time.
-            let trial = seen.times > 0 && !seen.flying.is_empty();
-            (trial, seen.flying.len(), key::weight(&dice, name))
+        let candidates = candidates.filter(|(_, (_, stats))| all || fit(stats));
+        let random = random.to_string();
+        let best = candidates.min_by_key(|(_, (name, stats))| {
+            // A target after an ejection gets one request at a time.
+            let probing = stats.ejections > 0 && !stats.in_flight.is_empty();
+            (probing, stats.in_flight.len(), key::weight(&random, name))
         });
         best.map(|(index, _)| index)
     }
 
-    /// Returns the median of the targets' latencies, in units of the usual.
+    /// Returns the median of the targets' relative latencies.
     fn median(&self) -> Option<f64> {
-        let judged = self.targets.values().filter(|seen| seen.samples >= JUDGED);
-        let mut latencies: Vec<_> = judged.map(|seen| seen.latency).collect();
+        let measured = self
+            .targets
+            .values()
+            .filter(|stats| stats.samples >= MIN_SAMPLES);
+        let mut latencies: Vec<_> = measured.map(|stats| stats.latency).collect();
         latencies.sort_by(f64::total_cmp);
         latencies.get(latencies.len().checked_sub(1)? / 2).copied()
     }
 }
 
-impl Seen {
-    /// Takes the latency of a good answer, in units of the usual, or a failure.
-    fn take(&mut self, ratio: Option<f64>) {
-        let failing = if ratio.is_some() { 0.0 } else { 1.0 };
-        self.failing = blend(self.failing, failing, PART);
+impl TargetStats {
+    /// Adds the relative latency of a good answer, or a failure.
+    fn add(&mut self, ratio: Option<f64>) {
+        let failure = if ratio.is_some() { 0.0 } else { 1.0 };
+        self.failure_rate = blend(self.failure_rate, failure, SAMPLE_WEIGHT);
         if let Some(ratio) = ratio {
             self.latency = if self.latency > 0.0 {
-                blend(self.latency, ratio, PART)
+                blend(self.latency, ratio, SAMPLE_WEIGHT)
             } else {
                 ratio
             };
@@ -264,33 +276,37 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    fn set_apart(&mut self, now: Duration) {
-        self.times += 1;
-        self.apart_until = now + (APART * self.times).min(APART_MAX);
-        self.on_trial = false;
-        // It comes back with a clean slate; one bad sample is enough then.
-        self.failing = FAILING;
+    fn eject(&mut self, now: Duration) {
+        self.ejections += 1;
+        self.ejected_until = now + (EJECTION * self.ejections).min(EJECTION_MAX);
+        self.on_probation = false;
+        // The statistics start anew after the ejection, so that one bad sample ejects it again.
+        self.failure_rate = MAX_FAILURE_RATE;
         self.latency = 0.0;
         self.samples = 0;
     }
 
-    fn is_apart(&self, now: Duration, classes: &IndexMap<String, f64>) -> bool {
+    fn is_ejected(&self, now: Duration, classes: &IndexMap<String, f64>) -> bool {
         let hangs = |flight: &Flight| {
-            let usual = classes.get(&flight.class);
-            let limit = usual.map(|usual| (HANGING * usual).max(HANGING_MIN.as_secs_f64()));
+            let average = classes.get(&flight.class);
+            let limit = average.map(|average| (HANG_RATIO * average).max(HANG_MIN.as_secs_f64()));
             let age = now.saturating_sub(flight.sent).as_secs_f64();
             limit.is_some_and(|limit| age > limit)
         };
-        now < self.apart_until || self.flying.values().any(hangs)
+        now < self.ejected_until || self.in_flight.values().any(hangs)
     }
 }
 
-/// Returns a latency in units of what is usual for its class, and takes it into that.
-fn usual(classes: &mut IndexMap<String, f64>, class: String, latency: Duration) -> f64 {
+/// Returns a latency as a multiple of its class's average, and then adds it to that average.
+fn relative_latency(classes: &mut IndexMap<String, f64>, class: String, latency: Duration) -> f64 {
     let seconds = latency.as_secs_f64().max(1e-6);
-    let usual = classes.entry(class).or_insert(seconds);
-    let ratio = seconds / *usual;
-    // One that hangs for long moves the usual no more than any other slow one.
-    *usual = blend(*usual, seconds.min(OUTLIER * *usual), USUAL);
+    let average = classes.entry(class).or_insert(seconds);
+    let ratio = seconds / *average;
+    // The bound keeps a single very slow request from distorting the average.
+    *average = blend(
+        *average,
+        seconds.min(OUTLIER_RATIO * *average),
+        CLASS_WEIGHT,
+    );
     ratio
 }
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,20 +1,20 @@
-//! Requests that kill their target.
+//! Quarantine of requests that may crash their target.
 //!
-//! Whatever was in flight on a target as it died is a suspect of that death. VMs tell each other
-//! of suspects, so that another VM that gets the resend knows it too. What follows for a request:
+//! Every request in flight at a target when its process dies is a suspect of that death. VMs send
+//! their suspects to each other, since a caller may send the request again through another VM:
 //!
-//! | deaths it is a suspect of | what it may do |
+//! | deaths of which the request is a suspect | decision |
 //! |---|---|
-//! | none | anything |
-//! | one, others were in flight too | run alone: no other suspect on that target at a time |
-//! | one, as the only one | refused for [`SOLE`], then alone |
-//! | two or more | refused for [`EXPIRY`] |
-//! | the same two as another request | refused for a time of its own, then alone |
+//! | none | allowed |
+//! | one, with other suspects | runs alone: no other suspect at that target at the same time |
+//! | one, as the only suspect | refused for [`SOLE`], then runs alone |
+//! | two, and another request is a suspect of both | refused for [`DOUBLE`] to twice that, then runs alone |
+//! | any others | refused for [`EXPIRY`] |
 //!
-//! An innocent request that stood beside a killer completes when it runs alone, and that clears it
-//! on every VM. A request is known by what it asks for, not by its id, for callers may send it
-//! again under another one. Suspicions form sets that only grow until they expire: the order in
-//! which they are heard, and how often, changes nothing.
+//! A harmless request that was in flight beside a crashing one completes when it runs alone, which
+//! clears it on every VM. A request is identified by a fingerprint of its content, not by its id,
+//! since callers may send it again under another id. Suspicions form sets that only grow until they
+//! expire, so the order in which a VM receives them, and how often, makes no difference.
 
 use std::time::Duration;
 
@@ -26,105 +26,108 @@
     request::Fingerprint,
 };
 
-/// How long a death counts.
+/// The time for which a death counts.
 pub const EXPIRY: Duration = Duration::from_mins(10);
-/// How long a request is refused that was the only one in flight at a single death.
+/// The time for which the only suspect of a single death is refused.
 ///
-/// Short, for machines are lost every day while an innocent request runs: a key is to be served
-/// again within seconds. A killer's second death comes sooner, and is its last, either way.
+/// It is short, since machines fail every day while a harmless request runs, and its key must be
+/// served again within seconds. A request that does crash its target causes a second death soon
+/// after, and is then refused for [`EXPIRY`].
 pub const SOLE: Duration = Duration::from_secs(3);
-/// How long requests that were at the same two deaths are refused at the least.
+/// The minimum time for which requests are refused that are suspects of the same two deaths.
 pub const DOUBLE: Duration = Duration::from_secs(30);
-/// How long before a death a request may have broken off and still be a suspect of it.
-const BEFORE: Duration = Duration::from_secs(5);
-/// How long a suspect waits for another that runs alone.
-const TURN: Duration = Duration::from_millis(100);
-/// How many suspicions are kept; the oldest go first.
-const KEPT: usize = 16_384;
-/// How many requests that broke off are kept.
-const BROKEN: usize = 4_096;
+/// The time after the loss of a request in which a death of its target still makes it a suspect.
+const LOST_WINDOW: Duration = Duration::from_secs(5);
+/// The wait before a suspect is checked again while another one runs alone at the target.
+const TURN_WAIT: Duration = Duration::from_millis(100);
+/// The maximum number of suspicions; the oldest are dropped first.
+const MAX_SUSPICIONS: usize = 16_384;
+/// The maximum number of lost requests that are remembered; the oldest are dropped first.
+const MAX_LOST: usize = 4_096;
 
-/// One start of a target, which ended in its death.
+/// One run of a target's process, from its start to its death.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Incarnation {
     /// The target.
     pub target: TargetId,
-    /// Its start.
+    /// The id of its start.
     pub boot: BootId,
 }
 
-/// A piece of news, for all VMs.
+/// A suspicion against a request, as sent to all VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Suspect {
-    /// The request.
+    /// The fingerprint of the request.
     #[serde(rename = "print")]
     pub fingerprint: Fingerprint,
-    /// The death that it is, or was, a suspect of.
+    /// The incarnation of the target that died.
     pub death: Incarnation,
-    /// When the death was seen, by the wall clock of the VM that saw it.
+    /// When the death was noticed, by the wall clock of the VM that noticed it.
     pub at: Duration,
-    /// Whether the request completed later, and is no suspect of it any more.
+    /// Whether the request completed later, and is no longer a suspect of this death.
     pub cleared: bool,
 }
 
-/// How a request on a target ended.
+/// How a request to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The target answered.
     Completed,
-    /// The connection broke, or no answer came.
+    /// The connection failed, or no answer arrived.
     Lost,
-    /// It never reached the target's work: refused, or not sent.
+    /// The request didn't run: it was refused, or not sent.
     NotRun,
 }
 
-/// What happens around a [`Quarantine`].
+/// An input of a [`Quarantine`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A request is about to be sent to a target.
     Sent {
-        /// The request's number; never used twice.
+        /// The number of the request; never used twice.
         ticket: u64,
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: Fingerprint,
-        /// The target, and its start as far as is known.
+        /// The target, and its current start as far as it is known.
         incarnation: Incarnation,
     },
-    /// A request has ended.
+    /// A request ended.
     Ended {
-        /// Its number.
+        /// The number of the request.
         ticket: u64,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// A target's process died, or a new start of it was seen.
+    /// A target's process died, which a new start of the target shows too.
     Died(Incarnation),
-    /// Other VMs told of suspects.
+    /// Suspects were received from other VMs.
     Received(Vec<Suspect>),
 }
 
-/// What a request may do.
+/// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Anything.
+    /// It may be sent.
     Allow,
-    /// Run, but say so with [`Event::Sent`] before anything else is checked for that target.
+    /// It may be sent. [`Event::Sent`] must follow before another request to the target is checked.
     RunAlone,
-    /// Wait for another suspect that runs alone on the target.
+    /// It must wait for another suspect at the target, and be checked again after this time.
     Wait(Duration),
-    /// Nothing: it kills targets. The time after which it may be tried again.
+    /// It must not be sent, since it may crash the target; it may be checked again after this time.
     Refuse(Duration),
 }
 
-/// The suspects that one VM knows, and its own requests in flight.
+/// The suspects known to one VM, and the VM's own requests in flight.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: IndexMap<Fingerprint, IndexMap<Incarnation, Suspicion>>,
+    /// The number of suspicions of all requests together.
     count: usize,
-    flying: IndexMap<u64, Flight>,
-    broken: IndexMap<u64, (Duration, Flight)>,
+    in_flight: IndexMap<u64, Flight>,
+    /// Lost requests, with the time of their loss, oldest first.
+    lost: IndexMap<u64, (Duration, Flight)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -140,7 +143,7 @@
 }
 
 impl Quarantine {
-    /// Returns what a request may do at a target now; `wall` is the wall clock.
+    /// Returns whether a request may be sent to a target now; `wall` is the wall clock.
     ///
     /// # Example
     ///
@@ -157,9 +160,9 @@
             return Decision::Allow;
         };
         let until = match deaths.len() {
-            1 if self.is_alone(wall, &deaths) => last + SOLE,
+            1 if self.is_sole_suspect(wall, &deaths) => last + SOLE,
             1 => Duration::ZERO,
-            2 if self.has_double(wall, fingerprint, &deaths) => {
+            2 if self.has_equal_suspect(wall, fingerprint, &deaths) => {
                 last + DOUBLE + stagger(fingerprint)
             }
             _ => last + EXPIRY,
@@ -167,16 +170,16 @@
         if wall < until {
             return Decision::Refuse(until.saturating_sub(wall));
         }
-        let trial = |flight: &Flight| {
+        let is_suspect_here = |flight: &Flight| {
             flight.incarnation.target == target && !self.deaths(wall, flight.fingerprint).is_empty()
         };
-        if self.flying.values().any(trial) {
-            return Decision::Wait(TURN);
+        if self.in_flight.values().any(is_suspect_here) {
+            return Decision::Wait(TURN_WAIT);
         }
         Decision::RunAlone
     }
 
-    /// Takes an event; returns the news for all other VMs.
+    /// Handles an event, and returns the suspects to send to all other VMs.
     ///
     /// # Example
     ///
@@ -185,14 +188,14 @@
     ///
     /// use bramleypier::quarantine::{Decision, Incarnation, Event, Quarantine};
     ///
-    /// let on = Incarnation { target: "a".into(), boot: "1".into() };
-    /// let mut here = Quarantine::default();
+    /// let incarnation = Incarnation { target: "a".into(), boot: "1".into() };
+    /// let mut one = Quarantine::default();
     /// let wall = Duration::from_secs(1);
-    /// here.on(wall, Event::Sent { ticket: 1, fingerprint: 7, incarnation: on.clone() });
-    /// let news = here.on(wall, Event::Died(on));
-    /// let mut there = Quarantine::default();
-    /// there.on(wall, Event::Received(news));
-    /// assert!(matches!(there.check(wall, 7, "b"), Decision::Refuse(_)));
+    /// one.on(wall, Event::Sent { ticket: 1, fingerprint: 7, incarnation: incarnation.clone() });
+    /// let suspects = one.on(wall, Event::Died(incarnation));
+    /// let mut other = Quarantine::default();
+    /// other.on(wall, Event::Received(suspects));
+    /// assert!(matches!(other.check(wall, 7, "b"), Decision::Refuse(_)));
     /// ```
     pub fn on(&mut self, wall: Duration, event: Event) -> Vec<Suspect> {
         match event {
@@ -201,7 +204,7 @@
                 fingerprint,
                 incarnation,
             } => {
-                self.flying.insert(
+                self.in_flight.insert(
                     ticket,
                     Flight {
                         fingerprint,
@@ -212,27 +215,27 @@
             }
             Event::Ended { ticket, end } => self.ended(wall, ticket, end),
             Event::Died(death) => self.died(wall, &death),
-            Event::Received(items) => {
-                for item in &items {
-                    self.take(wall, item);
+            Event::Received(suspects) => {
+                for suspect in &suspects {
+                    self.add(wall, suspect);
                 }
                 Vec::new()
             }
         }
     }
 
-    /// Returns everything that is known, for a VM that has just started.
+    /// Returns all known suspects, for a VM that has just started.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::quarantine::Quarantine;
     ///
-    /// assert!(Quarantine::default().items().is_empty());
+    /// assert!(Quarantine::default().suspects().is_empty());
     /// ```
-    pub fn items(&self) -> Vec<Suspect> {
+    pub fn suspects(&self) -> Vec<Suspect> {
         let suspects = self.suspects.iter();
-        let items = suspects.flat_map(|(fingerprint, deaths)| {
+        let suspects = suspects.flat_map(|(fingerprint, deaths)| {
             deaths.iter().map(|(death, it)| Suspect {
                 fingerprint: *fingerprint,
                 death: death.clone(),
@@ -240,131 +243,134 @@
                 cleared: it.cleared,
             })
         });
-        items.collect()
+        suspects.collect()
     }
 
     fn ended(&mut self, wall: Duration, ticket: u64, end: End) -> Vec<Suspect> {
-        let broken = self.broken.shift_remove(&ticket).map(|(_, flight)| flight);
-        let Some(flight) = self.flying.swap_remove(&ticket).or(broken) else {
+        let lost = self.lost.shift_remove(&ticket).map(|(_, flight)| flight);
+        let Some(flight) = self.in_flight.swap_remove(&ticket).or(lost) else {
             return Vec::new();
         };
         match end {
             End::Completed => self.clear(wall, flight.fingerprint),
             End::Lost => {
-                self.keep(wall, ticket, flight);
+                self.remember(wall, ticket, flight);
                 Vec::new()
             }
             End::NotRun => Vec::new(),
         }
     }
 
-    /// Keeps a request that broke off, for a death that is seen later.
-    fn keep(&mut self, wall: Duration, ticket: u64, flight: Flight) {
-        if self.broken.len() >= BROKEN {
-            self.broken.shift_remove_index(0);
+    /// Remembers a lost request, in case the death of its target is noticed later.
+    fn remember(&mut self, wall: Duration, ticket: u64, flight: Flight) {
+        if self.lost.len() >= MAX_LOST {
+            self.lost.shift_remove_index(0);
         }
-        self.broken.insert(ticket, (wall, flight));
+        self.lost.insert(ticket, (wall, flight));
     }
 
-    /// Clears a request of the deaths it was a suspect of, since it has completed.
+    /// Clears a completed request of the deaths of which it was a suspect.
     fn clear(&mut self, wall: Duration, fingerprint: Fingerprint) -> Vec<Suspect> {
         let deaths = self.deaths(wall, fingerprint);
-        let items = deaths.into_iter().map(|(death, at)| Suspect {
+        let suspects = deaths.into_iter().map(|(death, at)| Suspect {
             fingerprint,
             death,
             at,
             cleared: true,
         });
-        let items: Vec<_> = items.collect();
-        for item in &items {
-            self.take(wall, item);
+        let suspects: Vec<_> = suspects.collect();
+        for suspect in &suspects {
+            self.add(wall, suspect);
         }
-        items
+        suspects
     }
 
     fn died(&mut self, wall: Duration, death: &Incarnation) -> Vec<Suspect> {
-        self.broken.retain(|_, (at, _)| wall < *at + BEFORE);
-        let flying = self
-            .flying
+        self.lost.retain(|_, (at, _)| wall < *at + LOST_WINDOW);
+        let in_flight = self
+            .in_flight
             .iter()
             .filter(|(_, flight)| flight.incarnation == *death);
-        let tickets: Vec<_> = flying.map(|(ticket, _)| *ticket).collect();
+        let tickets: Vec<_> = in_flight.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
-            if let Some(flight) = self.flying.swap_remove(&ticket) {
-                self.keep(wall, ticket, flight);
+            if let Some(flight) = self.in_flight.swap_remove(&ticket) {
+                self.remember(wall, ticket, flight);
             }
         }
-        let broken = self.broken.values().map(|(_, flight)| flight);
-        let there = broken.filter(|flight| flight.incarnation == *death);
-        let prints: IndexSet<_> = there.map(|flight| flight.fingerprint).collect();
-        let items = prints.into_iter().map(|fingerprint| Suspect {
+        let lost = self.lost.values().map(|(_, flight)| flight);
+        let concerned = lost.filter(|flight| flight.incarnation == *death);
+        let fingerprints: IndexSet<_> = concerned.map(|flight| flight.fingerprint).collect();
+        let suspects = fingerprints.into_iter().map(|fingerprint| Suspect {
             fingerprint,
             death: death.clone(),
             at: wall,
             cleared: false,
         });
-        let items: Vec<_> = items.collect();
-        for item in &items {
-            self.take(wall, item);
+        let suspects: Vec<_> = suspects.collect();
+        for suspect in &suspects {
+            self.add(wall, suspect);
         }
-        items
+        suspects
     }
 
-    /// Takes a piece of news. The earliest time of a death and any clearing win, so that order and
-    /// repetition change nothing.
-    fn take(&mut self, wall: Duration, item: &Suspect) {
-        if item.at + EXPIRY <= wall {
+    /// Adds a suspect.
+    ///
+    /// The earliest time of a death wins, and so does a clearing, so that the order and repetition of
+    /// messages make no difference.
+    fn add(&mut self, wall: Duration, suspect: &Suspect) {
+        if suspect.at + EXPIRY <= wall {
             return;
         }
-        if self.count >= KEPT {
-            self.forget(wall);
+        if self.count >= MAX_SUSPICIONS {
+            self.evict(wall);
         }
-        let deaths = self.suspects.entry(item.fingerprint).or_default();
+        let deaths = self.suspects.entry(suspect.fingerprint).or_default();
         let known = deaths.len();
-        let suspicion = deaths.entry(item.death.clone()).or_insert(Suspicion {
-            at: item.at,
+        let suspicion = deaths.entry(suspect.death.clone()).or_insert(Suspicion {
+            at: suspect.at,
             cleared: false,
         });
-        suspicion.at = suspicion.at.min(item.at);
-        suspicion.cleared |= item.cleared;
+        suspicion.at = suspicion.at.min(suspect.at);
+        suspicion.cleared |= suspect.cleared;
         self.count += deaths.len() - known;
     }
 
-    /// Forgets what has expired, and the oldest request if that is not enough.
-    fn forget(&mut self, wall: Duration) {
+    /// Drops expired suspicions, and the oldest requests if that isn't enough.
+    fn evict(&mut self, wall: Duration) {
         self.suspects.retain(|_, deaths| {
             deaths.retain(|_, it| wall < it.at + EXPIRY);
             !deaths.is_empty()
         });
         self.count = self.suspects.values().map(IndexMap::len).sum();
-        if self.count < KEPT {
+        if self.count < MAX_SUSPICIONS {
             return;
         }
-        // An eighth at once, so that this is seldom done.
+        // Drops an eighth at once, so that evictions are rare.
         let oldest = self.suspects.len().div_ceil(8);
         let dropped = self.suspects.drain(..oldest);
         self.count -= dropped.map(|(_, deaths)| deaths.len()).sum::<usize>();
     }
 
-    /// Returns the deaths that a request is a suspect of, with their times.
+    /// Returns the deaths of which a request is a suspect, with their times.
     fn deaths(&self, wall: Duration, fingerprint: Fingerprint) -> IndexMap<Incarnation, Duration> {
         let known = self.suspects.get(&fingerprint).into_iter().flatten();
-        let live = known.filter(|(_, it)| !it.cleared && wall < it.at + EXPIRY);
-        live.map(|(death, it)| (death.clone(), it.at)).collect()
+        let current = known.filter(|(_, it)| !it.cleared && wall < it.at + EXPIRY);
+        current.map(|(death, it)| (death.clone(), it.at)).collect()
     }
 
-    /// Returns whether no other request is, or ever was, a suspect of the death.
-    fn is_alone(&self, wall: Duration, deaths: &IndexMap<Incarnation, Duration>) -> bool {
+    /// Returns whether no other request is a suspect of the death, or was one before it was cleared.
+    fn is_sole_suspect(&self, wall: Duration, deaths: &IndexMap<Incarnation, Duration>) -> bool {
         let suspects = self.suspects.values();
-        let here = suspects.filter(|other| {
-            let mut live = other.iter().filter(|(_, it)| wall < it.at + EXPIRY);
-            live.any(|(death, _)| deaths.contains_key(death))
+        let concerned = suspects.filter(|other| {
+            let mut current = other.iter().filter(|(_, it)| wall < it.at + EXPIRY);
+            current.any(|(death, _)| deaths.contains_key(death))
         });
-        here.count() == 1
+        concerned.count() == 1
     }
 
-    /// Returns whether another request is a suspect of all of these deaths: either may be at fault.
-    fn has_double(
+    /// Returns whether another request is a suspect of all of these deaths, so that either of the
+    /// two may be the cause.
+    fn has_equal_suspect(
         &self,
         wall: Duration,
         fingerprint: Fingerprint,
@@ -372,13 +378,13 @@
     ) -> bool {
         let mut others = self.suspects.keys().filter(|other| **other != fingerprint);
         others.any(|other| {
-            let theirs = self.deaths(wall, *other);
-            deaths.keys().all(|death| theirs.contains_key(death))
+            let other_deaths = self.deaths(wall, *other);
+            deaths.keys().all(|death| other_deaths.contains_key(death))
         })
     }
 }
 
-/// Spreads the times at which requests that look alike are tried again.
+/// Returns an additional time by the fingerprint, so that suspects of the same deaths run apart.
 fn stagger(fingerprint: Fingerprint) -> Duration {
     let part = u32::try_from(fingerprint % 1_024).unwrap_or(0);
     DOUBLE * part / 1_024
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,8 +1,8 @@
-//! Retries: when a request that did not end well may be tried again, and when.
+//! Retries: whether a failed attempt is followed by another one, and after which wait.
 //!
-//! A retry needs all of these: the request did not run or is idempotent; the budget has room; and
-//! the wait ends well before the deadline. Non-idempotent work of which a byte was sent is never
-//! tried again, unless the target itself refused it.
+//! A retry needs all of these: the request did not run or is idempotent; the retry budget isn't
+//! used up; and the wait ends well before the deadline. A non-idempotent request is never retried
+//! once a byte of it was sent, unless the target itself refused it.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -11,20 +11,22 @@
     request::{Deadline, Outcome},
 };
 
-/// How far back successes count.
-const SPAN: Duration = Duration::from_secs(10);
-/// The part of the recent successes that may be retried.
-const TENTH: u32 = 10;
-/// How many retries there may be in a span without any success.
-const MINIMUM: u32 = 3;
-/// The first wait.
-const FIRST: Duration = Duration::from_millis(5);
-/// The longest wait.
-const LONGEST: Duration = Duration::from_millis(500);
-/// How many tries one request has at the most.
-const TRIES: u32 = 4;
+/// The time over which successes and retries are counted.
+const WINDOW: Duration = Duration::from_secs(10);
+/// The number of successes in the window that allow one retry.
+const SUCCESSES_PER_RETRY: u32 = 10;
+/// The number of retries in the window that need no success.
+const MIN_RETRIES: u32 = 3;
+/// The wait before the first retry; it doubles with each further one.
+const FIRST_WAIT: Duration = Duration::from_millis(5);
+/// The longest wait, unless the target asks for a longer one.
+const MAX_WAIT: Duration = Duration::from_millis(500);
+/// The maximum number of attempts for one request.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// The budget of retries for one service.
+/// The retry budget of one service.
+///
+/// It limits retries to a part of the recent successes, so that retries don't add to an overload.
 ///
 /// # Example
 ///
@@ -34,18 +36,18 @@
 /// use bramleypier::{request::{Deadline, Outcome}, retry::{Budget, FailedAttempt}};
 ///
 /// let mut budget = Budget::default();
-/// let tried = FailedAttempt {
+/// let failed = FailedAttempt {
 ///     number: 1,
 ///     outcome: Outcome::Unknown,
 ///     idempotent: false,
 ///     retry_after: None,
 /// };
 /// let deadline = Deadline { at: Duration::from_secs(1) };
-/// assert_eq!(budget.retry(Duration::ZERO, &tried, deadline, 7), None); // it may have run
+/// assert_eq!(budget.retry(Duration::ZERO, &failed, deadline, 7), None); // it may have run
 /// ```
 #[derive(Debug, Default)]
 pub struct Budget {
-    /// Successes and retries, by second.
+    /// Successes and retries per second, oldest first.
     seconds: VecDeque<Second>,
 }
 
@@ -56,21 +58,21 @@
     retries: u32,
 }
 
-/// A try that did not end well.
+/// A failed attempt to serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// Which one it was, from 1.
+    /// The number of the attempt, from 1.
     pub number: u32,
-    /// How it ended.
+    /// Whether the request ran.
     pub outcome: Outcome,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// How long the target asks to be left alone.
+    /// The time for which the target asks to get no retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Budget {
-    /// Notes that a request ended well at its first try or a later one.
+    /// Counts a request that succeeded, at its first attempt or a later one.
     ///
     /// # Example
     ///
@@ -85,9 +87,10 @@
         self.second(now).successes += 1;
     }
 
-    /// Returns how long to wait before the next try, and counts it; nothing if there is to be none.
+    /// Returns how long to wait before a retry and counts the retry, or returns nothing if the
+    /// request must not be retried.
     ///
-    /// `dice` is any number that differs between requests, for jitter.
+    /// `random` is any number that differs between requests, for jitter.
     ///
     /// # Example
     ///
@@ -97,51 +100,53 @@
     /// use bramleypier::{request::{Deadline, Outcome}, retry::{Budget, FailedAttempt}};
     ///
     /// let mut budget = Budget::default();
-    /// let tried = FailedAttempt {
+    /// let failed = FailedAttempt {
     ///     number: 1,
     ///     outcome: Outcome::NotRun,
     ///     idempotent: false,
     ///     retry_after: None,
     /// };
     /// let deadline = Deadline { at: Duration::from_secs(1) };
-    /// assert!(budget.retry(Duration::ZERO, &tried, deadline, 7).is_some());
+    /// assert!(budget.retry(Duration::ZERO, &failed, deadline, 7).is_some());
     /// ```
     pub fn retry(
         &mut self,
         now: Duration,
-        tried: &FailedAttempt,
+        failed: &FailedAttempt,
         deadline: Deadline,
-        dice: u64,
+        random: u64,
     ) -> Option<Duration> {
-        let harmless = match tried.outcome {
+        let repeatable = match failed.outcome {
             Outcome::Ran => false,
             Outcome::NotRun => true,
-            Outcome::Unknown => tried.idempotent,
+            Outcome::Unknown => failed.idempotent,
         };
-        if !harmless || tried.number >= TRIES || !self.has_room(now) {
+        if !repeatable || failed.number >= MAX_ATTEMPTS || !self.allows_retry(now) {
             return None;
         }
-        let doubled = FIRST.saturating_mul(1 << tried.number.saturating_sub(1).min(16));
-        let wait = concurrency::jitter(doubled.min(LONGEST), dice)
-            .max(tried.retry_after.unwrap_or_default());
-        // A try that could only begin as the time ends would be work for nothing.
+        let doubled = FIRST_WAIT.saturating_mul(1 << failed.number.saturating_sub(1).min(16));
+        let wait = concurrency::jitter(doubled.min(MAX_WAIT), random)
+            .max(failed.retry_after.unwrap_or_default());
+        // An attempt that starts just before the deadline would only waste work: as much time as
+        // the wait takes must remain after it.
         deadline.remaining(now + 2 * wait)?;
         self.second(now).retries += 1;
         Some(wait)
     }
 
-    fn has_room(&mut self, now: Duration) -> bool {
+    /// Returns whether one more retry is within the budget.
+    fn allows_retry(&mut self, now: Duration) -> bool {
         self.second(now);
         let successes: u32 = self.seconds.iter().map(|second| second.successes).sum();
         let retries: u32 = self.seconds.iter().map(|second| second.retries).sum();
-        retries < successes / TENTH + MINIMUM
+        retries < successes / SUCCESSES_PER_RETRY + MIN_RETRIES
     }
 
-    /// Returns the counts of this second, and drops those that are too old.
+    /// Returns the counts of the current second, and drops those outside the window.
     fn second(&mut self, now: Duration) -> &mut Second {
         let at = now.as_secs();
         while let Some(first) = self.seconds.front() {
-            if first.at + SPAN.as_secs() > at {
+            if first.at + WINDOW.as_secs() > at {
                 break;
             }
             self.seconds.pop_front();
--- a/src/route.rs
+++ b/src/route.rs
@@ -1,4 +1,8 @@
-//! Where each point of the hash space is owned, as the senders know it.
+//! The routing table of a group: which target owns each point of the hash space.
+//!
+//! A VM builds it from the group's records, from handovers that are newer than the record, and from
+//! leases, and routes requests by it. Records, handovers and leases may arrive late, more than once
+//! or in any order.
 
 use std::time::Duration;
 
@@ -17,25 +21,25 @@
 /// The owner of a point.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Owner {
-    /// The range that the point lies in.
+    /// The range that contains the point.
     pub range: Range,
-    /// Its epoch.
+    /// The epoch of the range.
     pub epoch: Epoch,
-    /// The owner.
+    /// The target that owns the range.
     pub target: TargetId,
-    /// The owner's term.
+    /// The target's term.
     pub term: Term,
-    /// The owner's start.
+    /// The id of the target's start.
     pub boot: BootId,
-    /// The owner's address.
+    /// The target's address.
     pub address: String,
-    /// Whether the owner checks grants.
+    /// Whether the target checks grants.
     pub fencing: Fencing,
-    /// Whether the range is on its way to another owner.
+    /// Whether the range is being handed over to another owner.
     pub moving: bool,
 }
 
-/// One group's owners: the newest record, with newer handovers laid over it.
+/// The owners of one group: the newest record, with newer handovers applied to it.
 ///
 /// # Example
 ///
@@ -49,8 +53,11 @@
 pub struct Table {
     version: Version,
     record: Record,
+    /// The handovers that the record doesn't contain yet.
     facts: Handovers,
+    /// The record with the handovers applied.
     view: Record,
+    /// When each lease ends.
     leases: IndexMap<(Range, Epoch, TargetId, Term), Duration>,
 }
 
@@ -66,7 +73,7 @@
 }
 
 impl Table {
-    /// Takes a record; an older one changes nothing.
+    /// Handles a received record; an older one changes nothing.
     ///
     /// # Example
     ///
@@ -87,7 +94,7 @@
         self.view = merge::view(&self.record, &self.facts);
     }
 
-    /// Takes a handover; one that is known changes nothing.
+    /// Handles a received handover; one that is already known changes nothing.
     ///
     /// # Example
     ///
@@ -104,15 +111,15 @@
     /// assert!(table.owner(7).is_none());
     /// ```
     pub fn on_handover(&mut self, fact: Handover) {
-        let other = self.version > 0 && fact.group != self.record.group;
-        if other || (self.version > 0 && merge::includes(&self.record, &fact)) {
+        let other_group = self.version > 0 && fact.group != self.record.group;
+        if other_group || (self.version > 0 && merge::includes(&self.record, &fact)) {
             return;
         }
         self.facts.insert((fact.range, fact.epoch), fact);
         self.view = merge::view(&self.record, &self.facts);
     }
 
-    /// Returns the version of the newest record.
+    /// Returns the version of the newest record, or 0 before the first one.
     ///
     /// # Example
     ///
@@ -158,7 +165,9 @@
         })
     }
 
-    /// Takes leases of ranges whose owners don't check, counted from when they were asked for.
+    /// Handles received leases of ranges whose owners don't check grants.
+    ///
+    /// `asked` is the time at which they were requested: they are counted from then.
     ///
     /// # Example
     ///
@@ -179,11 +188,12 @@
         }
     }
 
-    /// Returns until when a request may be sent to an owner and run there.
+    /// Returns the time until which a request may be sent to an owner and run there.
     ///
-    /// For an owner that checks this is without end: the owner itself refuses. For one that
-    /// doesn't, it is the end of the lease of the very range that the owner holds now; what is in
-    /// flight by then is to be cancelled, unless the range is only moving.
+    /// For an owner that checks grants this is [`Duration::MAX`], since the owner itself refuses
+    /// requests for ranges that it doesn't hold. For one that doesn't, it is the end of the lease of
+    /// exactly the range that the owner holds now, or nothing without such a lease. Requests still
+    /// in flight at that time must be cancelled, unless the range is only moving.
     ///
     /// # Example
     ///
--- a/tests/balance.rs
+++ b/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Balance: what moves, and what doesn't.
+//! Load balancing: which ranges move, and which don't.
 
 mod model;
 
@@ -13,7 +13,8 @@
 use model::DOMAINS;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-fn fleet(targets: usize) -> (Document, Record) {
+/// Returns the document and the first record of a group with this many targets, all started.
+fn group(targets: usize) -> (Document, Record) {
     let mut document = model::document(targets, false);
     document.ranges = 8;
     let live = DOMAINS.map(|domain| Candidate {
@@ -27,7 +28,7 @@
     (document, record)
 }
 
-/// Carries out the marked moves, as handovers do.
+/// Carries out the marked moves as handovers do, and returns the part of the space that moved.
 fn hand_over(record: &mut Record) -> f64 {
     let mut moved = 0.0;
     for entry in record.ranges.iter_mut().filter(|entry| entry.moving) {
@@ -39,8 +40,8 @@
     moved
 }
 
-/// Plans and moves until nothing is left to do; returns the share of the space that moved.
-fn settle(record: &mut Record, loads: &[Load], document: &Document) -> f64 {
+/// Plans and moves until no step is left, and returns the part of the space that moved.
+fn run_plans(record: &mut Record, loads: &[Load], document: &Document) -> f64 {
     let mut moved = 0.0;
     for _ in 0..400 {
         let steps = balance::plan(record, loads, document, |_| true);
@@ -51,10 +52,13 @@
         balance::apply(record, &steps);
         moved += hand_over(record);
     }
-    panic!("moves without end");
+    panic!("the plan still has steps after 400 rounds");
 }
 
-/// Loads of keys by Zipf's law: the hottest alone, the rest as a background by part of the space.
+/// Returns the loads of keys by Zipf's law.
+///
+/// The 64 hottest keys have a load each, and the others count for one of 4096 parts of the space.
+/// A `shift` leads to other keys.
 fn zipf(keys: u32, shift: u32) -> Vec<Load> {
     let mut parts = vec![0.0; 4096];
     let mut loads = Vec::new();
@@ -85,10 +89,10 @@
 fn zipf_keys_end_within_fifteen_percent_of_the_mean() {
     for targets in [8, 12, 13, 15] {
         for shift in [0, 100_000, 200_000] {
-            let (document, mut record) = fleet(targets);
+            let (document, mut record) = group(targets);
             let loads = zipf(50_000, shift);
             let before = balance::imbalance(&record, &loads);
-            let moved = settle(&mut record, &loads, &document);
+            let moved = run_plans(&mut record, &loads, &document);
             let after = balance::imbalance(&record, &loads);
             println!(
                 "targets={targets} before={before:.2} after={after:.3} moved={moved:.2} ranges={}",
@@ -102,13 +106,13 @@
 }
 
 #[test]
-fn noise_moves_nothing() {
-    let (document, mut record) = fleet(12);
+fn noise_of_ten_percent_moves_no_range() {
+    let (document, mut record) = group(12);
     let even = vec![Load {
         range: Range::ALL,
         rate: 1000.0,
     }];
-    settle(&mut record, &even, &document);
+    run_plans(&mut record, &even, &document);
     let mut rng = StdRng::seed_from_u64(7);
     for _ in 0..200 {
         let ranges = record.ranges.iter();
@@ -123,14 +127,14 @@
 }
 
 #[test]
-fn a_joining_target_gets_no_more_than_its_part() {
-    let (mut document, mut record) = fleet(12);
+fn a_new_target_gets_no_more_than_its_part_of_the_space() {
+    let (mut document, mut record) = group(12);
     let joined = model::document(13, false).targets;
     document.targets = joined;
     record.serial += 1;
     build::apply_document(&mut record, 2, &document);
     record.members["t12"].boot = "t12-1".into();
-    let moved = settle(&mut record, &[], &document);
+    let moved = run_plans(&mut record, &[], &document);
     let own = record.ranges.iter().filter(|entry| entry.chain[0] == "t12");
     let share: f64 = own.map(|entry| entry.range.share()).sum();
     println!(
@@ -143,7 +147,7 @@
 
 #[test]
 fn all_ranges_of_a_leaving_target_move_at_once() {
-    let (_, mut record) = fleet(6);
+    let (_, mut record) = group(6);
     record.members["t0"].leaving = true;
     balance::drain_targets(&mut record, |_| true, |_| false);
     hand_over(&mut record);
@@ -152,8 +156,8 @@
 }
 
 #[test]
-fn a_hot_point_stands_alone_and_cold_neighbours_are_joined() {
-    let (document, mut record) = fleet(6);
+fn a_hot_point_gets_its_own_range_and_cold_neighbours_are_joined() {
+    let (document, mut record) = group(6);
     let start = 12_345;
     let loads = [
         Load {
@@ -165,7 +169,7 @@
             rate: 30.0,
         },
     ];
-    settle(&mut record, &loads, &document);
+    run_plans(&mut record, &loads, &document);
     assert!(
         record
             .ranges
