--- a/src/balance.rs
+++ b/src/balance.rs
@@ -368,8 +368,8 @@
 
 /// Returns the steps that take load off the most loaded target whose ranges may move.
 ///
-/// The aim is to move half of its distance from the least loaded target, which then gets the load.
-/// If no range of a fitting weight exists, the steps divide the heaviest one.
+/// It aims to move half of the difference to the least loaded target, which receives the load. If
+/// no range has a suitable weight, the heaviest one is divided instead.
 fn relieve<M>(
     record: &Record,
     loads: &[Load],
--- a/src/limit/admission.rs
+++ b/src/limit/admission.rs
@@ -26,7 +26,7 @@
 /// The longest time after which a refused request may be sent again.
 const RETRY_MAX: Duration = Duration::from_secs(30);
 
-/// The slot time that is counted for a request at the least, however soon it ends.
+/// The minimum slot time that is counted for a request, however soon it ends.
 const MIN_SLOT_TIME: Duration = Duration::from_micros(1);
 
 /// The number that the user of the queue gives to a request; never used twice.
@@ -60,7 +60,7 @@
     ColdStart,
     /// The target reports that it is overloaded.
     Overloaded,
-    /// The target takes no new requests any more.
+    /// The target takes no more new requests.
     Drain,
     /// The document or the number of VMs changed.
     Slots(Slots),
--- a/src/limit/concurrency.rs
+++ b/src/limit/concurrency.rs
@@ -53,8 +53,8 @@
 /// An adaptive limit of the requests in flight at one target.
 ///
 /// - It grows by one after each window of answers in which it was reached and the mean latency
-///   stayed close to the lowest mean seen. It so settles at the slots plus the requests that are
-///   on the network.
+///   stayed close to the lowest mean seen. So it settles at the slots plus the requests that are
+///   in transit on the network.
 /// - It shrinks by a factor if the latency doubles, or if the target refuses or loses a request.
 /// - Latencies are compared within each class, since file requests take longer than look-ups at
 ///   any load.
--- a/src/limit/pick.rs
+++ b/src/limit/pick.rs
@@ -242,7 +242,7 @@
         let candidates = candidates.filter(|(_, (_, stats))| all || fit(stats));
         let random = random.to_string();
         let best = candidates.min_by_key(|(_, (name, stats))| {
-            // A target after an ejection gets one request at a time.
+            // After an ejection a target gets one request at a time until one of them succeeds.
             let probing = stats.ejections > 0 && !stats.in_flight.is_empty();
             (probing, stats.in_flight.len(), key::weight(&random, name))
         });
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -186,7 +186,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::quarantine::{Decision, Incarnation, Event, Quarantine};
+    /// use bramleypier::quarantine::{Decision, Event, Incarnation, Quarantine};
     ///
     /// let incarnation = Incarnation { target: "a".into(), boot: "1".into() };
     /// let mut one = Quarantine::default();
--- a/tests/limit.rs
+++ b/tests/limit.rs
@@ -179,7 +179,7 @@
     for _ in 0..12 {
         limit.update(now, "look-up", Sample::Unreachable, 1_023);
         let until = limit.closed_until(now).unwrap();
-        // A second failure during the back-off doesn't count.
+        // Requests that were sent together and fail together count as one failure.
         limit.update(now, "look-up", Sample::Unreachable, 1_023);
         assert_eq!(limit.closed_until(now), Some(until));
         assert_eq!(limit.limit(), 1);
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -65,7 +65,7 @@
             assert!(deaths <= 2, "{deaths} deaths by {now} ms");
         }
     }
-    // Deaths expire after ten minutes, and then the request may cause two other_suspects.
+    // Deaths expire after ten minutes, and then the request may cause two more.
     assert!(deaths <= 4, "{deaths}");
 }
 
