--- a/src/grant.rs
+++ b/src/grant.rs
@@ -152,22 +152,22 @@
 #[derive(Clone, Debug)]
 pub struct Holder {
     boot: BootId,
-    pieces: Vec<Piece>,
+    segments: Vec<Segment>,
     running: Vec<Point>,
 }
 
 /// What the holder knows of a part of the hash space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Piece {
+struct Segment {
     range: Range,
     epoch: Epoch,
     until: Duration,
     released: bool,
 }
 
-impl Piece {
+impl Segment {
     /// Returns what is known where this piece and a newer statement meet.
-    fn meet(&self, newer: &Self) -> Self {
+    fn merge(&self, newer: &Self) -> Self {
         if self.epoch > newer.epoch {
             return *self;
         }
@@ -197,7 +197,7 @@
     pub fn new(boot: BootId) -> Self {
         Self {
             boot,
-            pieces: Vec::new(),
+            segments: Vec::new(),
             running: Vec::new(),
         }
     }
@@ -255,11 +255,11 @@
     /// assert_eq!(Holder::new("boot-1".into()).epoch(7, Duration::ZERO), None);
     /// ```
     pub fn epoch(&self, point: Point, now: Duration) -> Option<Epoch> {
-        self.pieces
+        self.segments
             .iter()
-            .find(|piece| piece.range.contains(point))
-            .filter(|piece| !piece.released && now < piece.until)
-            .map(|piece| piece.epoch)
+            .find(|segment| segment.range.contains(point))
+            .filter(|segment| !segment.released && now < segment.until)
+            .map(|segment| segment.epoch)
     }
 
     /// Starts a request if it owns the point now at that very epoch, and returns whether it did.
@@ -309,21 +309,21 @@
     /// assert_eq!(state.clock_ms, 2000);
     /// ```
     pub fn state(&self, now: Duration) -> TargetState {
-        let free = |range: Range| !self.running.iter().any(|point| range.contains(*point));
-        let released = self.pieces.iter().filter(|piece| piece.released);
+        let idle = |range: Range| !self.running.iter().any(|point| range.contains(*point));
+        let released = self.segments.iter().filter(|segment| segment.released);
         let held = self
-            .pieces
+            .segments
             .iter()
-            .filter(|piece| !piece.released && now < piece.until);
+            .filter(|segment| !segment.released && now < segment.until);
         TargetState {
             boot: self.boot.clone(),
             clock_ms: millis(now),
             phase: Phase::Ready,
             load: 0.0,
-            held: held.map(Piece::held).collect(),
+            held: held.map(Segment::held).collect(),
             released: released
-                .filter(|piece| free(piece.range))
-                .map(|piece| Claim::new(piece.range, piece.epoch))
+                .filter(|segment| idle(segment.range))
+                .map(|segment| Claim::new(segment.range, segment.epoch))
                 .collect(),
             refused: Vec::new(),
             running: u32::try_from(self.running.len()).unwrap_or(u32::MAX),
@@ -332,25 +332,25 @@
 
     /// Returns whether it owns the whole claim now, at that epoch or a higher one.
     fn holds(&self, claim: &Claim, now: Duration) -> bool {
-        self.pieces
+        self.segments
             .iter()
-            .filter(|piece| piece.range.overlaps(&claim.range()))
-            .all(|piece| !piece.released && now < piece.until && piece.epoch == claim.epoch)
+            .filter(|segment| segment.range.overlaps(&claim.range()))
+            .all(|segment| !segment.released && now < segment.until && segment.epoch == claim.epoch)
     }
 
     /// Lays a newer statement over what is known.
     fn set(&mut self, claim: &Claim, until: Duration, released: bool) {
-        let newer = Piece {
+        let newer = Segment {
             range: claim.range(),
             epoch: claim.epoch,
             until,
             released,
         };
-        self.pieces = overlay(&self.pieces, &newer);
+        self.segments = overlay(&self.segments, &newer);
     }
 }
 
-impl Piece {
+impl Segment {
     fn held(&self) -> Held {
         Held {
             start: self.range.start,
@@ -361,7 +361,7 @@
     }
 
     /// Returns whether the next piece can be joined to this one.
-    fn joins(&self, next: &Self) -> bool {
+    fn is_joinable(&self, next: &Self) -> bool {
         self.range.end.checked_add(1) == Some(next.range.start)
             && self.epoch == next.epoch
             && self.until == next.until
@@ -370,57 +370,57 @@
 }
 
 /// Lays a statement over pieces that are in order and do not overlap.
-fn overlay(pieces: &[Piece], newer: &Piece) -> Vec<Piece> {
-    let mut parts = Vec::with_capacity(pieces.len() + 2);
-    let mut open = Some(newer.range.start);
-    for piece in pieces {
-        if !piece.range.overlaps(&newer.range) {
-            if piece.range.start > newer.range.end {
-                fill(&mut parts, newer, &mut open, newer.range.end);
+fn overlay(segments: &[Segment], newer: &Segment) -> Vec<Segment> {
+    let mut parts = Vec::with_capacity(segments.len() + 2);
+    let mut next_start = Some(newer.range.start);
+    for segment in segments {
+        if !segment.range.overlaps(&newer.range) {
+            if segment.range.start > newer.range.end {
+                fill(&mut parts, newer, &mut next_start, newer.range.end);
             }
-            parts.push(*piece);
+            parts.push(*segment);
             continue;
         }
-        let start = piece.range.start.max(newer.range.start);
-        let end = piece.range.end.min(newer.range.end);
-        if piece.range.start < start {
-            parts.push(cut(piece, piece.range.start, start - 1));
+        let start = segment.range.start.max(newer.range.start);
+        let end = segment.range.end.min(newer.range.end);
+        if segment.range.start < start {
+            parts.push(part(segment, segment.range.start, start - 1));
         }
         if start > 0 {
-            fill(&mut parts, newer, &mut open, start - 1);
+            fill(&mut parts, newer, &mut next_start, start - 1);
         }
-        parts.push(cut(&piece.meet(newer), start, end));
-        open = end.checked_add(1);
-        if piece.range.end > end {
-            parts.push(cut(piece, end + 1, piece.range.end));
+        parts.push(part(&segment.merge(newer), start, end));
+        next_start = end.checked_add(1);
+        if segment.range.end > end {
+            parts.push(part(segment, end + 1, segment.range.end));
         }
     }
-    fill(&mut parts, newer, &mut open, newer.range.end);
+    fill(&mut parts, newer, &mut next_start, newer.range.end);
     join(parts)
 }
 
 /// Adds the statement from the open point up to `end`, where nothing was known.
-fn fill(parts: &mut Vec<Piece>, newer: &Piece, open: &mut Option<Point>, end: Point) {
-    if let Some(start) = *open
+fn fill(parts: &mut Vec<Segment>, newer: &Segment, next_start: &mut Option<Point>, end: Point) {
+    if let Some(start) = *next_start
         && start <= end
     {
-        parts.push(cut(newer, start, end));
-        *open = end.checked_add(1);
+        parts.push(part(newer, start, end));
+        *next_start = end.checked_add(1);
     }
 }
 
-fn cut(piece: &Piece, start: Point, end: Point) -> Piece {
-    Piece {
+fn part(segment: &Segment, start: Point, end: Point) -> Segment {
+    Segment {
         range: Range { start, end },
-        ..*piece
+        ..*segment
     }
 }
 
-fn join(parts: Vec<Piece>) -> Vec<Piece> {
-    let mut joined: Vec<Piece> = Vec::with_capacity(parts.len());
+fn join(parts: Vec<Segment>) -> Vec<Segment> {
+    let mut joined: Vec<Segment> = Vec::with_capacity(parts.len());
     for part in parts {
         match joined.last_mut() {
-            Some(last) if last.joins(&part) => last.range.end = part.range.end,
+            Some(last) if last.is_joinable(&part) => last.range.end = part.range.end,
             _ => joined.push(part),
         }
     }
--- a/src/grantor/mod.rs
+++ b/src/grantor/mod.rs
@@ -38,7 +38,7 @@
 use watch::Watch;
 
 /// The most handovers that wait for the record to carry them.
-const FACTS: usize = 16_384;
+const MAX_HANDOVERS: usize = 16_384;
 
 /// One VM's part in granting to one group's targets.
 ///
@@ -63,38 +63,38 @@
     /// The record with the facts laid over it.
     view: Record,
     /// Handovers that the record doesn't carry yet.
-    facts: Handovers,
+    pending_handovers: Handovers,
     /// When facts were last spread again.
-    spread: Duration,
+    last_spread: Duration,
     /// Words got, by giver and failure domain, with their ends.
-    words: IndexMap<(VmId, DomainId), Duration>,
+    permissions: IndexMap<(VmId, DomainId), Duration>,
     /// Own reads that name this VM, by failure domain, with their ends.
     reads: IndexMap<DomainId, Duration>,
     peers: IndexMap<VmId, Peer>,
     /// The last change of each trio, and since when all that it names are known to have adopted it.
-    adopted: IndexMap<DomainId, (Version, Option<Duration>)>,
+    known_changes: IndexMap<DomainId, (Version, Option<Duration>)>,
     /// When VMs last answered that may be named.
     answers: IndexMap<VmId, Duration>,
     /// Until when a VM that this one struck is not named again.
-    struck: IndexMap<VmId, Duration>,
+    excluded: IndexMap<VmId, Duration>,
     watches: IndexMap<TargetId, Watch>,
     /// Marked ranges of owners that don't check: since when all of the trio know.
-    marked: IndexMap<(Range, Epoch), Mark>,
+    unchecked_moves: IndexMap<(Range, Epoch), UncheckedMove>,
     pending: Option<Pending>,
     document: Option<(Version, Document)>,
     live: Vec<Candidate>,
     gone: IndexSet<VmId>,
     loads: Vec<Load>,
     /// Since when the record has wanted a write.
-    wanting: Option<Duration>,
+    write_wanted: Option<Duration>,
     /// Before when no move for balance is made.
-    balanced: Duration,
+    balance_from: Duration,
     /// The last write or stop.
     sequence: u64,
-    asked: Duration,
+    last_request: Duration,
     /// When the record was last read.
-    read: Duration,
-    housed: Duration,
+    last_read: Duration,
+    record_checked: Duration,
     retired: bool,
     /// Targets whose VMs were ever listed as leaving; a VM that leaves doesn't stay after all.
     leaving: IndexSet<TargetId>,
@@ -104,11 +104,11 @@
 #[derive(Clone, Debug, Default)]
 struct Peer {
     /// When it was last heard.
-    heard: Duration,
+    last_received: Duration,
     /// The newest record that it knows.
     version: Version,
     /// When it was last sent a record.
-    updated: Option<Duration>,
+    record_sent: Option<Duration>,
 }
 
 /// An own write whose outcome isn't known.
@@ -119,14 +119,14 @@
     record: Record,
     sent: Duration,
     /// The targets whose ranges or heirs it changes.
-    touched: IndexSet<TargetId>,
+    changed_owners: IndexSet<TargetId>,
 }
 
 /// A range on its way from an owner that doesn't check.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct UncheckedMove {
     version: Version,
-    known: Option<Duration>,
+    known_since: Option<Duration>,
 }
 
 impl Grantor {
@@ -148,27 +148,27 @@
             flaw: Flaw::None,
             record: None,
             view: Record::default(),
-            facts: Handovers::new(),
-            spread: Duration::ZERO,
-            words: IndexMap::new(),
+            pending_handovers: Handovers::new(),
+            last_spread: Duration::ZERO,
+            permissions: IndexMap::new(),
             reads: IndexMap::new(),
             peers: IndexMap::new(),
-            adopted: IndexMap::new(),
+            known_changes: IndexMap::new(),
             answers: IndexMap::new(),
-            struck: IndexMap::new(),
+            excluded: IndexMap::new(),
             watches: IndexMap::new(),
-            marked: IndexMap::new(),
+            unchecked_moves: IndexMap::new(),
             pending: None,
             document: None,
             live: Vec::new(),
             gone: IndexSet::new(),
             loads: Vec::new(),
-            wanting: None,
-            balanced: Duration::ZERO,
+            write_wanted: None,
+            balance_from: Duration::ZERO,
             sequence: 0,
-            asked: Duration::ZERO,
-            read: Duration::ZERO,
-            housed: Duration::ZERO,
+            last_request: Duration::ZERO,
+            last_read: Duration::ZERO,
+            record_checked: Duration::ZERO,
             retired: false,
             leaving: IndexSet::new(),
         }
@@ -257,7 +257,7 @@
     /// assert_eq!(grantor.handovers().count(), 0);
     /// ```
     pub fn handovers(&self) -> impl Iterator<Item = &Handover> {
-        self.facts.values()
+        self.pending_handovers.values()
     }
 
     /// Returns whether the newest record names this VM as a grantor.
@@ -285,36 +285,37 @@
 
     /// The failure domains whose trio names this VM.
     fn domains(&self) -> impl Iterator<Item = &DomainId> {
-        let named = |trio: &Vec<group::Grantor>| trio.iter().any(|grantor| grantor.vm == self.vm);
+        let named =
+            |grantors: &Vec<group::Grantor>| grantors.iter().any(|grantor| grantor.vm == self.vm);
         self.view
             .grantors
             .iter()
-            .filter(move |(_, trio)| named(trio))
+            .filter(move |(_, grantors)| named(grantors))
             .map(|(domain, _)| domain)
     }
 
-    fn trio(&self, domain: &str) -> &[group::Grantor] {
+    fn grantors(&self, domain: &str) -> &[group::Grantor] {
         self.view.grantors.get(domain).map_or(&[], Vec::as_slice)
     }
 
     /// This VM, as the trio of a failure domain names it.
-    fn myself(&self, domain: &str) -> Option<&group::Grantor> {
-        self.trio(domain)
+    fn own_grantor(&self, domain: &str) -> Option<&group::Grantor> {
+        self.grantors(domain)
             .iter()
             .find(|grantor| grantor.vm == self.vm)
     }
 
     /// The other grantors of a failure domain's targets.
-    fn fellows(&self, domain: &str) -> Vec<group::Grantor> {
+    fn other_grantors(&self, domain: &str) -> Vec<group::Grantor> {
         let others = self
-            .trio(domain)
+            .grantors(domain)
             .iter()
             .filter(|grantor| grantor.vm != self.vm);
         others.cloned().collect()
     }
 
     /// The failure domain of a target.
-    fn domain(&self, target: &str) -> Option<DomainId> {
+    fn target_domain(&self, target: &str) -> Option<DomainId> {
         let member = self.view.members.get(target)?;
         Some(member.domain.clone())
     }
@@ -322,8 +323,8 @@
     fn tick(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.tick_peers(now, effects);
         self.tick_targets(now, effects);
-        self.tick_house(now, effects);
-        self.spread_facts(now, effects);
+        self.tick_record(now, effects);
+        self.spread_handovers(now, effects);
     }
 
     /// Takes a newer record; an older one changes nothing.
@@ -337,87 +338,94 @@
         if version <= self.version() || record.group != self.group {
             return;
         }
-        self.settle(version, &record, effects);
-        self.note_trios(now, &record);
-        self.facts.retain(|_, fact| !merge::includes(&record, fact));
+        self.resolve_pending(version, &record, effects);
+        self.note_grantor_changes(now, &record);
+        self.pending_handovers
+            .retain(|_, handover| !merge::includes(&record, handover));
         let moving = record.ranges.iter().filter(|entry| entry.moving);
         let owners: IndexSet<TargetId> = moving.map(|entry| entry.chain[0].clone()).collect();
         self.record = Some((version, record));
-        self.refresh(now);
-        self.hurry(&owners);
-        self.note_adopted(now);
-        self.derive(now, effects);
+        self.rebuild_view(now);
+        self.renew_next_tick(&owners);
+        self.note_known_changes(now);
+        self.derive_handovers(now, effects);
     }
 
     /// Has the others of a trio that a record changes told at once what this VM has stopped, and
     /// keeps whom it drops from being named again at once: membership may still take it for live.
-    fn note_trios(&mut self, now: Duration, record: &Record) {
+    fn note_grantor_changes(&mut self, now: Duration, record: &Record) {
         if self.view.grantors == record.grantors {
             return;
         }
-        self.asked = Duration::ZERO;
-        for (domain, trio) in &self.view.grantors {
+        self.last_request = Duration::ZERO;
+        for (domain, grantors) in &self.view.grantors {
             let stays = |vm: &VmId| {
                 let named = record.grantors.get(domain).into_iter().flatten();
                 named.into_iter().any(|grantor| grantor.vm == *vm)
             };
-            for dropped in trio.iter().filter(|grantor| !stays(&grantor.vm)) {
+            for dropped in grantors.iter().filter(|grantor| !stays(&grantor.vm)) {
                 let until = now + self.timing.exclusion;
-                self.struck.insert(dropped.vm.clone(), until);
+                self.excluded.insert(dropped.vm.clone(), until);
             }
         }
     }
 
     /// Takes a handover; returns whether it is new.
-    fn learn(&mut self, now: Duration, fact: Handover) -> bool {
-        let key = (fact.range, fact.epoch);
-        let known = self.facts.contains_key(&key) || self.facts.len() >= FACTS;
+    fn add_handover(&mut self, now: Duration, handover: Handover) -> bool {
+        let key = (handover.range, handover.epoch);
+        let known = self.pending_handovers.contains_key(&key)
+            || self.pending_handovers.len() >= MAX_HANDOVERS;
         let carried = self
             .record
             .as_ref()
-            .is_some_and(|(_, record)| merge::includes(record, &fact));
-        if known || carried || fact.group != self.group {
+            .is_some_and(|(_, record)| merge::includes(record, &handover));
+        if known || carried || handover.group != self.group {
             return false;
         }
-        let owner = fact.chain.first().map(|heir| heir.target.clone());
-        self.facts.insert(key, fact);
-        self.refresh(now);
-        self.hurry(owner.as_ref());
+        let owner = handover.chain.first().map(|heir| heir.target.clone());
+        self.pending_handovers.insert(key, handover);
+        self.rebuild_view(now);
+        self.renew_next_tick(owner.as_ref());
         true
     }
 
     /// Renews these targets at the next tick, since what they own has changed.
-    fn hurry<'a, I>(&mut self, targets: I)
+    fn renew_next_tick<'a, I>(&mut self, targets: I)
     where
         I: IntoIterator<Item = &'a TargetId>,
     {
         for target in targets {
             if let Some(watch) = self.watches.get_mut(target) {
-                watch.asked = None;
+                watch.last_request = None;
             }
         }
     }
 
     /// Works out the view and the watches again.
-    fn refresh(&mut self, now: Duration) {
+    fn rebuild_view(&mut self, now: Duration) {
         if let Some((_, record)) = &self.record {
-            let view = merge::view(record, &self.facts);
+            let view = merge::view(record, &self.pending_handovers);
             if view.ranges != self.view.ranges || view.members != self.view.members {
-                self.balanced = now + record_writes::BALANCE;
+                self.balance_from = now + record_writes::BALANCE_DELAY;
             }
             self.view = view;
         }
         self.refresh_watches(now);
-        self.refresh_marks();
+        self.refresh_unchecked_moves();
     }
 
     /// Spreads the facts again that no record carries yet.
-    fn spread_facts(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        if now < self.spread + self.timing.grant {
+    fn spread_handovers(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        if now < self.last_spread + self.timing.grant {
             return;
         }
-        self.spread = now;
-        effects.extend(self.facts.values().cloned().map(Effect::Handover));
+        self.last_spread = now;
+        effects.extend(
+            self.pending_handovers
+                .values()
+                .cloned()
+                .map(Effect::Handover),
+        );
     }
 
     /// Takes back no promise, but makes none any more.
--- a/src/grantor/record_writes.rs
+++ b/src/grantor/record_writes.rs
@@ -15,28 +15,28 @@
 };
 
 /// How often the record is looked over.
-const LOOK: Duration = Duration::from_millis(100);
+const RECORD_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long owners and members must stand before a move for balance.
-pub(super) const BALANCE: Duration = Duration::from_secs(10);
+pub(super) const BALANCE_DELAY: Duration = Duration::from_secs(10);
 /// After how many retry spans a write without any answer is sent again.
-const SILENT_RETRIES: u32 = 10;
+const UNANSWERED_RETRY_FACTOR: u32 = 10;
 
 impl Grantor {
     /// Writes what the record lacks, one write at a time.
-    pub(super) fn tick_house(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        if self.retry(now, effects) || now < self.housed + LOOK {
+    pub(super) fn tick_record(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+        if self.retry(now, effects) || now < self.record_checked + RECORD_CHECK_INTERVAL {
             return;
         }
-        self.housed = now;
+        self.record_checked = now;
         let wanted = match &self.record {
-            Some(_) => self.desired(now),
-            None => self.founding(),
+            Some(_) => self.desired_record(now),
+            None => self.initial_record(),
         };
         let Some((record, urgent)) = wanted else {
-            self.wanting = None;
+            self.write_wanted = None;
             return;
         };
-        let since = *self.wanting.get_or_insert(now);
+        let since = *self.write_wanted.get_or_insert(now);
         let rank = if urgent { 0 } else { self.rank(now) };
         if now >= since + self.timing.rank_delay * rank {
             self.write(now, record, effects);
@@ -49,7 +49,7 @@
         let Some(pending) = self.pending.as_mut() else {
             return false;
         };
-        if now >= pending.sent + retry * SILENT_RETRIES {
+        if now >= pending.sent + retry * UNANSWERED_RETRY_FACTOR {
             pending.sent = now;
             effects.push(Effect::Read { asked: now });
             effects.push(Effect::Write {
@@ -67,14 +67,14 @@
         record.sequence = sequence;
         let base = self.version();
         self.note_changes(now, base, &mut record, effects);
-        self.wanting = None;
-        let touched = touched(&self.view, &record);
+        self.write_wanted = None;
+        let changed_owners = changed_owners(&self.view, &record);
         self.pending = Some(Pending {
             sequence,
             base,
             record: record.clone(),
             sent: now,
-            touched,
+            changed_owners,
         });
         effects.push(Effect::Write {
             base,
@@ -94,25 +94,25 @@
         let Some((_, before)) = &self.record else {
             return;
         };
-        for (domain, trio) in &record.grantors {
+        for (domain, grantors) in &record.grantors {
             let known = before.grantors.get(domain);
-            if known == Some(trio) {
+            if known == Some(grantors) {
                 continue;
             }
             record.change_bases.insert(domain.clone(), base);
-            let stays = |vm: &VmId| trio.iter().any(|grantor| grantor.vm == *vm);
-            let struck = known.into_iter().flatten();
-            for struck in struck.filter(|struck| !stays(&struck.vm)) {
+            let stays = |vm: &VmId| grantors.iter().any(|grantor| grantor.vm == *vm);
+            let replaced = known.into_iter().flatten();
+            for replaced in replaced.filter(|replaced| !stays(&replaced.vm)) {
                 let until = now + self.timing.exclusion;
-                self.struck.insert(struck.vm.clone(), until);
+                self.excluded.insert(replaced.vm.clone(), until);
                 let detail = format!("domain={domain}");
-                effects.push(note(Kind::Replacement, &struck.vm, detail));
+                effects.push(note(Kind::Replacement, &replaced.vm, detail));
             }
         }
-        let trios = &record.grantors;
+        let by_domain = &record.grantors;
         record
             .change_bases
-            .retain(|domain, _| trios.contains_key(domain));
+            .retain(|domain, _| by_domain.contains_key(domain));
     }
 
     /// Takes the outcome of an own write. In doubt, or lost, the value itself settles it.
@@ -133,8 +133,8 @@
             }
             Outcome::Conflict(_) => effects.push(Effect::Read { asked: now }),
             Outcome::Unknown => {
-                let waits = self.timing.retry * (SILENT_RETRIES - 1);
-                pending.sent = now.saturating_sub(waits);
+                let waited = self.timing.retry * (UNANSWERED_RETRY_FACTOR - 1);
+                pending.sent = now.saturating_sub(waited);
                 effects.push(Effect::Read { asked: now });
             }
         }
@@ -142,7 +142,12 @@
 
     /// Settles an own write by a record newer than its base: either it is that write, or that
     /// write can't take effect any more.
-    pub(super) fn settle(&mut self, version: Version, record: &Record, effects: &mut Vec<Effect>) {
+    pub(super) fn resolve_pending(
+        &mut self,
+        version: Version,
+        record: &Record,
+        effects: &mut Vec<Effect>,
+    ) {
         let Some(pending) = self.pending.take_if(|pending| version > pending.base) else {
             return;
         };
@@ -159,14 +164,14 @@
             return count(self.live.iter().filter(before));
         }
         let rank = |domain: &DomainId| {
-            let trio = self.trio(domain).iter();
-            let before = trio.take_while(|grantor| grantor.vm != self.vm);
-            count(before.filter(|grantor| self.hears_peer(now, &grantor.vm)))
+            let grantors = self.grantors(domain).iter();
+            let before = grantors.take_while(|grantor| grantor.vm != self.vm);
+            count(before.filter(|grantor| self.hears_from(now, &grantor.vm)))
         };
         self.domains().map(rank).min().unwrap_or(3)
     }
 
-    fn founding(&self) -> Option<(Record, bool)> {
+    fn initial_record(&self) -> Option<(Record, bool)> {
         let (version, document) = self.document.as_ref()?;
         let record = build::initial_record(&self.group, *version, document, &self.live)?;
         Some((record, false))
@@ -174,26 +179,26 @@
 
     /// Returns the record as it should be, if that differs, and whether the change is this VM's
     /// alone to make.
-    fn desired(&self, now: Duration) -> Option<(Record, bool)> {
+    fn desired_record(&self, now: Duration) -> Option<(Record, bool)> {
         let (_, base) = self.record.as_ref()?;
         let mut next = self.view.clone();
         next.serial += 1;
-        self.replace_vanished(&mut next);
+        self.replace_gone_grantors(&mut next);
         if !self.is_named() {
             return differs(base, &next).then_some((next, false));
         }
-        self.follow(&mut next);
-        self.replace_lost(now, &mut next);
-        self.admit_starts(now, &mut next);
-        self.assign_orphans(&mut next);
+        self.follow_document(&mut next);
+        self.replace_grantors(now, &mut next);
+        self.record_starts(now, &mut next);
+        self.assign_released(&mut next);
         self.balance(now, &mut next);
-        self.repair_heirs(&mut next);
+        self.repair_successors(&mut next);
         self.readmit(now, &mut next);
-        self.dismiss(&mut next);
+        self.remove_members(&mut next);
         differs(base, &next).then_some((next, self.retired))
     }
 
-    fn follow(&self, next: &mut Record) {
+    fn follow_document(&self, next: &mut Record) {
         if let Some((version, document)) = &self.document {
             build::apply_document(next, *version, document);
         }
@@ -205,44 +210,47 @@
     }
 
     /// Drops grantors that are certain to grant no more, and fills the trios up.
-    fn replace_lost(&self, now: Duration, next: &mut Record) {
+    fn replace_grantors(&self, now: Duration, next: &mut Record) {
         let domains: Vec<DomainId> = self.domains().cloned().collect();
         let before = next.grantors.clone();
-        for (domain, trio) in &mut next.grantors {
+        for (domain, grantors) in &mut next.grantors {
             if domains.contains(domain) {
-                let lost = self.lost(now, domain);
-                trio.retain(|grantor| !lost.contains(&grantor.vm));
+                let lost = self.grantors_to_remove(now, domain);
+                grantors.retain(|grantor| !lost.contains(&grantor.vm));
             }
         }
         build::fill_grantors(next, &self.candidates(now));
-        for (domain, trio) in &mut next.grantors {
-            if trio.is_empty()
+        for (domain, grantors) in &mut next.grantors {
+            if grantors.is_empty()
                 && let Some(known) = before.get(domain)
             {
-                trio.clone_from(known);
+                grantors.clone_from(known);
             }
         }
     }
 
     /// Returns who leaves a trio by one write: this VM when it stops, those that are gone for
     /// good, and at most one that is only missed.
-    fn lost(&self, now: Duration, domain: &str) -> Vec<VmId> {
-        let fellows = self.fellows(domain);
-        let strikes = |grantor: &&group::Grantor| self.may_strike(now, domain, grantor);
-        let (gone, missed): (Vec<_>, Vec<_>) = fellows
+    fn grantors_to_remove(&self, now: Duration, domain: &str) -> Vec<VmId> {
+        let others = self.other_grantors(domain);
+        let replaceable = |grantor: &&group::Grantor| self.may_replace(now, domain, grantor);
+        let (gone, unresponsive): (Vec<_>, Vec<_>) = others
             .iter()
-            .filter(strikes)
+            .filter(replaceable)
             .map(|grantor| grantor.vm.clone())
             .partition(|vm| self.gone.contains(vm));
         let own = self.retired.then(|| self.vm.clone());
-        let most = match self.flaw {
-            Flaw::ConcurrentReplacements => missed.len(),
+        let max = match self.flaw {
+            Flaw::ConcurrentReplacements => unresponsive.len(),
             _ => 1,
         };
-        let missed = missed.into_iter().take(most);
-        let lost: Vec<VmId> = gone.into_iter().chain(own).chain(missed).collect();
+        let unresponsive = unresponsive.into_iter().take(max);
+        let lost: Vec<VmId> = gone.into_iter().chain(own).chain(unresponsive).collect();
         if lost.is_empty() {
-            return self.insider(now, domain).into_iter().collect();
+            return self
+                .grantor_in_own_domain(now, domain)
+                .into_iter()
+                .collect();
         }
         lost
     }
@@ -251,20 +259,21 @@
     ///
     /// The first VMs of a fleet may have to grant to their own domain; its loss would take them
     /// along with their targets.
-    fn insider(&self, now: Duration, domain: &str) -> Option<VmId> {
+    fn grantor_in_own_domain(&self, now: Duration, domain: &str) -> Option<VmId> {
         let others = self.candidates(now);
         let outside = others.iter().filter(|other| other.domain != domain);
-        let is_calm = now >= self.balanced && self.is_settled(domain);
-        if outside.count() < 2 || !is_calm {
+        let is_stable = now >= self.balance_from && self.is_change_known(domain);
+        if outside.count() < 2 || !is_stable {
             return None;
         }
         let inside = |vm: &VmId| {
             let mut live = self.live.iter();
             live.any(|live| live.vm == *vm && live.domain == domain)
         };
-        let trio = self.trio(domain).iter();
-        trio.map(|grantor| &grantor.vm)
-            .find(|vm| inside(vm) && self.can_spare(domain, vm))
+        let grantors = self.grantors(domain).iter();
+        grantors
+            .map(|grantor| &grantor.vm)
+            .find(|vm| inside(vm) && self.can_remove(domain, vm))
             .cloned()
     }
 
@@ -273,16 +282,16 @@
     /// New grantors start as stopped; if the only one that renews went before they had withdrawn,
     /// all would have stopped, and healthy targets would be released. A fellow whose stop was erased
     /// here may still wait for others to erase it, so the caller lets some time pass first.
-    fn can_spare(&self, domain: &str, spared: &VmId) -> bool {
+    fn can_remove(&self, domain: &str, removed: &VmId) -> bool {
         let renews = |watch: &Watch, grantor: &group::Grantor| {
             if grantor.vm == self.vm {
-                watch.own.is_none()
+                watch.own_stop.is_none()
             } else {
-                self.stop_of(watch, grantor).is_none()
+                self.stop_known_since(watch, grantor).is_none()
             }
         };
-        let trio = self.trio(domain);
-        let stay = || trio.iter().filter(|grantor| grantor.vm != *spared);
+        let grantors = self.grantors(domain);
+        let stay = || grantors.iter().filter(|grantor| grantor.vm != *removed);
         let of_domain = self.watches.iter().filter(|(target, watch)| {
             let member = self.view.members.get(*target);
             !watch.released && member.is_some_and(|member| member.domain == domain)
@@ -292,13 +301,13 @@
     }
 
     /// Replaces the grantors of failure domains whose whole trio is gone from the platform's list.
-    fn replace_vanished(&self, next: &mut Record) {
-        let gone = |grantor: &group::Grantor| self.vanished(grantor);
+    fn replace_gone_grantors(&self, next: &mut Record) {
+        let gone = |grantor: &group::Grantor| self.is_gone(grantor);
         let mut found = false;
-        for (domain, trio) in &mut next.grantors {
-            let other = self.myself(domain).is_none() && !trio.is_empty();
-            if other && trio.iter().all(gone) {
-                trio.clear();
+        for (domain, grantors) in &mut next.grantors {
+            let other = self.own_grantor(domain).is_none() && !grantors.is_empty();
+            if other && grantors.iter().all(gone) {
+                grantors.clear();
                 found = true;
             }
         }
@@ -307,26 +316,26 @@
         }
     }
 
-    fn vanished(&self, grantor: &group::Grantor) -> bool {
+    fn is_gone(&self, grantor: &group::Grantor) -> bool {
         self.gone.contains(&grantor.vm)
     }
 
     /// The VMs that may be named in another's place.
     fn candidates(&self, now: Duration) -> Vec<Candidate> {
-        let fit = |candidate: &&Candidate| {
+        let eligible = |candidate: &&Candidate| {
             let own = candidate.vm == self.vm;
             let silent =
-                self.peers.contains_key(&candidate.vm) && !self.hears_peer(now, &candidate.vm);
-            let banned = self.struck.contains_key(&candidate.vm);
+                self.peers.contains_key(&candidate.vm) && !self.hears_from(now, &candidate.vm);
+            let excluded = self.excluded.contains_key(&candidate.vm);
             let answers = self.answers.contains_key(&candidate.vm);
-            let fit = answers || (own && !self.retired);
-            fit && !(self.gone.contains(&candidate.vm) || silent || banned)
+            let eligible = answers || (own && !self.retired);
+            eligible && !(self.gone.contains(&candidate.vm) || silent || excluded)
         };
-        self.live.iter().filter(fit).cloned().collect()
+        self.live.iter().filter(eligible).cloned().collect()
     }
 
     /// Names the first start heard of each target, and notes the releases.
-    fn admit_starts(&self, now: Duration, next: &mut Record) {
+    fn record_starts(&self, now: Duration, next: &mut Record) {
         for (target, watch) in &self.watches {
             let Some(member) = next.members.get_mut(target) else {
                 continue;
@@ -335,8 +344,8 @@
                 continue;
             }
             member.released |= watch.released;
-            let heard = watch.fresh(now, self.timing.unresponsive_after);
-            if let Some(state) = heard
+            let answered = watch.recent_state(now, self.timing.unresponsive_after);
+            if let Some(state) = answered
                 && member.boot.is_empty()
             {
                 member.boot.clone_from(&state.boot);
@@ -348,7 +357,7 @@
     /// new start when there is none.
     ///
     /// No handover can exist for these: a handover needs an heir, and a released owner gets none.
-    fn assign_orphans(&self, next: &mut Record) {
+    fn assign_released(&self, next: &mut Record) {
         for index in 0..next.ranges.len() {
             let entry = &next.ranges[index];
             if entry.chain.len() > 1 || !self.is_released(&entry.chain[0]) {
@@ -356,7 +365,7 @@
             }
             let owner = entry.chain[0].clone();
             let mut chain = successors::repair(next, entry);
-            chain.retain(|heir| *heir != owner);
+            chain.retain(|successor| *successor != owner);
             if !chain.is_empty() {
                 next.ranges[index].epoch += 1;
                 next.ranges[index].chain = chain;
@@ -371,7 +380,7 @@
     /// whose ranges found no other owner takes them back at higher epochs.
     fn readmit(&self, now: Duration, next: &mut Record) {
         for (target, watch) in &self.watches {
-            let Some(state) = watch.fresh(now, self.timing.unresponsive_after) else {
+            let Some(state) = watch.recent_state(now, self.timing.unresponsive_after) else {
                 continue;
             };
             let serial = next.serial;
@@ -384,12 +393,12 @@
             }
             let held = |entry: &&mut Entry| entry.chain.contains(target);
             let named: Vec<&mut Entry> = next.ranges.iter_mut().filter(held).collect();
-            let alone = watch.released && named.iter().all(|entry| entry.chain.len() == 1);
+            let only_owner = watch.released && named.iter().all(|entry| entry.chain.len() == 1);
             let kept = self.flaw == Flaw::TermUnchanged;
-            if !named.is_empty() && !alone && !kept {
+            if !named.is_empty() && !only_owner && !kept {
                 continue;
             }
-            for entry in named.into_iter().filter(|_| alone) {
+            for entry in named.into_iter().filter(|_| only_owner) {
                 entry.epoch += 1;
                 entry.moving = false;
             }
@@ -401,15 +410,15 @@
 
     /// Returns whether this VM may change the heirs and the bounds of a target's ranges: it
     /// grants to the target and has not stopped it.
-    fn tends(&self, target: &str) -> bool {
+    fn manages(&self, target: &str) -> bool {
         let watch = self.watches.get(target);
-        watch.is_some_and(|watch| watch.own.is_none() && !watch.released)
+        watch.is_some_and(|watch| watch.own_stop.is_none() && !watch.released)
     }
 
-    fn repair_heirs(&self, next: &mut Record) {
+    fn repair_successors(&self, next: &mut Record) {
         for index in 0..next.ranges.len() {
             let entry = &next.ranges[index];
-            if !entry.moving && self.tends(&entry.chain[0]) {
+            if !entry.moving && self.manages(&entry.chain[0]) {
                 next.ranges[index].chain = successors::repair(next, entry);
             }
         }
@@ -419,10 +428,10 @@
         let Some((_, document)) = &self.document else {
             return;
         };
-        let tends = |target: &str| self.tends(target);
-        let drains = |target: &str| self.drains(now, target);
-        balance::drain_targets(next, tends, drains);
-        if now < self.balanced {
+        let manages = |target: &str| self.manages(target);
+        let drains = |target: &str| self.is_draining(now, target);
+        balance::drain_targets(next, manages, drains);
+        if now < self.balance_from {
             return;
         }
         // An owner that doesn't check grants pays for each move with seconds without service: its
@@ -431,19 +440,19 @@
             let member = next.members.get(target);
             member.is_some_and(|member| member.fencing == Fencing::Checked)
         };
-        let may = |target: &str| tends(target) && checks(target);
+        let may = |target: &str| manages(target) && checks(target);
         let steps = balance::plan(next, &self.loads, document, may);
         balance::apply(next, &steps);
     }
 
     /// Returns whether a target says that it takes no more work.
-    fn drains(&self, now: Duration, target: &str) -> bool {
+    fn is_draining(&self, now: Duration, target: &str) -> bool {
         let watch = self.watches.get(target);
-        let state = watch.and_then(|watch| watch.fresh(now, self.timing.unresponsive_after));
+        let state = watch.and_then(|watch| watch.recent_state(now, self.timing.unresponsive_after));
         state.is_some_and(|state| state.phase == crate::grant::Phase::Draining)
     }
 
-    fn dismiss(&self, next: &mut Record) {
+    fn remove_members(&self, next: &mut Record) {
         if let Some((version, document)) = &self.document
             && *version == next.document
         {
@@ -453,7 +462,7 @@
 }
 
 /// Returns the owners whose ranges, epochs or heirs differ between two records.
-fn touched(before: &Record, after: &Record) -> IndexSet<TargetId> {
+fn changed_owners(before: &Record, after: &Record) -> IndexSet<TargetId> {
     let of = |record: &Record| -> IndexMap<Range, Entry> {
         let pairs = record.ranges.iter();
         pairs.map(|entry| (entry.range, entry.clone())).collect()
@@ -465,9 +474,9 @@
             .filter_map(|(_, entry)| entry.chain.first().cloned())
             .collect::<Vec<TargetId>>()
     };
-    let mut touched: IndexSet<TargetId> = changed(&old, &new).into_iter().collect();
-    touched.extend(changed(&new, &old));
-    touched
+    let mut changed_owners: IndexSet<TargetId> = changed(&old, &new).into_iter().collect();
+    changed_owners.extend(changed(&new, &old));
+    changed_owners
 }
 
 /// Returns whether two records say different things, whoever wrote them.
--- a/src/grantor/release.rs
+++ b/src/grantor/release.rs
@@ -6,7 +6,9 @@
 
 use crate::{
     document::Fencing,
-    grantor::{Effect, Grantor, Kind, Mark, flaw::Flaw, note, starts_stopped, watch::Watch},
+    grantor::{
+        Effect, Grantor, Kind, UncheckedMove, flaw::Flaw, note, starts_stopped, watch::Watch,
+    },
     group::{self, Entry},
     handover::{Handover, Successor},
     id::TargetId,
@@ -21,11 +23,14 @@
         target: &TargetId,
         effects: &mut Vec<Effect>,
     ) {
-        let lapse = self.domain(target).and_then(|domain| self.lapse(&domain));
-        let (Some(since), Some(lapse)) = (self.stopped_since(target), lapse) else {
+        let replaced_expiry = self
+            .target_domain(target)
+            .and_then(|domain| self.replaced_expiry(&domain));
+        let (Some(since), Some(replaced_expiry)) = (self.stopped_since(target), replaced_expiry)
+        else {
             return;
         };
-        let since = since.max(lapse);
+        let since = since.max(replaced_expiry);
         let wait = self.timing.issuer_span(self.timing.grant);
         if now < since + wait && self.flaw != Flaw::ReleaseNoWait {
             return;
@@ -44,34 +49,38 @@
     /// A stop counts only with a record at least as new as its sender's: that record names the
     /// trio, and the heirs that the sender last agreed to.
     fn stopped_since(&self, target: &TargetId) -> Option<Duration> {
-        let domain = self.domain(target)?;
+        let domain = self.target_domain(target)?;
         let watch = self.watches.get(target)?;
-        let own = watch.own.as_ref()?;
-        let mut since = own.at;
+        let own = watch.own_stop.as_ref()?;
+        let mut since = own.started;
         if self.flaw == Flaw::ReleaseOnOwnStop {
             return Some(since);
         }
-        for fellow in self.fellows(&domain) {
-            since = since.max(self.stop_of(watch, &fellow)?);
+        for other in self.other_grantors(&domain) {
+            since = since.max(self.stop_known_since(watch, &other)?);
         }
         Some(since)
     }
 
     /// Returns when a fellow's stop became known.
-    pub(super) fn stop_of(&self, watch: &Watch, fellow: &group::Grantor) -> Option<Duration> {
-        let explicit = watch.others.get(&fellow.vm);
-        let explicit = explicit.filter(|(_, stop)| stop.since == fellow.since);
-        if let Some((at, stop)) = explicit {
+    pub(super) fn stop_known_since(
+        &self,
+        watch: &Watch,
+        other: &group::Grantor,
+    ) -> Option<Duration> {
+        let announced = watch.other_stops.get(&other.vm);
+        let announced = announced.filter(|(_, stop)| stop.since == other.since);
+        if let Some((at, stop)) = announced {
             let known = self.version() >= stop.version || self.flaw == Flaw::OutdatedSuccessors;
             return known.then_some(*at);
         }
-        let starts = starts_stopped(watch.term, fellow.since) && fellow.since >= watch.since;
-        let kept = watch.floor(&fellow.vm) <= (fellow.since, 0);
+        let starts = starts_stopped(watch.term, other.since) && other.since >= watch.since;
+        let kept = watch.withdrawn_below(&other.vm) <= (other.since, 0);
         (starts && kept).then_some(Duration::ZERO)
     }
 
     /// Derives the handovers that follow from releases, until there are no more.
-    pub(super) fn derive(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+    pub(super) fn derive_handovers(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         loop {
             let lost = |entry: &&Entry| entry.chain.len() > 1 && self.is_released(&entry.chain[0]);
             let entries: Vec<Entry> = self.view.ranges.iter().filter(lost).cloned().collect();
@@ -108,73 +117,74 @@
         let Some(chain) = chain.filter(|chain| !chain.is_empty()) else {
             return false;
         };
-        let raise = u64::from(self.flaw != Flaw::EpochUnchanged);
-        let fact = Handover {
+        let increment = u64::from(self.flaw != Flaw::EpochUnchanged);
+        let handover = Handover {
             group: self.group.clone(),
             range: entry.range,
-            epoch: entry.epoch + raise,
+            epoch: entry.epoch + increment,
             chain,
         };
-        if !self.learn(now, fact.clone()) {
+        if !self.add_handover(now, handover.clone()) {
             return false;
         }
-        let owner = &fact.chain[0].target;
+        let owner = &handover.chain[0].target;
         let detail = format!(
             "range={:?} epoch={} from={}",
-            fact.range, fact.epoch, entry.chain[0]
+            handover.range, handover.epoch, entry.chain[0]
         );
         effects.push(note(Kind::Handover, owner, detail));
-        effects.push(Effect::Handover(fact));
+        effects.push(Effect::Handover(handover));
         true
     }
 
     /// Forgets the marks of ranges that have moved.
-    pub(super) fn refresh_marks(&mut self) {
+    pub(super) fn refresh_unchecked_moves(&mut self) {
         let version = self.version();
         let unchecked = |target: &TargetId| {
             let member = self.view.members.get(target);
             member.is_some_and(|member| member.fencing == Fencing::Unchecked)
         };
-        let mut marked = IndexMap::new();
+        let mut moves = IndexMap::new();
         for entry in &self.view.ranges {
             if entry.moving && entry.chain.first().is_some_and(unchecked) {
                 let key = (entry.range, entry.epoch);
-                let fresh = Mark {
+                let new = UncheckedMove {
                     version,
-                    known: None,
+                    known_since: None,
                 };
-                let mark = self.marked.get(&key).copied().unwrap_or(fresh);
-                marked.insert(key, mark);
+                let moving = self.unchecked_moves.get(&key).copied().unwrap_or(new);
+                moves.insert(key, moving);
             }
         }
-        self.marked = marked;
+        self.unchecked_moves = moves;
     }
 
     /// Hands marked ranges over once no sender can hold a lease of them, nor work in flight.
-    pub(super) fn tick_marks(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+    pub(super) fn tick_unchecked_moves(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let wait =
             self.timing.issuer_span(self.timing.grant) + self.timing.issuer_span(self.timing.drain);
         let mut due = Vec::new();
-        for (key, mark) in self.marked.clone() {
+        for (key, moving) in self.unchecked_moves.clone() {
             let owner = |entry: &&Entry| (entry.range, entry.epoch) == key;
             let Some(entry) = self.view.ranges.iter().find(owner).cloned() else {
                 continue;
             };
-            let Some(domain) = self.domain(&entry.chain[0]) else {
+            let Some(domain) = self.target_domain(&entry.chain[0]) else {
                 continue;
             };
-            let told = self.fellows(&domain).iter().all(|fellow| {
-                let peer = self.peers.get(&fellow.vm);
-                peer.is_some_and(|peer| peer.version >= mark.version)
+            let all_know = self.other_grantors(&domain).iter().all(|other| {
+                let peer = self.peers.get(&other.vm);
+                peer.is_some_and(|peer| peer.version >= moving.version)
             });
-            let known = mark.known.or(told.then_some(now));
-            if let Some(mark) = self.marked.get_mut(&key) {
-                mark.known = known;
+            let known = moving.known_since.or(all_know.then_some(now));
+            if let Some(moving) = self.unchecked_moves.get_mut(&key) {
+                moving.known_since = known;
             }
-            let (Some(known), Some(lapse)) = (known, self.lapse(&domain)) else {
+            let (Some(known), Some(replaced_expiry)) = (known, self.replaced_expiry(&domain))
+            else {
                 continue;
             };
-            if now >= known.max(lapse) + wait {
+            if now >= known.max(replaced_expiry) + wait {
                 due.push(entry);
             }
         }
--- a/src/grantor/routes.rs
+++ b/src/grantor/routes.rs
@@ -71,12 +71,12 @@
         member.is_some_and(|member| {
             member.fencing == Fencing::Unchecked
                 && !entry.moving
-                && self.renews(now, target, member)
+                && self.may_renew(now, target, member)
         })
     }
 
     /// Answers a sender with leases of what this VM may lease.
-    pub(super) fn lease(
+    pub(super) fn send_leases(
         &self,
         now: Duration,
         to: &VmId,
--- a/src/grantor/targets.rs
+++ b/src/grantor/targets.rs
@@ -23,18 +23,20 @@
             if !domains.contains(&member.domain) {
                 continue;
             }
-            let since = self.myself(&member.domain).map_or(0, |myself| myself.since);
+            let since = self
+                .own_grantor(&member.domain)
+                .map_or(0, |own_grantor| own_grantor.since);
             let known = self.watches.shift_remove(target);
             let watch = known
                 .filter(|watch| watch.term == member.term && watch.since == since)
-                .unwrap_or_else(|| self.begin(now, member.term, since));
+                .unwrap_or_else(|| self.start_watch(now, member.term, since));
             watches.insert(target.clone(), watch);
         }
         self.watches = watches;
     }
 
     /// Begins a watch; a grantor that was named later than the term starts as stopped.
-    fn begin(&self, now: Duration, term: Term, since: Term) -> Watch {
+    fn start_watch(&self, now: Duration, term: Term, since: Term) -> Watch {
         let mut watch = Watch::new(term, since, self.version(), now);
         if starts_stopped(term, since) && self.flaw != Flaw::NewGrantorUnstopped {
             watch.stop(now, 0);
@@ -75,13 +77,13 @@
         released: &[Claim],
         effects: &mut Vec<Effect>,
     ) {
-        let gone = |entry: &&Entry| {
-            let free = released.iter().any(|claim| {
+        let released_by_owner = |entry: &&Entry| {
+            let confirmed = released.iter().any(|claim| {
                 claim.epoch == entry.epoch
                     && claim.start <= entry.range.start
                     && entry.range.end <= claim.end
             });
-            free || self.flaw == Flaw::UnconfirmedMove
+            confirmed || self.flaw == Flaw::UnconfirmedMove
         };
         let member = self.view.members.get(target);
         if member.is_none_or(|member| member.term != term || member.fencing != Fencing::Checked) {
@@ -92,13 +94,13 @@
             .ranges
             .iter()
             .filter(|entry| entry.moving && entry.chain.first() == Some(target))
-            .filter(gone)
+            .filter(released_by_owner)
             .cloned()
             .collect();
         for entry in entries {
             self.hand_over(now, &entry, effects);
         }
-        self.derive(now, effects);
+        self.derive_handovers(now, effects);
     }
 
     /// Probes, grants, stops, withdraws and releases.
@@ -110,27 +112,30 @@
             self.tick_grant(now, target, effects);
             self.tick_release(now, target, effects);
         }
-        self.tick_marks(now, effects);
-        self.derive(now, effects);
+        self.tick_unchecked_moves(now, effects);
+        self.derive_handovers(now, effects);
     }
 
     /// Stops a target that isn't heard, unless an own write about it is under way.
     fn tick_stop(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
-        let patience = self.patience(target);
+        let timeout = self.timeout(target);
         let Some(watch) = self.watches.get(target) else {
             return;
         };
-        let heard = watch.heard.unwrap_or(watch.born);
-        let touched = self
+        let last_answer = watch.last_answer.unwrap_or(watch.started);
+        let changed_owners = self
             .pending
             .as_ref()
-            .is_some_and(|pending| pending.touched.contains(target));
-        let blocked = touched && self.flaw != Flaw::StopDuringWrite;
-        if now < heard + patience || blocked {
+            .is_some_and(|pending| pending.changed_owners.contains(target));
+        let blocked = changed_owners && self.flaw != Flaw::StopDuringWrite;
+        if now < last_answer + timeout || blocked {
             return;
         }
-        let resumed = watch.own.as_ref().is_some_and(|own| !own.erased.is_empty());
-        if watch.own.is_some() && !resumed {
+        let resumed = watch
+            .own_stop
+            .as_ref()
+            .is_some_and(|own| !own.erased_by.is_empty());
+        if watch.own_stop.is_some() && !resumed {
             return;
         }
         let sequence = self.next_sequence();
@@ -141,7 +146,7 @@
     }
 
     /// How long a target may be silent. One that never was heard may be starting.
-    fn patience(&self, target: &str) -> Duration {
+    fn timeout(&self, target: &str) -> Duration {
         let member = self.view.members.get(target);
         if member.is_some_and(|member| member.boot.is_empty()) {
             return self.timing.start_timeout;
@@ -154,12 +159,13 @@
         let version = self.version();
         let mut stops = Vec::new();
         for (target, member) in &self.view.members {
-            let trio = self.view.grantors.get(&member.domain);
-            let shared = trio.is_some_and(|trio| trio.iter().any(|grantor| grantor.vm == *to));
+            let grantors = self.view.grantors.get(&member.domain);
+            let shared =
+                grantors.is_some_and(|grantors| grantors.iter().any(|grantor| grantor.vm == *to));
             if let Some(watch) = self.watches.get_mut(target)
                 && shared
             {
-                stops.extend(watch.told(target, version, to));
+                stops.extend(watch.announce_stop(target, version, to));
             }
         }
         stops
@@ -174,48 +180,48 @@
 
     /// Asks the others to erase an own stop once the target is heard again.
     fn tick_withdraw(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
-        let Some(domain) = self.domain(target) else {
+        let Some(domain) = self.target_domain(target) else {
             return;
         };
         let authority = self.has_authority(now, &domain);
         let version = self.version();
-        let mut fellows = self.fellows(&domain);
+        let mut others = self.other_grantors(&domain);
         if self.flaw == Flaw::WithdrawUnconfirmed {
-            fellows.clear();
+            others.clear();
         }
         let timing = self.timing;
         let sequence = self.sequence + 1;
-        let unstopped_only = self.needs_clean(target, &fellows);
+        let unstopped_only = self.needs_unstopped_peer(target, &others);
         let Some(watch) = self.watches.get_mut(target) else {
             return;
         };
         let steady = watch
-            .steady
+            .steady_since
             .is_some_and(|since| now >= since + timing.renew);
-        let hears = watch.hears(now, timing.unresponsive_after);
+        let responsive = watch.is_responsive(now, timing.unresponsive_after);
         let (term, since) = (watch.term, watch.since);
-        let Some(own) = watch.own.as_mut() else {
+        let Some(own) = watch.own_stop.as_mut() else {
             return;
         };
-        if watch.released || !steady || !hears || !authority {
+        if watch.released || !steady || !responsive || !authority {
             return;
         }
         let unstopped = own
-            .erased
+            .erased_by
             .values()
             .any(|(unstopped, at)| *unstopped && *at >= version);
-        if unstopped_only && !unstopped && !own.erased.is_empty() {
+        if unstopped_only && !unstopped && !own.erased_by.is_empty() {
             self.sequence = sequence;
             watch.stop(now, sequence);
             return;
         }
         if own
-            .withdrawn
+            .withdraw_sent
             .is_some_and(|last| now < last + timing.permission_renew)
         {
             return;
         }
-        own.withdrawn = Some(now);
+        own.withdraw_sent = Some(now);
         let stop = Stop {
             target: target.clone(),
             term,
@@ -223,7 +229,7 @@
             sequence: own.sequence,
             version,
         };
-        for fellow in fellows {
+        for other in others {
             let stop = stop.clone();
             let unstopped_only = unstopped_only && !unstopped;
             let message = Message::Withdraw {
@@ -231,16 +237,16 @@
                 unstopped_only,
             };
             effects.push(Effect::Send {
-                to: fellow.vm,
+                to: other.vm,
                 message,
             });
         }
         self.try_resume(now, target, effects);
     }
 
-    fn needs_clean(&self, target: &str, fellows: &[group::Grantor]) -> bool {
+    fn needs_unstopped_peer(&self, target: &str, others: &[group::Grantor]) -> bool {
         let watch = self.watches.get(target);
-        watch.is_some_and(|watch| watch.needs_clean(fellows))
+        watch.is_some_and(|watch| watch.needs_unstopped_peer(others))
             && self.flaw != Flaw::ReplacedForgotten
     }
 
@@ -255,11 +261,11 @@
         unstopped_only: bool,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(domain) = self.domain(&stop.target) else {
+        let Some(domain) = self.target_domain(&stop.target) else {
             return;
         };
         let named = self
-            .trio(&domain)
+            .grantors(&domain)
             .iter()
             .any(|grantor| grantor.vm == *from && grantor.since == stop.since);
         if !named || self.version() < stop.version {
@@ -271,7 +277,7 @@
         if watch.term != stop.term || watch.released {
             return;
         }
-        let unstopped = watch.own.is_none();
+        let unstopped = watch.own_stop.is_none();
         if unstopped_only && !unstopped {
             return;
         }
@@ -296,43 +302,44 @@
         };
         let same = watch.term == stop.term && watch.since == stop.since;
         let Some(own) = watch
-            .own
+            .own_stop
             .as_mut()
             .filter(|own| same && own.sequence == stop.sequence)
         else {
             return;
         };
-        own.erased.insert(from.clone(), (unstopped, stop.version));
-        own.told.shift_remove(from);
+        own.erased_by
+            .insert(from.clone(), (unstopped, stop.version));
+        own.recipients.shift_remove(from);
         self.try_resume(now, &stop.target, effects);
     }
 
     /// Ends an own stop once every grantor that may know of it has erased it.
     fn try_resume(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
-        let Some(domain) = self.domain(target) else {
+        let Some(domain) = self.target_domain(target) else {
             return;
         };
         let version = self.version();
-        let fellows = self.fellows(&domain);
-        let unstopped_only = self.needs_clean(target, &fellows);
-        let alone = self.flaw == Flaw::WithdrawUnconfirmed;
+        let others = self.other_grantors(&domain);
+        let unstopped_only = self.needs_unstopped_peer(target, &others);
+        let skip_check = self.flaw == Flaw::WithdrawUnconfirmed;
         let Some(watch) = self.watches.get_mut(target) else {
             return;
         };
-        let Some(own) = watch.own.as_ref().filter(|_| !watch.released) else {
+        let Some(own) = watch.own_stop.as_ref().filter(|_| !watch.released) else {
             return;
         };
-        let current = |fellow: &group::Grantor| {
-            let answer = own.erased.get(&fellow.vm);
+        let current = |other: &group::Grantor| {
+            let answer = own.erased_by.get(&other.vm);
             answer.filter(|(_, at)| *at >= version)
         };
-        let all = fellows.iter().all(|fellow| current(fellow).is_some());
-        let unstopped = fellows
+        let all = others.iter().all(|other| current(other).is_some());
+        let unstopped = others
             .iter()
             .filter_map(current)
             .any(|(unstopped, _)| *unstopped);
-        if alone || (all && (unstopped || !unstopped_only)) {
-            watch.own = None;
+        if skip_check || (all && (unstopped || !unstopped_only)) {
+            watch.own_stop = None;
             effects.push(note(Kind::Resume, target, format!("now={now:?}")));
         }
     }
@@ -346,12 +353,12 @@
             return;
         };
         if watch
-            .asked
+            .last_request
             .is_some_and(|asked| now < asked + self.timing.renew)
         {
             return;
         }
-        watch.asked = Some(now);
+        watch.last_request = Some(now);
         let probe = Effect::Probe {
             target: target.clone(),
             address: member.address.clone(),
@@ -367,10 +374,10 @@
     /// Builds a grant, if this VM may renew the target and knows the reading of its clock.
     fn grant(&self, now: Duration, target: &TargetId, member: &Member) -> Option<Grant> {
         let watch = self.watches.get(target)?;
-        let state = watch.fresh(now, self.timing.grant)?;
+        let state = watch.recent_state(now, self.timing.grant)?;
         let ignored = self.flaw == Flaw::BootIgnored;
         if member.fencing != Fencing::Checked
-            || !self.renews(now, target, member)
+            || !self.may_renew(now, target, member)
             || (state.boot != member.boot && !ignored)
         {
             return None;
@@ -393,8 +400,8 @@
     }
 
     /// Returns whether this VM may renew a target now.
-    pub(super) fn renews(&self, now: Duration, target: &str, member: &Member) -> bool {
-        let stopped = |watch: &Watch| watch.own.is_some() || watch.released;
+    pub(super) fn may_renew(&self, now: Duration, target: &str, member: &Member) -> bool {
+        let stopped = |watch: &Watch| watch.own_stop.is_some() || watch.released;
         self.watches
             .get(target)
             .is_some_and(|watch| !stopped(watch))
--- a/src/group/build.rs
+++ b/src/group/build.rs
@@ -120,11 +120,11 @@
     };
     apply_document(&mut record, version, document);
     fill_grantors(&mut record, live);
-    let fit = record
+    let eligible = record
         .members
         .iter()
         .filter(|(_, member)| successors::is_eligible(member));
-    let owners: Vec<TargetId> = fit.map(|(target, _)| target.clone()).collect();
+    let owners: Vec<TargetId> = eligible.map(|(target, _)| target.clone()).collect();
     if owners.is_empty() || record.grantors.values().any(Vec::is_empty) {
         return None;
     }
@@ -176,17 +176,19 @@
     }
     record.document = version;
     let term = record.serial;
-    let named = named(record);
+    let named = chain_targets(record);
     for (id, target) in &document.targets {
         if target_group(&document.service, document.groups, id) != record.group {
             continue;
         }
-        let room = record.members.len() < check::MAX_MEMBERS;
+        let has_room = record.members.len() < check::MAX_MEMBERS;
         match record.members.get_mut(id) {
-            Some(known) if named.contains(id) || stands(known, target) => follow(known, target),
-            Some(known) => *known = member(target, term),
-            None if room => {
-                record.members.insert(id.clone(), member(target, term));
+            Some(known) if named.contains(id) || is_unchanged(known, target) => {
+                update_member(known, target)
+            }
+            Some(known) => *known = new_member(target, term),
+            None if has_room => {
+                record.members.insert(id.clone(), new_member(target, term));
             }
             None => {}
         }
@@ -249,9 +251,9 @@
         .collect();
     record.grantors.retain(|domain, _| domains.contains(domain));
     for domain in domains {
-        let mut trio = record.grantors.get(&domain).cloned().unwrap_or_default();
-        fill(&record.group, &domain, &mut trio, live, record.serial);
-        record.grantors.insert(domain, trio);
+        let mut grantors = record.grantors.get(&domain).cloned().unwrap_or_default();
+        fill_domain(&record.group, &domain, &mut grantors, live, record.serial);
+        record.grantors.insert(domain, grantors);
     }
 }
 
@@ -259,14 +261,20 @@
 ///
 /// They come by rendezvous hash of the group, so that its trios share VMs; first from failure
 /// domains that the trio lacks. Only when there is none outside, one VM inside serves.
-fn fill(group: &str, domain: &str, trio: &mut Vec<Grantor>, live: &[Candidate], since: Term) {
+fn fill_domain(
+    group: &str,
+    domain: &str,
+    grantors: &mut Vec<Grantor>,
+    live: &[Candidate],
+    since: Term,
+) {
     let mut order: Vec<&Candidate> = live.iter().collect();
     order.sort_by_key(|candidate| Reverse(key::weight(group, &candidate.vm)));
-    while trio.len() < check::MAX_GRANTORS {
-        let Some(candidate) = next(domain, trio, &order) else {
+    while grantors.len() < check::MAX_GRANTORS {
+        let Some(candidate) = best_candidate(domain, grantors, &order) else {
             return;
         };
-        trio.push(Grantor {
+        grantors.push(Grantor {
             vm: candidate.vm.clone(),
             since,
         });
@@ -274,12 +282,12 @@
 }
 
 /// Returns the best VM that the trio lacks.
-fn next<'live>(
+fn best_candidate<'live>(
     domain: &str,
-    trio: &[Grantor],
+    grantors: &[Grantor],
     order: &[&'live Candidate],
 ) -> Option<&'live Candidate> {
-    let named = |vm: &VmId| trio.iter().any(|grantor| grantor.vm == *vm);
+    let named = |vm: &VmId| grantors.iter().any(|grantor| grantor.vm == *vm);
     let present: IndexSet<&DomainId> = order
         .iter()
         .filter(|candidate| named(&candidate.vm))
@@ -287,23 +295,26 @@
         .collect();
     let free = || order.iter().filter(|candidate| !named(&candidate.vm));
     let outside = || free().filter(|candidate| candidate.domain != domain);
-    let fresh = outside().find(|candidate| !present.contains(&candidate.domain));
-    let inside = || trio.is_empty().then(|| free().next()).flatten();
-    fresh.or_else(|| outside().next()).or_else(inside).copied()
+    let new_domain = outside().find(|candidate| !present.contains(&candidate.domain));
+    let inside = || grantors.is_empty().then(|| free().next()).flatten();
+    new_domain
+        .or_else(|| outside().next())
+        .or_else(inside)
+        .copied()
 }
 
 /// The targets that some chain names.
-fn named(record: &Record) -> IndexSet<TargetId> {
+fn chain_targets(record: &Record) -> IndexSet<TargetId> {
     let chains = record.ranges.iter().flat_map(|entry| &entry.chain);
     chains.cloned().collect()
 }
 
 /// Returns whether a member still stands where the document says, and checks as it says.
-fn stands(member: &Member, target: &Target) -> bool {
+fn is_unchanged(member: &Member, target: &Target) -> bool {
     member.domain == target.domain && member.fencing == target.fencing
 }
 
-fn member(target: &Target, term: Term) -> Member {
+fn new_member(target: &Target, term: Term) -> Member {
     Member {
         address: target.address.clone(),
         domain: target.domain.clone(),
@@ -317,7 +328,7 @@
 }
 
 /// Takes over what the document says; the failure domain and the fencing stay while it is named.
-fn follow(member: &mut Member, target: &Target) {
+fn update_member(member: &mut Member, target: &Target) {
     member.address.clone_from(&target.address);
     member.leaving = target.state == TargetState::Leaving;
     member.slots = target.slots;
--- a/src/group/check.rs
+++ b/src/group/check.rs
@@ -29,15 +29,15 @@
         }
         /// A chain is empty, too long, or names a target twice.
         Chain(group: GroupId, range: Range) {
-            display("step=check group={group}: bad chain at {range:?}")
+            display("step=check group={group}: empty, too long or duplicate succession chain at {range:?}")
         }
         /// A chain names a target that is no member.
         UnknownMember(group: GroupId, target: TargetId) {
-            display("step=check group={group}: {target} is no member")
+            display("step=check group={group}: {target} is not a member")
         }
         /// A failure domain with members has no grantors, or one is named twice.
         Grantors(group: GroupId, domain: DomainId) {
-            display("step=check group={group}: bad grantors for {domain}")
+            display("step=check group={group}: missing or duplicate grantors for {domain}")
         }
     }
 }
@@ -57,31 +57,31 @@
 /// ```
 pub fn check(record: &Record, slice: Range) -> Result<(), Error> {
     let group = || record.group.clone();
-    let long = |trio: &Vec<_>| trio.len() > MAX_GRANTORS;
+    let too_many = |grantors: &Vec<_>| grantors.len() > MAX_GRANTORS;
     if record.members.len() > MAX_MEMBERS
         || record.ranges.len() > MAX_RANGES
-        || record.grantors.values().any(long)
+        || record.grantors.values().any(too_many)
     {
         return Err(Error::Size(group()));
     }
-    cover(record, slice)?;
+    check_coverage(record, slice)?;
     for entry in &record.ranges {
-        chain(record, entry)?;
+        check_chain(record, entry)?;
     }
     record
         .members
         .values()
-        .try_for_each(|member| grantors(record, member))
+        .try_for_each(|member| check_grantors(record, member))
 }
 
 /// Checks that the ranges cover the slice once.
-fn cover(record: &Record, slice: Range) -> Result<(), Error> {
-    let mut open = Some(slice.start);
+fn check_coverage(record: &Record, slice: Range) -> Result<(), Error> {
+    let mut next_start = Some(slice.start);
     for entry in &record.ranges {
-        if open != Some(entry.range.start) || entry.range.end < entry.range.start {
+        if next_start != Some(entry.range.start) || entry.range.end < entry.range.start {
             return Err(Error::Ranges(record.group.clone(), entry.range));
         }
-        open = entry.range.end.checked_add(1);
+        next_start = entry.range.end.checked_add(1);
     }
     if record.ranges.last().map(|entry| entry.range.end) == Some(slice.end) {
         return Ok(());
@@ -89,9 +89,10 @@
     Err(Error::Ranges(record.group.clone(), slice))
 }
 
-fn chain(record: &Record, entry: &Entry) -> Result<(), Error> {
-    let twice = (1..entry.chain.len()).any(|at| entry.chain[..at].contains(&entry.chain[at]));
-    if entry.chain.is_empty() || entry.chain.len() > successors::MAX_CHAIN || twice {
+fn check_chain(record: &Record, entry: &Entry) -> Result<(), Error> {
+    let duplicate =
+        (1..entry.chain.len()).any(|index| entry.chain[..index].contains(&entry.chain[index]));
+    if entry.chain.is_empty() || entry.chain.len() > successors::MAX_CHAIN || duplicate {
         return Err(Error::Chain(record.group.clone(), entry.range));
     }
     for target in &entry.chain {
@@ -102,13 +103,17 @@
     Ok(())
 }
 
-fn grantors(record: &Record, member: &Member) -> Result<(), Error> {
-    let trio = record
+fn check_grantors(record: &Record, member: &Member) -> Result<(), Error> {
+    let grantors = record
         .grantors
         .get(&member.domain)
         .map_or(&[][..], Vec::as_slice);
-    let twice = (1..trio.len()).any(|at| trio[..at].iter().any(|other| other.vm == trio[at].vm));
-    if trio.is_empty() || twice {
+    let duplicate = (1..grantors.len()).any(|index| {
+        grantors[..index]
+            .iter()
+            .any(|other| other.vm == grantors[index].vm)
+    });
+    if grantors.is_empty() || duplicate {
         return Err(Error::Grantors(record.group.clone(), member.domain.clone()));
     }
     Ok(())
--- a/src/group/merge.rs
+++ b/src/group/merge.rs
@@ -20,10 +20,10 @@
 pub fn view(record: &Record, facts: &Handovers) -> Record {
     let mut view = record.clone();
     let mut order: Vec<&Handover> = facts.values().collect();
-    order.sort_by_key(|fact| fact.epoch);
-    for fact in order {
-        if applies(record, fact) {
-            lay(&mut view.ranges, fact);
+    order.sort_by_key(|handover| handover.epoch);
+    for handover in order {
+        if is_applicable(record, handover) {
+            apply(&mut view.ranges, handover);
         }
     }
     view
@@ -39,70 +39,74 @@
 /// let fact = Handover { group: "s/0".into(), range: Range::ALL, epoch: 2, chain: vec![] };
 /// assert!(merge::includes(&Record::default(), &fact));
 /// ```
-pub fn includes(record: &Record, fact: &Handover) -> bool {
+pub fn includes(record: &Record, handover: &Handover) -> bool {
     record
         .ranges
         .iter()
-        .filter(|entry| entry.range.overlaps(&fact.range))
-        .all(|entry| entry.epoch >= fact.epoch)
+        .filter(|entry| entry.range.overlaps(&handover.range))
+        .all(|entry| entry.epoch >= handover.epoch)
 }
 
 /// Returns whether the record knows each heir under the term that the handover names.
 ///
 /// A fact that names a newer term waits for the record that admitted it.
-fn applies(record: &Record, fact: &Handover) -> bool {
-    !fact.chain.is_empty()
-        && fact.chain.iter().all(|heir| {
-            let member = record.members.get(&heir.target);
-            member.is_some_and(|member| member.term == heir.term)
+fn is_applicable(record: &Record, handover: &Handover) -> bool {
+    !handover.chain.is_empty()
+        && handover.chain.iter().all(|successor| {
+            let member = record.members.get(&successor.target);
+            member.is_some_and(|member| member.term == successor.term)
         })
 }
 
 /// Lays one handover over the entries.
-fn lay(ranges: &mut Vec<Entry>, fact: &Handover) {
-    let chain: Vec<TargetId> = fact.chain.iter().map(|heir| heir.target.clone()).collect();
-    let mut laid: Vec<Entry> = Vec::with_capacity(ranges.len());
+fn apply(ranges: &mut Vec<Entry>, handover: &Handover) {
+    let chain: Vec<TargetId> = handover
+        .chain
+        .iter()
+        .map(|successor| successor.target.clone())
+        .collect();
+    let mut merged: Vec<Entry> = Vec::with_capacity(ranges.len());
     for entry in ranges.drain(..) {
-        if entry.epoch >= fact.epoch || !entry.range.overlaps(&fact.range) {
-            laid.push(entry);
+        if entry.epoch >= handover.epoch || !entry.range.overlaps(&handover.range) {
+            merged.push(entry);
             continue;
         }
-        let start = entry.range.start.max(fact.range.start);
-        let end = entry.range.end.min(fact.range.end);
+        let start = entry.range.start.max(handover.range.start);
+        let end = entry.range.end.min(handover.range.end);
         if entry.range.start < start {
-            laid.push(cut(&entry, entry.range.start, start - 1));
+            merged.push(part_of(&entry, entry.range.start, start - 1));
         }
         push(
-            &mut laid,
+            &mut merged,
             Entry {
                 range: Range { start, end },
-                epoch: fact.epoch,
+                epoch: handover.epoch,
                 chain: chain.clone(),
                 moving: false,
             },
         );
         if end < entry.range.end {
-            laid.push(cut(&entry, end + 1, entry.range.end));
+            merged.push(part_of(&entry, end + 1, entry.range.end));
         }
     }
-    *ranges = laid;
+    *ranges = merged;
 }
 
 /// Adds a part of a handover, joined to the part before it.
-fn push(laid: &mut Vec<Entry>, part: Entry) {
+fn push(merged: &mut Vec<Entry>, part: Entry) {
     let joins = |last: &Entry| {
         last.range.end.checked_add(1) == Some(part.range.start)
             && last.epoch == part.epoch
             && last.chain == part.chain
             && !last.moving
     };
-    match laid.last_mut() {
+    match merged.last_mut() {
         Some(last) if joins(last) => last.range.end = part.range.end,
-        _ => laid.push(part),
+        _ => merged.push(part),
     }
 }
 
-fn cut(entry: &Entry, start: u64, end: u64) -> Entry {
+fn part_of(entry: &Entry, start: u64, end: u64) -> Entry {
     Entry {
         range: Range { start, end },
         ..entry.clone()
--- a/src/group/successors.rs
+++ b/src/group/successors.rs
@@ -38,12 +38,12 @@
         .values()
         .any(|member| is_eligible(member) && Some(&member.domain) != domain);
     let mut chain = vec![owner.clone()];
-    for heir in &entry.chain[1..] {
-        let keep = record.members.get(heir).is_some_and(|member| {
+    for successor in &entry.chain[1..] {
+        let keep = record.members.get(successor).is_some_and(|member| {
             is_eligible(member) && (!elsewhere || Some(&member.domain) != domain)
         });
-        if keep && !chain.contains(heir) && chain.len() < MAX_CHAIN {
-            chain.push(heir.clone());
+        if keep && !chain.contains(successor) && chain.len() < MAX_CHAIN {
+            chain.push(successor.clone());
         }
     }
     extend(record, entry, &mut chain);
@@ -88,22 +88,22 @@
         .collect();
     order.sort_by_cached_key(|target| Reverse(key::weight(&subject, target)));
     while chain.len() < MAX_CHAIN {
-        let Some(heir) = next(record, &order, chain) else {
+        let Some(successor) = best_successor(record, &order, chain) else {
             return;
         };
-        chain.push(heir);
+        chain.push(successor);
     }
 }
 
 /// Returns the best heir that the chain lacks.
-fn next(record: &Record, order: &[&TargetId], chain: &[TargetId]) -> Option<TargetId> {
+fn best_successor(record: &Record, order: &[&TargetId], chain: &[TargetId]) -> Option<TargetId> {
     let domain = |target: &TargetId| record.members.get(target).map(|member| &member.domain);
     let owner = chain.first().and_then(domain);
     let present: IndexSet<_> = chain.iter().filter_map(domain).collect();
     let free = || order.iter().filter(|target| !chain.contains(target));
-    let fresh =
+    let new_domain =
         free().find(|target| domain(target).is_some_and(|domain| !present.contains(domain)));
     let other = || free().find(|target| domain(target) != owner);
-    let heir = fresh.or_else(other).or_else(|| free().next())?;
-    Some((*heir).clone())
+    let successor = new_domain.or_else(other).or_else(|| free().next())?;
+    Some((*successor).clone())
 }
