--- a/src/grant.rs
+++ b/src/grant.rs
@@ -1,7 +1,8 @@
-//! Grants: how a target is told what it owns, and how it keeps to it.
+//! Grants: which ranges a target owns, until when, and the rules by which it enforces them.
 //!
-//! A grant's end is a reading of the target's own clock, so one that was delayed on its way is
-//! expired on arrival, and one that lapses while its holder is frozen is found lapsed on waking.
+//! A grant's expiry is a reading of the target's own clock. So a grant that is delayed on the
+//! network has expired when it arrives, and a target that was paused finds its grants expired when
+//! it resumes.
 
 use std::time::Duration;
 
@@ -14,16 +15,16 @@
     util::decimal,
 };
 
-/// What a grantor sends to a target.
+/// A grant as a grantor sends it to a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The start of the target that may take this grant.
+    /// The incarnation of the target for which the grant is meant.
     pub boot: BootId,
-    /// Until when the target may start work, in milliseconds of its own clock.
+    /// Until when the target may start requests, in milliseconds of its own clock.
     pub until_ms: u64,
-    /// The ranges it owns.
+    /// The ranges that it owns.
     pub ranges: Vec<Claim>,
-    /// The ranges it is to let go of.
+    /// The ranges that it has to release.
     pub release: Vec<Claim>,
 }
 
@@ -75,36 +76,36 @@
     }
 }
 
-/// What a target says about itself.
+/// The state that a target reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetState {
-    /// The target's start.
+    /// The target's incarnation.
     pub boot: BootId,
-    /// The reading of its clock when it answered, in milliseconds.
+    /// The target's clock reading when it answered, in milliseconds.
     pub clock_ms: u64,
-    /// Whether it is ready for work.
+    /// Whether it accepts requests.
     pub phase: Phase,
-    /// The load it reports; it may lag or lie.
+    /// The load that it reports; it may be out of date or wrong.
     pub load: f64,
-    /// What it holds.
+    /// The ranges that it holds.
     pub held: Vec<Held>,
-    /// What it let go of, with nothing left in flight.
+    /// The ranges that it released, with no requests left in flight.
     pub released: Vec<Claim>,
-    /// What it refused of the grant that this answers.
+    /// The ranges that it refused of the grant that this answers.
     pub refused: Vec<Claim>,
-    /// How many requests run.
+    /// The number of requests that it is running.
     pub running: u32,
 }
 
-/// Whether a target takes work.
+/// Whether a target accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
     /// It is starting.
     Cold,
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It ends what it has and takes no more.
+    /// It completes its requests and accepts no more.
     Draining,
 }
 
@@ -119,14 +120,14 @@
     pub end: Point,
     /// The epoch.
     pub epoch: Epoch,
-    /// Until when, in milliseconds of the target's clock.
+    /// The expiry, in milliseconds of the target's clock.
     pub until_ms: u64,
 }
 
-/// The rules of a target that checks grants.
+/// The grants of a target that checks them.
 ///
-/// It keeps the highest epoch seen of each point. A range of a lower epoch, or of one that it let
-/// go of, is refused.
+/// It keeps the highest epoch seen for each point. A range with a lower epoch, or with an epoch
+/// that it released, is refused.
 ///
 /// # Example
 ///
@@ -156,7 +157,7 @@
     running: Vec<Point>,
 }
 
-/// What the holder knows of a part of the hash space.
+/// The newest known grant or release of a part of the hash space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Segment {
     range: Range,
@@ -166,7 +167,7 @@
 }
 
 impl Segment {
-    /// Returns what is known where this piece and a newer statement meet.
+    /// Returns the state where this segment and a newly received one overlap.
     fn merge(&self, newer: &Self) -> Self {
         if self.epoch > newer.epoch {
             return *self;
@@ -183,7 +184,7 @@
 }
 
 impl Holder {
-    /// Creates the holder of a new start: it holds nothing.
+    /// Creates the holder for a new incarnation, without grants.
     ///
     /// # Example
     ///
@@ -202,9 +203,9 @@
         }
     }
 
-    /// Takes a grant and returns what of it was refused.
+    /// Applies a grant and returns the ranges that were refused.
     ///
-    /// A grant for another start is refused whole.
+    /// A grant for another incarnation is refused as a whole.
     ///
     /// # Example
     ///
@@ -243,7 +244,7 @@
         refused
     }
 
-    /// Returns the epoch at which it owns the point now, if it does.
+    /// Returns the epoch at which the target owns the point now, if it does.
     ///
     /// # Example
     ///
@@ -262,7 +263,8 @@
             .map(|segment| segment.epoch)
     }
 
-    /// Starts a request if it owns the point now at that very epoch, and returns whether it did.
+    /// Starts a request if the target owns the point now at exactly this epoch; returns whether it
+    /// started.
     ///
     /// # Example
     ///
@@ -296,7 +298,7 @@
         }
     }
 
-    /// Returns what it says about itself.
+    /// Returns the state that the target reports.
     ///
     /// # Example
     ///
@@ -330,7 +332,7 @@
         }
     }
 
-    /// Returns whether it owns the whole claim now, at that epoch or a higher one.
+    /// Returns whether the target owns the whole range of the claim now, at the claim's epoch.
     fn holds(&self, claim: &Claim, now: Duration) -> bool {
         self.segments
             .iter()
@@ -338,7 +340,7 @@
             .all(|segment| !segment.released && now < segment.until && segment.epoch == claim.epoch)
     }
 
-    /// Lays a newer statement over what is known.
+    /// Applies a new grant or release to the known segments.
     fn set(&mut self, claim: &Claim, until: Duration, released: bool) {
         let newer = Segment {
             range: claim.range(),
@@ -360,7 +362,7 @@
         }
     }
 
-    /// Returns whether the next piece can be joined to this one.
+    /// Returns whether the next segment can be joined to this one.
     fn is_joinable(&self, next: &Self) -> bool {
         self.range.end.checked_add(1) == Some(next.range.start)
             && self.epoch == next.epoch
@@ -369,7 +371,7 @@
     }
 }
 
-/// Lays a statement over pieces that are in order and do not overlap.
+/// Applies a new segment to segments that are in order and do not overlap.
 fn overlay(segments: &[Segment], newer: &Segment) -> Vec<Segment> {
     let mut parts = Vec::with_capacity(segments.len() + 2);
     let mut next_start = Some(newer.range.start);
@@ -399,7 +401,7 @@
     join(parts)
 }
 
-/// Adds the statement from the open point up to `end`, where nothing was known.
+/// Adds the new segment from `next_start` up to `end`, where nothing was known.
 fn fill(parts: &mut Vec<Segment>, newer: &Segment, next_start: &mut Option<Point>, end: Point) {
     if let Some(start) = *next_start
         && start <= end
--- a/src/grantor/event.rs
+++ b/src/grantor/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a grantor, and what it wants done.
+//! Events that a grantor handles, and the effects that it returns.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
     id::{TargetId, Version, VmId},
 };
 
-/// What reaches a grantor.
+/// An event for a grantor.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The platform's list says that the VMs of these targets are leaving.
+    /// The platform lists the VMs of these targets as leaving.
     Leaving {
         /// The targets.
         targets: Vec<TargetId>,
     },
-    /// Time has passed; several times a second.
+    /// A timer tick; several times a second.
     Tick,
-    /// A record of the group, whoever told of it.
+    /// A record of the group was received, from any source.
     Record {
         /// Its version.
         version: Version,
         /// The record.
         record: Record,
     },
-    /// The record as an own read of the platform's service found it: while it names this VM, it
-    /// may grant.
+    /// A read of this VM from the platform's service returned the record; if the record names
+    /// this VM, it may issue grants for as long as a permission lasts from when the read was sent.
     Read {
         /// When the read was sent.
         asked: Duration,
@@ -43,73 +43,73 @@
     TargetAnswered {
         /// The target.
         target: TargetId,
-        /// When it was asked.
+        /// When the request was sent.
         asked: Duration,
         /// Its answer.
         state: TargetState,
     },
-    /// A target didn't answer.
+    /// A target did not answer.
     TargetFailed {
         /// The target.
         target: TargetId,
-        /// When it was asked.
+        /// When the request was sent.
         asked: Duration,
     },
-    /// A message of another VM.
+    /// A message of another VM arrived.
     Peer {
         /// The VM.
         from: VmId,
         /// The message.
         message: Message,
     },
-    /// The outcome of an own write.
+    /// A write of this VM ended.
     Written {
-        /// The write.
+        /// The sequence number of the write.
         sequence: u64,
         /// Its outcome.
         result: Outcome,
     },
-    /// VMs that are gone for good, by the platform's list.
+    /// The platform's list shows that VMs are gone for good.
     VmsGone {
         /// These VMs.
         vms: Vec<VmId>,
     },
-    /// The VMs that may be named as grantors.
+    /// The VMs that are live and may be named as grantors.
     LiveVms {
         /// These VMs.
         vms: Vec<Candidate>,
     },
-    /// A document is in force.
+    /// A document came into force.
     Document {
         /// Its version.
         version: Version,
         /// The document.
         document: Document,
     },
-    /// What the senders measured lately.
+    /// Recent load as measured by the senders.
     Load {
         /// Requests a second, by range.
         loads: Vec<Load>,
     },
-    /// The VM is to stop: it grants no more, and names another in its place.
+    /// The VM stops: it issues no more grants, and names another grantor in its place.
     Retire,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It took effect and made this version.
+    /// It took effect and created this version.
     Committed(Version),
-    /// Another write came first; the value stands at this version.
+    /// Another write came first; the value has this version.
     Conflict(Version),
-    /// Its answer was lost: it may have taken effect, or may still.
+    /// The answer was lost: the write may have taken effect, or may still do so.
     Unknown,
 }
 
-/// What a grantor wants done.
+/// An action that the grantor wants its VM to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a grant; the answer comes back as [`Event::TargetAnswered`].
+    /// Send a grant; the answer arrives as [`Event::TargetAnswered`].
     Grant {
         /// The target.
         target: TargetId,
@@ -118,7 +118,7 @@
         /// The grant.
         grant: Grant,
     },
-    /// Read a target's state; the answer comes back as [`Event::TargetAnswered`].
+    /// Read a target's state; the answer arrives as [`Event::TargetAnswered`].
     Probe {
         /// The target.
         target: TargetId,
@@ -132,52 +132,52 @@
         /// The message.
         message: Message,
     },
-    /// Write the record by compare-and-swap; ends as [`Event::Written`].
+    /// Write the record by compare-and-swap; the outcome arrives as [`Event::Written`].
     Write {
-        /// The version that it replaces; 0 for none.
+        /// The version that it replaces; 0 if there is no record yet.
         base: Version,
-        /// The write.
+        /// The sequence number of the write.
         sequence: u64,
         /// The record.
         record: Box<Record>,
     },
-    /// Read the record from the platform's service; ends as [`Event::Read`].
+    /// Read the record from the platform's service; the result arrives as [`Event::Read`].
     Read {
-        /// When it is sent; it comes back with the answer.
+        /// When it is sent; returned with the result.
         asked: Duration,
     },
-    /// Spread a handover to all VMs.
+    /// Send a handover to all VMs.
     Handover(Handover),
-    /// Put an event on the time line.
+    /// Put an event on the timeline.
     Note(Note),
 }
 
-/// An event for the operators' time line.
+/// An event for the operators' timeline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Note {
-    /// What happened.
+    /// The kind of event.
     pub kind: Kind,
     /// The target, VM or range that it is about.
     pub subject: String,
-    /// What else there is to say.
+    /// Further details, as `key=value` pairs.
     pub detail: String,
 }
 
-/// What happened.
+/// The kind of a timeline event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// This grantor stopped renewing a target.
     Stop,
     /// This grantor renews a target again.
     Resume,
-    /// The target's grants have lapsed for certain; its ranges go to their heirs.
+    /// All grants of the target have expired; its ranges go to their successors.
     Release,
     /// A range has a new owner.
     Handover,
-    /// This grantor asks for a write that replaces others.
+    /// This grantor sends a write that replaces another grantor.
     Replacement,
     /// A write of the record ended.
     Write,
-    /// This grantor grants no more.
+    /// This grantor issues no more grants.
     Retire,
 }
--- a/src/grantor/flaw.rs
+++ b/src/grantor/flaw.rs
@@ -1,45 +1,46 @@
-//! Rules that tests switch off, to show that the checker finds what each prevents.
+//! Safety rules that tests disable, to show that the checker finds the fault that each prevents.
 
-/// A rule to leave out.
+/// A safety rule to disable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Flaw {
-    /// Every rule holds.
+    /// No rule is disabled.
     #[default]
     None,
-    /// A grantor goes on granting without a word or a read.
+    /// A grantor issues grants without a permission or a read.
     NoPermission,
-    /// A word counts from when it was received.
+    /// A permission lasts from when it was received, not from when it was requested.
     PermissionFromReceipt,
-    /// A read counts from when its answer was received.
+    /// A read lasts from when its answer was received, not from when it was sent.
     ReadFromReceipt,
-    /// A word is given to whoever asks.
+    /// A permission is given to any VM that requests one.
     PermissionForAnyone,
-    /// After a strike a release does not wait for the struck grantor's words and reads to lapse.
+    /// A release does not wait for the permissions and reads of a replaced grantor to expire.
     ReplacementNoWait,
-    /// A release does not wait until all have adopted the last strike.
+    /// A release does not wait until all grantors know the last replacement.
     ReplacementUnconfirmed,
-    /// A strike does not wait until all have adopted the last one.
+    /// A replacement does not wait until all grantors know the last one.
     ConcurrentReplacements,
-    /// A release does not wait for the grant to lapse.
+    /// A release does not wait for the grant to expire.
     ReleaseNoWait,
-    /// A release needs only the own stop.
+    /// A release needs only the grantor's own stop.
     ReleaseOnOwnStop,
-    /// A stop is withdrawn without asking anyone.
+    /// A stop is withdrawn without asking the other grantors.
     WithdrawUnconfirmed,
-    /// A stop that a struck grantor was told of is withdrawn as any other.
+    /// A stop that a replaced grantor may have received is withdrawn like any other.
     ReplacedForgotten,
-    /// A target is stopped while an own write about it is in doubt.
+    /// A target is stopped while the outcome of a write of the grantor that changes its ranges is
+    /// unknown.
     StopDuringWrite,
-    /// A handover keeps the epoch.
+    /// A handover keeps the epoch instead of raising it.
     EpochUnchanged,
-    /// A release goes by a record older than the stops.
+    /// A release uses a record older than the stops.
     OutdatedSuccessors,
-    /// A new grantor starts as if it had stopped nothing.
+    /// A new grantor starts without stops.
     NewGrantorUnstopped,
     /// A planned move does not wait for the owner's confirmation.
     UnconfirmedMove,
-    /// A restarted target is granted without a new term.
+    /// A restarted target gets grants without a new term.
     BootIgnored,
-    /// A target comes back while a chain still names it, under its old term.
+    /// A released target is readmitted while a chain still names it under its old term.
     TermUnchanged,
 }
--- a/src/grantor/message.rs
+++ b/src/grantor/message.rs
@@ -1,6 +1,6 @@
 //! Messages between grantors, and between grantors and senders.
 //!
-//! Each may be lost, late, doubled or out of order.
+//! Each message may be lost, delayed, duplicated or reordered.
 
 use std::time::Duration;
 
@@ -17,40 +17,40 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Message {
-    /// Asks for a word, and tells what the asker has stopped.
+    /// Requests a permission, and announces the sender's stops.
     #[serde(rename = "Ask")]
     PermissionRequest {
-        /// The asker's reading; it comes back with the word.
+        /// The clock reading of the requesting VM; returned with the permission.
         asked: Duration,
-        /// The newest record that the asker knows.
+        /// The newest record version that the requesting VM knows.
         version: Version,
-        /// The targets that the asker has stopped.
+        /// The targets that the requesting VM has stopped.
         stops: Vec<Stop>,
     },
-    /// A word: the giver agrees that the asker grants.
+    /// A permission: a short lease that lets the receiver renew grants.
     #[serde(rename = "Word")]
     Permission {
-        /// The asker's reading when it asked.
+        /// The clock reading of the requesting VM when it sent the request.
         asked: Duration,
-        /// The newest record that the giver knows.
+        /// The newest record version that the issuing VM knows.
         version: Version,
-        /// The failure domains for which it holds: those whose trio names both, by the newest
-        /// record that the giver knows.
+        /// The failure domains for which it is valid: those that both VMs grant to by the newest
+        /// record that the issuing VM knows.
         domains: Vec<DomainId>,
     },
-    /// Asks that a stop be erased.
+    /// Asks another grantor to erase a stop.
     Withdraw {
         /// The stop.
         stop: Stop,
-        /// Whether only one that has itself no stop for the target may erase it.
+        /// Whether only a grantor that has no stop for the target itself may erase it.
         #[serde(rename = "needs")]
         unstopped_only: bool,
     },
-    /// The stop is erased; the sender had not acted on it.
+    /// Confirms that a stop is erased; the sender had not released the target because of it.
     Withdrawn {
         /// The stop.
         stop: Stop,
-        /// Whether the sender itself has no stop for the target.
+        /// Whether the sender has no stop for the target itself.
         #[serde(rename = "clean")]
         unstopped: bool,
     },
@@ -63,22 +63,22 @@
     },
     /// A handover.
     Handover(Handover),
-    /// A sender asks for leases of ranges whose owners don't check.
+    /// Requests leases, for a sender, of ranges whose owners don't check grants.
     #[serde(rename = "LeaseAsk")]
     LeaseRequest {
-        /// The sender's reading; it comes back with the lease.
+        /// The sender's clock reading; returned with the leases.
         asked: Duration,
     },
-    /// Leases for a sender, good for the span of a grant from when they were asked for.
+    /// Leases for a sender, valid for one grant duration from when they were requested.
     Lease {
-        /// The sender's reading when it asked.
+        /// The sender's clock reading when it sent the request.
         asked: Duration,
-        /// What it may send where.
+        /// The leased ranges.
         routes: Vec<Leased>,
     },
 }
 
-/// A grantor's promise not to renew a target until it has withdrawn this.
+/// A grantor's promise not to renew a target's grant until it has withdrawn the stop.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stop {
@@ -88,13 +88,13 @@
     pub term: Term,
     /// The serial of the write that named the grantor.
     pub since: Term,
-    /// The grantor's count of stops; 0 for the one with which it starts.
+    /// The grantor's sequence number of the stop; 0 for the initial stop of a new grantor.
     pub sequence: u64,
-    /// The newest record that the grantor knew when it sent this.
+    /// The newest record version that the grantor knew when it sent this.
     pub version: Version,
 }
 
-/// A range that may be sent to a target.
+/// A lease of a range: a sender may send its requests to the target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Leased {
--- a/src/grantor/mod.rs
+++ b/src/grantor/mod.rs
@@ -1,8 +1,12 @@
-//! The grantor: what one VM does for one group.
+//! State machine of a grantor: the role of one VM that issues grants to the targets of one group.
 //!
-//! The rules are on the design page, section "Ownership". This is a state machine free of I/O:
-//! [`Grantor::on`] takes what happened and returns what is to be done. Safety rests on no order
-//! or promptness of events, only on clocks that run at nearly the same rate.
+//! A grantor renews the grants of its targets, stops renewing targets that don't answer, releases
+//! them, hands their ranges to successors, and writes changes of the group record. The rules are
+//! on the design page, section "Ownership".
+//!
+//! The state machine does no I/O: [`Grantor::on`] takes an event and returns the effects to carry
+//! out. Safety doesn't depend on the order or timing of events, only on clocks that run at nearly
+//! the same rate.
 
 use std::time::Duration;
 
@@ -37,10 +41,10 @@
 use flaw::Flaw;
 use watch::Watch;
 
-/// The most handovers that wait for the record to carry them.
+/// The most handovers kept that the record doesn't include yet.
 const MAX_HANDOVERS: usize = 16_384;
 
-/// One VM's part in granting to one group's targets.
+/// The state of one VM as a grantor of one group.
 ///
 /// # Example
 ///
@@ -60,69 +64,72 @@
     flaw: Flaw,
     /// The newest record known.
     record: Option<(Version, Record)>,
-    /// The record with the facts laid over it.
+    /// The record with the pending handovers applied.
     view: Record,
-    /// Handovers that the record doesn't carry yet.
+    /// Handovers that the record doesn't include yet.
     pending_handovers: Handovers,
-    /// When facts were last spread again.
+    /// When the pending handovers were last sent to all VMs.
     last_spread: Duration,
-    /// Words got, by giver and failure domain, with their ends.
+    /// Expiry of each received permission, by issuing VM and failure domain.
     permissions: IndexMap<(VmId, DomainId), Duration>,
-    /// Own reads that name this VM, by failure domain, with their ends.
+    /// Until when this VM may grant to a failure domain's targets because a read of its own found
+    /// itself named in the record.
     reads: IndexMap<DomainId, Duration>,
     peers: IndexMap<VmId, Peer>,
-    /// The last change of each trio, and since when all that it names are known to have adopted it.
+    /// The base version of the last change of each failure domain's grantors, and since when all
+    /// grantors that it names are known to have the changed record.
     known_changes: IndexMap<DomainId, (Version, Option<Duration>)>,
-    /// When VMs last answered that may be named.
+    /// When each other VM last answered a permission request; only VMs that answer are named as
+    /// grantors.
     answers: IndexMap<VmId, Duration>,
-    /// Until when a VM that this one struck is not named again.
+    /// Until when this VM doesn't name a replaced grantor again.
     excluded: IndexMap<VmId, Duration>,
     watches: IndexMap<TargetId, Watch>,
-    /// Marked ranges of owners that don't check: since when all of the trio know.
+    /// Planned moves of ranges whose owners don't check grants.
     unchecked_moves: IndexMap<(Range, Epoch), UncheckedMove>,
     pending: Option<Pending>,
     document: Option<(Version, Document)>,
     live: Vec<Candidate>,
     gone: IndexSet<VmId>,
     loads: Vec<Load>,
-    /// Since when the record has wanted a write.
+    /// Since when the record needs a write.
     write_wanted: Option<Duration>,
-    /// Before when no move for balance is made.
+    /// The earliest time for the next rebalancing move.
     balance_from: Duration,
-    /// The last write or stop.
+    /// Sequence number of this VM's last write or stop.
     sequence: u64,
     last_request: Duration,
     /// When the record was last read.
     last_read: Duration,
     record_checked: Duration,
     retired: bool,
-    /// Targets whose VMs were ever listed as leaving; a VM that leaves doesn't stay after all.
+    /// Targets whose VMs were ever listed as leaving; a VM that is leaving never returns to service.
     leaving: IndexSet<TargetId>,
 }
 
-/// What is known of another grantor.
+/// The known state of another grantor.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// When it was last heard.
+    /// When a message of it was last received.
     last_received: Duration,
-    /// The newest record that it knows.
+    /// The newest record version that it is known to have.
     version: Version,
-    /// When it was last sent a record.
+    /// When a record was last sent to it.
     record_sent: Option<Duration>,
 }
 
-/// An own write whose outcome isn't known.
+/// A write of this VM whose outcome isn't known yet.
 #[derive(Clone, Debug)]
 struct Pending {
     sequence: u64,
     base: Version,
     record: Record,
     sent: Duration,
-    /// The targets whose ranges or heirs it changes.
+    /// The owners whose ranges, epochs or successors it changes.
     changed_owners: IndexSet<TargetId>,
 }
 
-/// A range on its way from an owner that doesn't check.
+/// A planned move of a range whose owner doesn't check grants.
 #[derive(Clone, Copy, Debug)]
 struct UncheckedMove {
     version: Version,
@@ -130,7 +137,7 @@
 }
 
 impl Grantor {
-    /// Creates the grantor of one VM for one group. It knows nothing yet.
+    /// Creates the grantor of one VM for one group, without a record.
     ///
     /// # Example
     ///
@@ -174,7 +181,7 @@
         }
     }
 
-    /// Leaves out a rule, for tests that show what it prevents.
+    /// Disables a safety rule, for tests that show which fault the rule prevents.
     #[doc(hidden)]
     #[must_use]
     pub fn with_flaw(mut self, flaw: Flaw) -> Self {
@@ -182,7 +189,7 @@
         self
     }
 
-    /// Takes an event and returns what is to be done, in order.
+    /// Handles an event and returns the effects to carry out, in order.
     ///
     /// # Example
     ///
@@ -246,7 +253,7 @@
         Some((*version, record))
     }
 
-    /// Returns the handovers that the record doesn't carry yet.
+    /// Returns the handovers that the record doesn't include yet.
     ///
     /// # Example
     ///
@@ -283,7 +290,7 @@
         self.record.as_ref().map_or(0, |(version, _)| *version)
     }
 
-    /// The failure domains whose trio names this VM.
+    /// Returns the failure domains that this VM grants to.
     fn domains(&self) -> impl Iterator<Item = &DomainId> {
         let named =
             |grantors: &Vec<group::Grantor>| grantors.iter().any(|grantor| grantor.vm == self.vm);
@@ -298,14 +305,14 @@
         self.view.grantors.get(domain).map_or(&[], Vec::as_slice)
     }
 
-    /// This VM, as the trio of a failure domain names it.
+    /// Returns this VM's entry among the grantors of a failure domain.
     fn own_grantor(&self, domain: &str) -> Option<&group::Grantor> {
         self.grantors(domain)
             .iter()
             .find(|grantor| grantor.vm == self.vm)
     }
 
-    /// The other grantors of a failure domain's targets.
+    /// Returns the other grantors of a failure domain's targets.
     fn other_grantors(&self, domain: &str) -> Vec<group::Grantor> {
         let others = self
             .grantors(domain)
@@ -314,7 +321,7 @@
         others.cloned().collect()
     }
 
-    /// The failure domain of a target.
+    /// Returns the failure domain of a target.
     fn target_domain(&self, target: &str) -> Option<DomainId> {
         let member = self.view.members.get(target)?;
         Some(member.domain.clone())
@@ -327,7 +334,7 @@
         self.spread_handovers(now, effects);
     }
 
-    /// Takes a newer record; an older one changes nothing.
+    /// Takes over a record if it is newer than the known one.
     fn on_record(
         &mut self,
         now: Duration,
@@ -351,8 +358,10 @@
         self.derive_handovers(now, effects);
     }
 
-    /// Has the others of a trio that a record changes told at once what this VM has stopped, and
-    /// keeps whom it drops from being named again at once: membership may still take it for live.
+    /// Reacts to a record that changes the grantors of a failure domain.
+    ///
+    /// The next tick sends this VM's stops to the other grantors at once. A grantor that the record
+    /// removes isn't named again for a while, since the membership may still list it as live.
     fn note_grantor_changes(&mut self, now: Duration, record: &Record) {
         if self.view.grantors == record.grantors {
             return;
@@ -363,23 +372,23 @@
                 let named = record.grantors.get(domain).into_iter().flatten();
                 named.into_iter().any(|grantor| grantor.vm == *vm)
             };
-            for dropped in grantors.iter().filter(|grantor| !stays(&grantor.vm)) {
+            for removed in grantors.iter().filter(|grantor| !stays(&grantor.vm)) {
                 let until = now + self.timing.exclusion;
-                self.excluded.insert(dropped.vm.clone(), until);
+                self.excluded.insert(removed.vm.clone(), until);
             }
         }
     }
 
-    /// Takes a handover; returns whether it is new.
+    /// Adds a handover to the pending ones; returns whether it is new.
     fn add_handover(&mut self, now: Duration, handover: Handover) -> bool {
         let key = (handover.range, handover.epoch);
         let known = self.pending_handovers.contains_key(&key)
             || self.pending_handovers.len() >= MAX_HANDOVERS;
-        let carried = self
+        let recorded = self
             .record
             .as_ref()
             .is_some_and(|(_, record)| merge::includes(record, &handover));
-        if known || carried || handover.group != self.group {
+        if known || recorded || handover.group != self.group {
             return false;
         }
         let owner = handover.chain.first().map(|heir| heir.target.clone());
@@ -389,7 +398,7 @@
         true
     }
 
-    /// Renews these targets at the next tick, since what they own has changed.
+    /// Schedules a renewal of these targets for the next tick, since their ranges have changed.
     fn renew_next_tick<'a, I>(&mut self, targets: I)
     where
         I: IntoIterator<Item = &'a TargetId>,
@@ -401,7 +410,7 @@
         }
     }
 
-    /// Works out the view and the watches again.
+    /// Recomputes the view, the watches and the unchecked moves.
     fn rebuild_view(&mut self, now: Duration) {
         if let Some((_, record)) = &self.record {
             let view = merge::view(record, &self.pending_handovers);
@@ -414,7 +423,7 @@
         self.refresh_unchecked_moves();
     }
 
-    /// Spreads the facts again that no record carries yet.
+    /// Sends the handovers that the record doesn't include to all VMs again, once per grant duration.
     fn spread_handovers(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if now < self.last_spread + self.timing.grant {
             return;
@@ -428,7 +437,7 @@
         );
     }
 
-    /// Takes back no promise, but makes none any more.
+    /// Stops issuing grants and permissions; those already issued stay valid until they expire.
     fn retire(&mut self, effects: &mut Vec<Effect>) {
         if !self.retired {
             self.retired = true;
@@ -442,7 +451,7 @@
     }
 }
 
-/// Builds a note for the time line.
+/// Builds an effect that puts an event on the timeline.
 fn note(kind: Kind, subject: &str, detail: String) -> Effect {
     Effect::Note(Note {
         kind,
@@ -451,7 +460,8 @@
     })
 }
 
-/// The serial below which a grantor starts as stopped.
+/// Returns whether a grantor that was named at `since` starts with a stop for a target of this
+/// term.
 fn starts_stopped(term: Term, since: Term) -> bool {
     term < since
 }
--- a/src/grantor/peers.rs
+++ b/src/grantor/peers.rs
@@ -1,4 +1,8 @@
-//! Words between grantors, reads for want of words, and who may be struck.
+//! Permissions between grantors, and when a grantor may be replaced.
+//!
+//! A grantor may issue grants only while another grantor of the same failure domain gave it a
+//! permission, a lease of less than a second. If permissions are about to expire, a read of the
+//! record from the platform's service takes their place.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -11,11 +15,11 @@
     key,
 };
 
-/// How many VMs of each failure domain are asked before one is named.
+/// How many VMs of each failure domain are checked before one of them is named as a grantor.
 const CANDIDATES_PER_DOMAIN: usize = 3;
 
 impl Grantor {
-    /// Asks for words, and reads the record where they run out.
+    /// Requests permissions, and reads the record when permissions are about to expire.
     pub(super) fn tick_peers(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.note_known_changes(now);
         self.tick_read(now, effects);
@@ -46,14 +50,15 @@
         self.ask_candidates(now, effects);
     }
 
-    /// Finds out which VMs answer, once somebody may soon be wanted in a grantor's place.
+    /// Checks which VMs answer, if a grantor may soon have to be replaced or is missing.
     ///
-    /// What takes one VM may have taken others, and one that is lost would block the next strike.
+    /// A fault that stops one VM may have stopped others, and a VM that is lost would block the next
+    /// replacement if it were named.
     fn ask_candidates(&self, now: Duration, effects: &mut Vec<Effect>) {
-        let half = self.timing.unresponsive_after / 2;
-        let silent = |peer: &Peer| now >= peer.last_received + half;
+        let half_timeout = self.timing.unresponsive_after / 2;
+        let is_late = |peer: &Peer| now >= peer.last_received + half_timeout;
         let missing = |domain: &DomainId| self.grantors(domain).len() < check::MAX_GRANTORS;
-        if !self.peers.values().any(silent) && !self.domains().any(missing) {
+        if !self.peers.values().any(is_late) && !self.domains().any(missing) {
             return;
         }
         for to in self.candidates_to_ask() {
@@ -66,7 +71,7 @@
         }
     }
 
-    /// Returns the first few VMs of each failure domain that may be named.
+    /// Returns the best few VMs of each failure domain that may be named as grantors.
     fn candidates_to_ask(&self) -> Vec<VmId> {
         let other = |live: &&Candidate| live.vm != self.vm && !self.peers.contains_key(&live.vm);
         let mut order: Vec<&Candidate> = self.live.iter().filter(other).collect();
@@ -80,7 +85,7 @@
         order.into_iter().map(|live| live.vm.clone()).collect()
     }
 
-    /// Reads the record while some failure domain's words are about to run out.
+    /// Reads the record while a failure domain's permissions are about to expire.
     fn tick_read(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let at = now + self.timing.permission / 2;
         let missing = self
@@ -92,7 +97,10 @@
         }
     }
 
-    /// Takes what an own read found: where it names this VM, it counts from when it was sent.
+    /// Handles the result of this VM's own read of the record.
+    ///
+    /// For each failure domain whose grantors include this VM, the read allows it to grant, counted
+    /// from when the read was sent.
     pub(super) fn on_read(
         &mut self,
         now: Duration,
@@ -115,7 +123,7 @@
         self.on_record(now, version, record, effects);
     }
 
-    /// Takes a message of another VM.
+    /// Handles a message of another VM.
     pub(super) fn on_peer(
         &mut self,
         now: Duration,
@@ -164,7 +172,8 @@
         }
     }
 
-    /// Gives a word for each trio that names both, by the newest record known.
+    /// Gives another VM permission for each failure domain that both grant to by the newest known
+    /// record.
     fn send_permission(
         &mut self,
         now: Duration,
@@ -196,7 +205,7 @@
         });
     }
 
-    /// Takes a word, counted from when it was asked for.
+    /// Takes over a permission; it lasts from when it was requested.
     fn on_permission(
         &mut self,
         now: Duration,
@@ -217,7 +226,7 @@
         }
     }
 
-    /// Sends the newest record to a peer that has an older one.
+    /// Sends the newest record to a peer that has an older one, at most once per interval.
     fn on_version(
         &mut self,
         now: Duration,
@@ -225,14 +234,12 @@
         theirs: Version,
         effects: &mut Vec<Effect>,
     ) {
-        let pause = self.timing.permission_renew;
+        let interval = self.timing.permission_renew;
         let Some(peer) = self.peers.get_mut(from) else {
             return;
         };
         peer.version = peer.version.max(theirs);
-        let due = peer
-            .record_sent
-            .is_none_or(|updated| now >= updated + pause);
+        let due = peer.record_sent.is_none_or(|sent| now >= sent + interval);
         if let Some((version, record)) = &self.record
             && *version > theirs
             && due
@@ -249,7 +256,7 @@
         }
     }
 
-    /// Returns whether this VM may grant to a failure domain's targets now.
+    /// Returns whether this VM may issue grants to a failure domain's targets now.
     pub(super) fn has_authority(&self, now: Duration, domain: &str) -> bool {
         if self.retired || !contains_vm(self.grantors(domain), &self.vm) {
             return false;
@@ -258,16 +265,18 @@
         read || self.has_permission(now, domain) || self.flaw == Flaw::NoPermission
     }
 
-    /// Returns whether a word of another that the newest record names holds.
+    /// Returns whether this VM has an unexpired permission from another grantor that the newest
+    /// record names.
     fn has_permission(&self, now: Duration, domain: &str) -> bool {
-        self.permissions.iter().any(|((vm, about), until)| {
-            about == domain && now < *until && contains_vm(self.grantors(domain), vm)
+        self.permissions.iter().any(|((vm, permitted), until)| {
+            permitted == domain && now < *until && contains_vm(self.grantors(domain), vm)
         })
     }
 
-    /// Notes since when all that a trio names are known to have adopted its last change.
+    /// Records since when all grantors of a failure domain are known to have the last change of
+    /// their list.
     ///
-    /// From then on nobody gives words to those that it names no more.
+    /// From then on no grantor gives permissions to the removed ones.
     pub(super) fn note_known_changes(&mut self, now: Duration) {
         let domains: Vec<DomainId> = self.domains().cloned().collect();
         self.known_changes
@@ -289,15 +298,15 @@
         }
     }
 
-    /// Returns whether another is known to know a newer record than this version.
+    /// Returns whether a VM is known to have a newer record than this version.
     fn knows_change(&self, changed: Version, vm: &VmId) -> bool {
         self.peers
             .get(vm)
             .is_some_and(|peer| peer.version > changed)
     }
 
-    /// Returns when the words and reads of all that were struck from a trio have lapsed, if that
-    /// is known.
+    /// Returns when the permissions and reads of all replaced grantors of a failure domain have
+    /// expired, if that is known.
     pub(super) fn replaced_expiry(&self, domain: &str) -> Option<Duration> {
         let Some(changed) = self.view.change_bases.get(domain) else {
             return Some(Duration::ZERO);
@@ -312,26 +321,28 @@
 
     /// Returns whether a grantor may be replaced.
     ///
-    /// It has been missed for long enough; and nobody that it could hear gives words to one that
-    /// was struck before it, else the two could keep each other alive.
+    /// It must have been unresponsive for long enough. In addition, all other grantors must know the
+    /// previous replacement, so that none gives permissions to the grantor that it removed: else two
+    /// replaced grantors could keep each other's permissions alive.
     pub(super) fn may_replace(&self, now: Duration, domain: &str, lost: &group::Grantor) -> bool {
         self.is_unresponsive(now, domain, lost) && self.is_change_known(domain)
     }
 
-    /// Returns whether all other grantors of a failure domain have adopted its trio's last change.
+    /// Returns whether all other grantors of a failure domain know the last change of their list.
     pub(super) fn is_change_known(&self, domain: &str) -> bool {
         let changed = self.view.change_bases.get(domain);
-        let settled = |other: &group::Grantor| {
+        let knows = |other: &group::Grantor| {
             self.gone.contains(&other.vm)
                 || changed.is_none_or(|changed| self.knows_change(*changed, &other.vm))
                 || self.flaw == Flaw::ConcurrentReplacements
         };
-        self.other_grantors(domain).iter().all(settled)
+        self.other_grantors(domain).iter().all(knows)
     }
 
-    /// Returns whether a grantor has been silent for long enough to be replaced.
+    /// Returns whether a grantor has been unresponsive for long enough to be replaced.
     ///
-    /// Who hears no other either may itself be cut off, and leaves it to the others at first.
+    /// If this VM receives nothing from the other grantors either, it may be cut off itself, and
+    /// waits longer so that the others decide first.
     fn is_unresponsive(&self, now: Duration, domain: &str, lost: &group::Grantor) -> bool {
         if self.gone.contains(&lost.vm) {
             return true;
@@ -353,7 +364,7 @@
         peer.is_some_and(|peer| now < peer.last_received + self.timing.unresponsive_after)
     }
 
-    /// The other grantors of all failure domains that this VM grants to.
+    /// Returns the other grantors of all failure domains that this VM grants to.
     fn all_other_grantors(&self) -> Vec<group::Grantor> {
         let mut all: Vec<group::Grantor> = Vec::new();
         let domains: Vec<DomainId> = self.domains().cloned().collect();
@@ -374,7 +385,7 @@
     }
 }
 
-/// Returns whether a trio names a VM.
+/// Returns whether a VM is among these grantors.
 fn contains_vm(grantors: &[group::Grantor], vm: &VmId) -> bool {
     grantors.iter().any(|grantor| grantor.vm == *vm)
 }
--- a/src/grantor/record_writes.rs
+++ b/src/grantor/record_writes.rs
@@ -1,4 +1,8 @@
-//! What a grantor writes into the record, and how the outcome is settled.
+//! Which changes a grantor writes into the group record, and how it finds out their outcome.
+//!
+//! A grantor compares the record with the one it should be: grantors replaced, targets admitted
+//! or removed, ranges rebalanced and successors repaired. It writes the difference by
+//! compare-and-swap, one write at a time.
 
 use std::time::Duration;
 
@@ -14,15 +18,15 @@
     range::Range,
 };
 
-/// How often the record is looked over.
+/// How often the record is checked for needed changes.
 const RECORD_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long owners and members must stand before a move for balance.
+/// How long ranges and members must be unchanged before a rebalancing move.
 pub(super) const BALANCE_DELAY: Duration = Duration::from_secs(10);
-/// After how many retry spans a write without any answer is sent again.
+/// After how many retry intervals a write without any answer is sent again.
 const UNANSWERED_RETRY_FACTOR: u32 = 10;
 
 impl Grantor {
-    /// Writes what the record lacks, one write at a time.
+    /// Writes the changes that the record needs, one write at a time.
     pub(super) fn tick_record(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if self.retry(now, effects) || now < self.record_checked + RECORD_CHECK_INTERVAL {
             return;
@@ -43,7 +47,7 @@
         }
     }
 
-    /// Sends a write again that has no outcome; returns whether there is one.
+    /// Retries a pending write whose outcome isn't known; returns whether a write is pending.
     fn retry(&mut self, now: Duration, effects: &mut Vec<Effect>) -> bool {
         let retry = self.timing.retry;
         let Some(pending) = self.pending.as_mut() else {
@@ -83,7 +87,8 @@
         });
     }
 
-    /// Puts the base of this write beside each trio that it changes, and notes whom it strikes.
+    /// Stores the base version of this write for each failure domain whose grantors it changes, and
+    /// puts replaced grantors on the timeline.
     fn note_changes(
         &mut self,
         now: Duration,
@@ -115,7 +120,8 @@
             .retain(|domain, _| by_domain.contains_key(domain));
     }
 
-    /// Takes the outcome of an own write. In doubt, or lost, the value itself settles it.
+    /// Handles the outcome of this VM's own write. After a conflict, or if the outcome is unknown,
+    /// the record is read back.
     pub(super) fn on_written(
         &mut self,
         now: Duration,
@@ -140,8 +146,8 @@
         }
     }
 
-    /// Settles an own write by a record newer than its base: either it is that write, or that
-    /// write can't take effect any more.
+    /// Determines the outcome of the pending write from a record newer than its base: either it is
+    /// that write, or that write can't take effect any more.
     pub(super) fn resolve_pending(
         &mut self,
         version: Version,
@@ -156,7 +162,7 @@
         effects.push(note(Kind::Write, &self.group, detail));
     }
 
-    /// How many live VMs come before this one for a write that any of them could make.
+    /// Returns how many live VMs come before this one for a write that any of them could make.
     fn rank(&self, now: Duration) -> u32 {
         if self.record.is_none() {
             let weight = key::weight(&self.group, &self.vm);
@@ -177,8 +183,8 @@
         Some((record, false))
     }
 
-    /// Returns the record as it should be, if that differs, and whether the change is this VM's
-    /// alone to make.
+    /// Returns the record as it should be if it differs from the known one, and whether this VM
+    /// should write it without waiting for higher-ranked VMs.
     fn desired_record(&self, now: Duration) -> Option<(Record, bool)> {
         let (_, base) = self.record.as_ref()?;
         let mut next = self.view.clone();
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Drops grantors that are certain to grant no more, and fills the trios up.
+    /// Removes lost grantors, and names candidates in their place.
     fn replace_grantors(&self, now: Duration, next: &mut Record) {
         let domains: Vec<DomainId> = self.domains().cloned().collect();
         let before = next.grantors.clone();
@@ -229,8 +235,8 @@
         }
     }
 
-    /// Returns who leaves a trio by one write: this VM when it stops, those that are gone for
-    /// good, and at most one that is only missed.
+    /// Returns the grantors that one write may remove from a failure domain: this VM when it stops,
+    /// those that are gone for good, and at most one that is only unresponsive.
     fn grantors_to_remove(&self, now: Duration, domain: &str) -> Vec<VmId> {
         let others = self.other_grantors(domain);
         let replaceable = |grantor: &&group::Grantor| self.may_replace(now, domain, grantor);
@@ -255,10 +261,11 @@
         lost
     }
 
-    /// Returns a grantor that stands in the failure domain that it grants to, once there are others.
+    /// Returns a grantor that is in the failure domain that it grants to, once there are enough
+    /// candidates outside.
     ///
-    /// The first VMs of a fleet may have to grant to their own domain; its loss would take them
-    /// along with their targets.
+    /// The first VMs of a fleet may have to grant to targets of their own domain; the loss of that
+    /// domain would take both the grantors and their targets.
     fn grantor_in_own_domain(&self, now: Duration, domain: &str) -> Option<VmId> {
         let others = self.candidates(now);
         let outside = others.iter().filter(|other| other.domain != domain);
@@ -277,11 +284,13 @@
             .cloned()
     }
 
-    /// Returns whether each target of a failure domain keeps a grantor that has not stopped it.
+    /// Returns whether each target of a failure domain keeps a grantor that has not stopped it if
+    /// this one is removed.
     ///
-    /// New grantors start as stopped; if the only one that renews went before they had withdrawn,
-    /// all would have stopped, and healthy targets would be released. A fellow whose stop was erased
-    /// here may still wait for others to erase it, so the caller lets some time pass first.
+    /// New grantors start with a stop. If the only grantor that renews were removed before they had
+    /// withdrawn theirs, all would have stopped, and healthy targets would be released. Another
+    /// grantor whose stop was erased here may still wait for others to erase it, so the caller waits
+    /// for some time first.
     fn can_remove(&self, domain: &str, removed: &VmId) -> bool {
         let renews = |watch: &Watch, grantor: &group::Grantor| {
             if grantor.vm == self.vm {
@@ -291,22 +300,22 @@
             }
         };
         let grantors = self.grantors(domain);
-        let stay = || grantors.iter().filter(|grantor| grantor.vm != *removed);
+        let remaining = || grantors.iter().filter(|grantor| grantor.vm != *removed);
         let of_domain = self.watches.iter().filter(|(target, watch)| {
             let member = self.view.members.get(*target);
             !watch.released && member.is_some_and(|member| member.domain == domain)
         });
         let mut watches = of_domain.map(|(_, watch)| watch);
-        watches.all(|watch| stay().any(|grantor| renews(watch, grantor)))
+        watches.all(|watch| remaining().any(|grantor| renews(watch, grantor)))
     }
 
-    /// Replaces the grantors of failure domains whose whole trio is gone from the platform's list.
+    /// Replaces the grantors of failure domains whose grantors are all gone from the platform's list.
     fn replace_gone_grantors(&self, next: &mut Record) {
         let gone = |grantor: &group::Grantor| self.is_gone(grantor);
         let mut found = false;
         for (domain, grantors) in &mut next.grantors {
-            let other = self.own_grantor(domain).is_none() && !grantors.is_empty();
-            if other && grantors.iter().all(gone) {
+            let is_other = self.own_grantor(domain).is_none() && !grantors.is_empty();
+            if is_other && grantors.iter().all(gone) {
                 grantors.clear();
                 found = true;
             }
@@ -320,21 +329,21 @@
         self.gone.contains(&grantor.vm)
     }
 
-    /// The VMs that may be named in another's place.
+    /// Returns the VMs that may be named as grantors.
     fn candidates(&self, now: Duration) -> Vec<Candidate> {
         let eligible = |candidate: &&Candidate| {
             let own = candidate.vm == self.vm;
-            let silent =
+            let unresponsive =
                 self.peers.contains_key(&candidate.vm) && !self.hears_from(now, &candidate.vm);
             let excluded = self.excluded.contains_key(&candidate.vm);
             let answers = self.answers.contains_key(&candidate.vm);
             let eligible = answers || (own && !self.retired);
-            eligible && !(self.gone.contains(&candidate.vm) || silent || excluded)
+            eligible && !(self.gone.contains(&candidate.vm) || unresponsive || excluded)
         };
         self.live.iter().filter(eligible).cloned().collect()
     }
 
-    /// Names the first start heard of each target, and notes the releases.
+    /// Writes the first incarnation that answered of each target into the record, and the releases.
     fn record_starts(&self, now: Duration, next: &mut Record) {
         for (target, watch) in &self.watches {
             let Some(member) = next.members.get_mut(target) else {
@@ -353,10 +362,11 @@
         }
     }
 
-    /// Gives the ranges of released owners without heirs to fit targets, or back to the target's
-    /// new start when there is none.
+    /// Assigns the ranges of released owners without successors to eligible targets.
     ///
-    /// No handover can exist for these: a handover needs an heir, and a released owner gets none.
+    /// If there is none, [`Grantor::readmit`] gives them back to the owner's new incarnation. No
+    /// handover can exist for these ranges: a handover needs a successor, and a released owner gets
+    /// none.
     fn assign_released(&self, next: &mut Record) {
         for index in 0..next.ranges.len() {
             let entry = &next.ranges[index];
@@ -374,10 +384,10 @@
         }
     }
 
-    /// Lets targets back in that answer, under a new term: released ones, and new starts.
+    /// Readmits targets that answer under a new term: released ones, and new incarnations.
     ///
-    /// No chain may name the target, so no handover to its old term can still come about. One
-    /// whose ranges found no other owner takes them back at higher epochs.
+    /// No chain may name the target, so that no handover to its old term is possible. A released
+    /// target whose ranges found no other owner takes them back at higher epochs.
     fn readmit(&self, now: Duration, next: &mut Record) {
         for (target, watch) in &self.watches {
             let Some(state) = watch.recent_state(now, self.timing.unresponsive_after) else {
@@ -387,18 +397,19 @@
             let Some(member) = next.members.get_mut(target) else {
                 continue;
             };
-            let back = member.released || (member.boot != state.boot && !member.boot.is_empty());
-            if !back || member.term != watch.term {
+            let returning =
+                member.released || (member.boot != state.boot && !member.boot.is_empty());
+            if !returning || member.term != watch.term {
                 continue;
             }
-            let held = |entry: &&mut Entry| entry.chain.contains(target);
-            let named: Vec<&mut Entry> = next.ranges.iter_mut().filter(held).collect();
-            let only_owner = watch.released && named.iter().all(|entry| entry.chain.len() == 1);
+            let in_chain = |entry: &&mut Entry| entry.chain.contains(target);
+            let entries: Vec<&mut Entry> = next.ranges.iter_mut().filter(in_chain).collect();
+            let only_owner = watch.released && entries.iter().all(|entry| entry.chain.len() == 1);
             let kept = self.flaw == Flaw::TermUnchanged;
-            if !named.is_empty() && !only_owner && !kept {
+            if !entries.is_empty() && !only_owner && !kept {
                 continue;
             }
-            for entry in named.into_iter().filter(|_| only_owner) {
+            for entry in entries.into_iter().filter(|_| only_owner) {
                 entry.epoch += 1;
                 entry.moving = false;
             }
@@ -408,7 +419,7 @@
         }
     }
 
-    /// Returns whether this VM may change the heirs and the bounds of a target's ranges: it
+    /// Returns whether this VM may change the successors and the bounds of a target's ranges: it
     /// grants to the target and has not stopped it.
     fn manages(&self, target: &str) -> bool {
         let watch = self.watches.get(target);
@@ -434,8 +445,8 @@
         if now < self.balance_from {
             return;
         }
-        // An owner that doesn't check grants pays for each move with seconds without service: its
-        // ranges move only when they must.
+        // A range whose owner doesn't check grants isn't served for seconds during a move, so
+        // such ranges aren't moved for balance.
         let checks = |target: &str| {
             let member = next.members.get(target);
             member.is_some_and(|member| member.fencing == Fencing::Checked)
@@ -445,7 +456,7 @@
         balance::apply(next, &steps);
     }
 
-    /// Returns whether a target says that it takes no more work.
+    /// Returns whether a target reports that it is draining.
     fn is_draining(&self, now: Duration, target: &str) -> bool {
         let watch = self.watches.get(target);
         let state = watch.and_then(|watch| watch.recent_state(now, self.timing.unresponsive_after));
@@ -461,7 +472,7 @@
     }
 }
 
-/// Returns the owners whose ranges, epochs or heirs differ between two records.
+/// Returns the owners whose ranges, epochs or successors differ between two records.
 fn changed_owners(before: &Record, after: &Record) -> IndexSet<TargetId> {
     let of = |record: &Record| -> IndexMap<Range, Entry> {
         let pairs = record.ranges.iter();
@@ -474,12 +485,12 @@
             .filter_map(|(_, entry)| entry.chain.first().cloned())
             .collect::<Vec<TargetId>>()
     };
-    let mut changed_owners: IndexSet<TargetId> = changed(&old, &new).into_iter().collect();
-    changed_owners.extend(changed(&new, &old));
-    changed_owners
+    let mut owners: IndexSet<TargetId> = changed(&old, &new).into_iter().collect();
+    owners.extend(changed(&new, &old));
+    owners
 }
 
-/// Returns whether two records say different things, whoever wrote them.
+/// Returns whether two records differ, apart from their writer and its counters.
 fn differs(base: &Record, next: &Record) -> bool {
     base.members != next.members
         || base.grantors != next.grantors
--- a/src/grantor/release.rs
+++ b/src/grantor/release.rs
@@ -1,4 +1,8 @@
-//! The release of a lost target's ranges, and the handovers that follow.
+//! When a target is released, and which handovers follow.
+//!
+//! A target that doesn't answer is released once all its grantors have stopped it and all its
+//! grants have expired. A range whose owner is released, or has confirmed a planned move, goes to
+//! the first successor.
 
 use std::time::Duration;
 
@@ -15,8 +19,8 @@
 };
 
 impl Grantor {
-    /// Decides a release once the whole trio has stopped and every grant has lapsed for certain:
-    /// those of the trio, and those of whoever was struck from it.
+    /// Releases a target once all its grantors have stopped it and every grant has expired: those of
+    /// the present grantors, and those of grantors that were replaced.
     pub(super) fn tick_release(
         &mut self,
         now: Duration,
@@ -44,10 +48,10 @@
         }
     }
 
-    /// Returns since when the whole trio is known to have stopped a target.
+    /// Returns since when all grantors of a target are known to have stopped it.
     ///
-    /// A stop counts only with a record at least as new as its sender's: that record names the
-    /// trio, and the heirs that the sender last agreed to.
+    /// A stop counts only if this VM has a record at least as new as the sender's: that record has
+    /// the grantors and the successors that the sender last agreed to.
     fn stopped_since(&self, target: &TargetId) -> Option<Duration> {
         let domain = self.target_domain(target)?;
         let watch = self.watches.get(target)?;
@@ -62,7 +66,7 @@
         Some(since)
     }
 
-    /// Returns when a fellow's stop became known.
+    /// Returns since when another grantor's stop is known.
     pub(super) fn stop_known_since(
         &self,
         watch: &Watch,
@@ -74,46 +78,46 @@
             let known = self.version() >= stop.version || self.flaw == Flaw::OutdatedSuccessors;
             return known.then_some(*at);
         }
-        let starts = starts_stopped(watch.term, other.since) && other.since >= watch.since;
-        let kept = watch.withdrawn_below(&other.vm) <= (other.since, 0);
-        (starts && kept).then_some(Duration::ZERO)
+        let starts_stopped = starts_stopped(watch.term, other.since) && other.since >= watch.since;
+        let not_withdrawn = watch.withdrawn_below(&other.vm) <= (other.since, 0);
+        (starts_stopped && not_withdrawn).then_some(Duration::ZERO)
     }
 
-    /// Derives the handovers that follow from releases, until there are no more.
+    /// Derives the handovers that follow from releases, until no new one results.
     pub(super) fn derive_handovers(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         loop {
             let lost = |entry: &&Entry| entry.chain.len() > 1 && self.is_released(&entry.chain[0]);
             let entries: Vec<Entry> = self.view.ranges.iter().filter(lost).cloned().collect();
-            let learned: Vec<bool> = entries
+            let added: Vec<bool> = entries
                 .iter()
                 .map(|entry| self.hand_over(now, entry, effects))
                 .collect();
-            if !learned.contains(&true) {
+            if !added.contains(&true) {
                 return;
             }
         }
     }
 
-    /// Returns whether this VM knows that a target was released under its present term.
+    /// Returns whether this VM knows that a target was released under its current term.
     pub(super) fn is_released(&self, target: &str) -> bool {
         self.watches.get(target).is_some_and(|watch| watch.released)
     }
 
-    /// Makes the next heir the owner, as a fact; returns whether it is new.
+    /// Hands a range over to its first successor; returns whether the handover is new.
     pub(super) fn hand_over(
         &mut self,
         now: Duration,
         entry: &Entry,
         effects: &mut Vec<Effect>,
     ) -> bool {
-        let heir = |target: &TargetId| {
+        let successor = |target: &TargetId| {
             let member = self.view.members.get(target)?;
             Some(Successor {
                 target: target.clone(),
                 term: member.term,
             })
         };
-        let chain: Option<Vec<Successor>> = entry.chain.iter().skip(1).map(heir).collect();
+        let chain: Option<Vec<Successor>> = entry.chain.iter().skip(1).map(successor).collect();
         let Some(chain) = chain.filter(|chain| !chain.is_empty()) else {
             return false;
         };
@@ -137,7 +141,7 @@
         true
     }
 
-    /// Forgets the marks of ranges that have moved.
+    /// Updates the list of planned moves whose owners don't check grants.
     pub(super) fn refresh_unchecked_moves(&mut self) {
         let version = self.version();
         let unchecked = |target: &TargetId| {
@@ -159,14 +163,15 @@
         self.unchecked_moves = moves;
     }
 
-    /// Hands marked ranges over once no sender can hold a lease of them, nor work in flight.
+    /// Hands over ranges of owners that don't check grants, once no sender can have a lease of them
+    /// or requests in flight.
     pub(super) fn tick_unchecked_moves(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let wait =
             self.timing.issuer_span(self.timing.grant) + self.timing.issuer_span(self.timing.drain);
         let mut due = Vec::new();
         for (key, moving) in self.unchecked_moves.clone() {
-            let owner = |entry: &&Entry| (entry.range, entry.epoch) == key;
-            let Some(entry) = self.view.ranges.iter().find(owner).cloned() else {
+            let is_moving = |entry: &&Entry| (entry.range, entry.epoch) == key;
+            let Some(entry) = self.view.ranges.iter().find(is_moving).cloned() else {
                 continue;
             };
             let Some(domain) = self.target_domain(&entry.chain[0]) else {
--- a/src/grantor/routes.rs
+++ b/src/grantor/routes.rs
@@ -1,4 +1,7 @@
-//! Where requests may go, as one grantor knows it.
+//! Routes: the owner of each range as one grantor knows it, and leases for senders.
+//!
+//! An owner that checks grants refuses requests for ranges that it no longer owns. For an
+//! owner that doesn't, each sender needs a lease from a grantor before it may send requests.
 
 use std::time::Duration;
 
@@ -12,7 +15,7 @@
     range::Range,
 };
 
-/// Who owns a range, and where it is.
+/// The owner of a range and its address.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Route {
@@ -22,18 +25,18 @@
     pub epoch: Epoch,
     /// The owner.
     pub target: TargetId,
-    /// The owner's start.
+    /// The owner's incarnation.
     pub boot: BootId,
     /// The owner's address.
     pub address: String,
     /// Whether the owner checks grants.
     pub fencing: Fencing,
-    /// Whether this VM leases the range to senders now; never for an owner that checks.
+    /// Whether this VM leases the range to senders now; never if the owner checks grants.
     pub leased: bool,
 }
 
 impl Grantor {
-    /// Returns the routes as this VM knows them now.
+    /// Returns the routes that this VM knows now.
     ///
     /// # Example
     ///
@@ -62,7 +65,7 @@
         self.view.ranges.iter().filter_map(route).collect()
     }
 
-    /// Returns whether senders get a lease of the range from this VM now.
+    /// Returns whether this VM may lease the range to senders now.
     fn leases(&self, now: Duration, entry: &Entry) -> bool {
         let Some(target) = entry.chain.first() else {
             return false;
@@ -75,7 +78,7 @@
         })
     }
 
-    /// Answers a sender with leases of what this VM may lease.
+    /// Sends a sender leases of all ranges that this VM may lease.
     pub(super) fn send_leases(
         &self,
         now: Duration,
--- a/src/grantor/targets.rs
+++ b/src/grantor/targets.rs
@@ -1,4 +1,7 @@
-//! Renewing grants, stopping, and withdrawing a stop.
+//! Renewing grants, stopping a target that doesn't answer, and withdrawing a stop.
+//!
+//! A stop is a promise to the other grantors not to renew the target's grant. It can be withdrawn
+//! only with the consent of all of them, since they may release the target once all have stopped.
 
 use std::time::Duration;
 
@@ -15,7 +18,7 @@
 };
 
 impl Grantor {
-    /// Begins watches, and ends those whose target or term is gone.
+    /// Starts watches of new targets and terms, and removes those that no longer apply.
     pub(super) fn refresh_watches(&mut self, now: Duration) {
         let domains: Vec<DomainId> = self.domains().cloned().collect();
         let mut watches = IndexMap::new();
@@ -25,7 +28,7 @@
             }
             let since = self
                 .own_grantor(&member.domain)
-                .map_or(0, |own_grantor| own_grantor.since);
+                .map_or(0, |grantor| grantor.since);
             let known = self.watches.shift_remove(target);
             let watch = known
                 .filter(|watch| watch.term == member.term && watch.since == since)
@@ -35,7 +38,7 @@
         self.watches = watches;
     }
 
-    /// Begins a watch; a grantor that was named later than the term starts as stopped.
+    /// Starts a watch; a grantor that was named after the target's term began starts with a stop.
     fn start_watch(&self, now: Duration, term: Term, since: Term) -> Watch {
         let mut watch = Watch::new(term, since, self.version(), now);
         if starts_stopped(term, since) && self.flaw != Flaw::NewGrantorUnstopped {
@@ -44,7 +47,7 @@
         watch
     }
 
-    /// Takes a target's answer.
+    /// Handles a target's answer.
     pub(super) fn on_target(
         &mut self,
         now: Duration,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Turns an owner's confirmation that it let go of a marked range into its handover.
+    /// Hands over ranges of planned moves that their owner confirmed to have released.
     fn on_released(
         &mut self,
         now: Duration,
@@ -103,7 +106,7 @@
         self.derive_handovers(now, effects);
     }
 
-    /// Probes, grants, stops, withdraws and releases.
+    /// Stops, resumes, renews or probes, and releases each target.
     pub(super) fn tick_targets(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let targets: Vec<TargetId> = self.watches.keys().cloned().collect();
         for target in &targets {
@@ -116,18 +119,18 @@
         self.derive_handovers(now, effects);
     }
 
-    /// Stops a target that isn't heard, unless an own write about it is under way.
+    /// Stops a target that doesn't answer, unless a pending write of this VM changes its ranges.
     fn tick_stop(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
-        let timeout = self.timeout(target);
+        let timeout = self.stop_timeout(target);
         let Some(watch) = self.watches.get(target) else {
             return;
         };
         let last_answer = watch.last_answer.unwrap_or(watch.started);
-        let changed_owners = self
+        let being_written = self
             .pending
             .as_ref()
             .is_some_and(|pending| pending.changed_owners.contains(target));
-        let blocked = changed_owners && self.flaw != Flaw::StopDuringWrite;
+        let blocked = being_written && self.flaw != Flaw::StopDuringWrite;
         if now < last_answer + timeout || blocked {
             return;
         }
@@ -145,8 +148,9 @@
         effects.push(note(Kind::Stop, target, String::new()));
     }
 
-    /// How long a target may be silent. One that never was heard may be starting.
-    fn timeout(&self, target: &str) -> Duration {
+    /// Returns how long a target may be unresponsive before it is stopped. One that has never
+    /// answered may still be starting.
+    fn stop_timeout(&self, target: &str) -> Duration {
         let member = self.view.members.get(target);
         if member.is_some_and(|member| member.boot.is_empty()) {
             return self.timing.start_timeout;
@@ -154,7 +158,7 @@
         self.timing.unresponsive_after
     }
 
-    /// The stops to tell a fellow of.
+    /// Returns the stops to send to another grantor.
     pub(super) fn stops_for(&mut self, to: &VmId) -> Vec<Stop> {
         let version = self.version();
         let mut stops = Vec::new();
@@ -171,19 +175,19 @@
         stops
     }
 
-    /// Takes another's stop.
+    /// Handles another grantor's stop.
     pub(super) fn on_stop(&mut self, now: Duration, from: &VmId, stop: Stop) {
         if let Some(watch) = self.watches.get_mut(&stop.target) {
             watch.on_stop(now, from, stop);
         }
     }
 
-    /// Asks the others to erase an own stop once the target is heard again.
+    /// Asks the other grantors to erase an own stop once the target answers again.
     fn tick_withdraw(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
         let Some(domain) = self.target_domain(target) else {
             return;
         };
-        let authority = self.has_authority(now, &domain);
+        let has_authority = self.has_authority(now, &domain);
         let version = self.version();
         let mut others = self.other_grantors(&domain);
         if self.flaw == Flaw::WithdrawUnconfirmed {
@@ -203,7 +207,7 @@
         let Some(own) = watch.own_stop.as_mut() else {
             return;
         };
-        if watch.released || !steady || !responsive || !authority {
+        if watch.released || !steady || !responsive || !has_authority {
             return;
         }
         let unstopped = own
@@ -250,10 +254,10 @@
             && self.flaw != Flaw::ReplacedForgotten
     }
 
-    /// Erases another's stop, unless it was acted upon.
+    /// Erases another grantor's stop, unless this VM has released the target.
     ///
-    /// The answer counts from a record at least as new as the asker's, so that whoever answers
-    /// tells its later stops to the same trio.
+    /// This VM answers only if its record is at least as new as the sender's, so that it sends its
+    /// later stops to the same grantors.
     pub(super) fn on_withdraw(
         &mut self,
         from: &VmId,
@@ -288,7 +292,7 @@
         });
     }
 
-    /// Takes another's word that it has erased an own stop.
+    /// Handles another grantor's confirmation that it has erased an own stop.
     pub(super) fn on_withdrawn(
         &mut self,
         now: Duration,
@@ -314,7 +318,7 @@
         self.try_resume(now, &stop.target, effects);
     }
 
-    /// Ends an own stop once every grantor that may know of it has erased it.
+    /// Ends an own stop once every grantor that may know it has erased it.
     fn try_resume(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
         let Some(domain) = self.target_domain(target) else {
             return;
@@ -344,7 +348,7 @@
         }
     }
 
-    /// Renews a target's grant, or asks for its state.
+    /// Renews a target's grant, or probes its state.
     fn tick_grant(&mut self, now: Duration, target: &TargetId, effects: &mut Vec<Effect>) {
         let Some(member) = self.view.members.get(target).cloned() else {
             return;
@@ -371,7 +375,7 @@
         }));
     }
 
-    /// Builds a grant, if this VM may renew the target and knows the reading of its clock.
+    /// Builds a grant, if this VM may renew the target and has a recent reading of its clock.
     fn grant(&self, now: Duration, target: &TargetId, member: &Member) -> Option<Grant> {
         let watch = self.watches.get(target)?;
         let state = watch.recent_state(now, self.timing.grant)?;
@@ -399,7 +403,7 @@
         })
     }
 
-    /// Returns whether this VM may renew a target now.
+    /// Returns whether this VM may renew a target's grant now.
     pub(super) fn may_renew(&self, now: Duration, target: &str, member: &Member) -> bool {
         let stopped = |watch: &Watch| watch.own_stop.is_some() || watch.released;
         self.watches
--- a/src/grantor/timing.rs
+++ b/src/grantor/timing.rs
@@ -1,8 +1,8 @@
-//! The spans of time on which ownership rests, in one place.
+//! The durations on which exclusive ownership relies.
 
 use std::time::Duration;
 
-/// How long promises last and how often they are renewed.
+/// How long grants and permissions last, and how often they are renewed.
 ///
 /// # Example
 ///
@@ -15,30 +15,33 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
-    /// How long a grant, or a sender's lease, lasts from the reading it is counted from.
+    /// How long a grant or a sender's lease lasts, counted from the clock reading that it refers to.
     pub grant: Duration,
     /// How often a grant is renewed.
     pub renew: Duration,
-    /// After how much silence a target or a peer counts as not heard.
+    /// After how long without a message a target or a peer counts as unresponsive.
     pub unresponsive_after: Duration,
-    /// How long a word lasts, counted from when it was asked for; and an own read of the record,
-    /// counted from when it was sent.
+    /// How long a permission lasts, counted from when it was requested. A grantor's own read of the
+    /// record lasts as long, counted from when it was sent.
     pub permission: Duration,
-    /// How often a word is asked for, and, for want of words, the record read.
+    /// How often a permission is requested, and how often the record is read while permissions are
+    /// missing.
     pub permission_renew: Duration,
-    /// How long a target that was never heard may take to start.
+    /// How long a target that has never answered may take to start.
     pub start_timeout: Duration,
-    /// How long a grantor that hears no other leaves it to the others to replace someone.
+    /// How much longer a grantor that receives nothing from any other waits before it replaces one.
     pub isolated_wait: Duration,
-    /// How long a replaced grantor is not named again by the one that replaced it.
+    /// How long a grantor doesn't name a replaced grantor again.
     pub exclusion: Duration,
-    /// How long what is in flight to an unchecked target may run on after a planned move.
+    /// How long requests in flight to a target that doesn't check grants may take to end during a
+    /// planned move.
     pub drain: Duration,
-    /// How long a lower-ranked grantor leaves a write to a higher-ranked one.
+    /// How long a grantor waits for each higher-ranked one to make a write first.
     pub rank_delay: Duration,
-    /// How long a write without an answer waits before it is sent again.
+    /// The retry interval of writes: a write with an unknown outcome is retried after one interval, a
+    /// write without any answer after several.
     pub retry: Duration,
-    /// The share by which one clock may run ahead of another.
+    /// The largest relative difference in rate between two clocks.
     pub drift: f64,
 }
 
@@ -62,7 +65,8 @@
 }
 
 impl Timing {
-    /// Returns the span as its giver counts it: never shorter than its holder does.
+    /// Returns the span as the issuer of a grant or permission counts it: never shorter than the
+    /// holder's.
     ///
     /// # Example
     ///
@@ -76,7 +80,8 @@
         span.mul_f64(1.0 + self.drift)
     }
 
-    /// Returns the span as its holder counts it: never longer than its giver does.
+    /// Returns the span as the holder of a grant or permission counts it: never longer than the
+    /// issuer's.
     ///
     /// # Example
     ///
--- a/src/grantor/watch.rs
+++ b/src/grantor/watch.rs
@@ -1,4 +1,6 @@
-//! What a grantor knows of one target: whether it is heard, and who has stopped it.
+//! A grantor's state for one target: whether it answers, and which grantors have stopped it.
+//!
+//! A stop is a grantor's promise not to renew the target's grant until the stop is withdrawn.
 
 use std::time::Duration;
 
@@ -11,54 +13,55 @@
     id::{TargetId, Term, Version, VmId},
 };
 
-/// One target under one term, as one grantor sees it.
+/// A grantor's state for one target under one term.
 #[derive(Clone, Debug)]
 pub(super) struct Watch {
     /// The term.
     pub term: Term,
     /// The serial of the write that named the grantor.
     pub since: Term,
-    /// The newest record known when the watch began; stops told by an older one are void.
+    /// The newest record known when the watch began; stops sent with an older one are ignored.
     pub version: Version,
     /// When the watch began.
     pub started: Duration,
-    /// When the start that the record names was last heard.
+    /// When the incarnation that the record names last answered.
     pub last_answer: Option<Duration>,
-    /// Since when it has been heard without a break.
+    /// Since when that incarnation has answered without a break.
     pub steady_since: Option<Duration>,
-    /// When any start of it was last heard, and what it said.
+    /// The last answer of any incarnation, and when it was received.
     pub state: Option<(Duration, TargetState)>,
-    /// When it was last asked.
+    /// When the last grant or probe was sent.
     pub last_request: Option<Duration>,
-    /// The own stop.
+    /// This grantor's own stop.
     pub own_stop: Option<OwnStop>,
-    /// The stops of the others, and when they were heard of.
+    /// The stops of the other grantors, and when they were received.
     pub other_stops: IndexMap<VmId, (Duration, Stop)>,
-    /// Stops below these were withdrawn.
+    /// For each other grantor, the number below which its stops were withdrawn.
     pub withdrawn: IndexMap<VmId, (Term, u64)>,
-    /// Whether the release was decided; for good.
+    /// Whether the target was released; never reset.
     pub released: bool,
 }
 
-/// An own stop.
+/// A stop of this grantor.
 #[derive(Clone, Debug)]
 pub(super) struct OwnStop {
     /// When it began.
     pub started: Duration,
-    /// Its number; 0 for the stop with which a grantor starts.
+    /// Its number; 0 for the initial stop of a new grantor.
     pub sequence: u64,
-    /// Who may have heard of it and hasn't erased it.
+    /// The VMs that may have received it and have not erased it.
     pub recipients: IndexSet<VmId>,
-    /// Who has erased it, whether they had no stop themselves, and by which record they answered.
+    /// The VMs that have erased it, with whether they had no stop themselves and the record version
+    /// of the withdrawal.
     pub erased_by: IndexMap<VmId, (bool, Version)>,
-    /// Whether it goes back to the stop with which a grantor starts.
+    /// Whether it continues the initial stop of a new grantor.
     pub initial: bool,
-    /// When the others were last asked to erase it.
+    /// When the other grantors were last asked to erase it.
     pub withdraw_sent: Option<Duration>,
 }
 
 impl Watch {
-    /// Begins to watch.
+    /// Creates the state for a target, without answers or stops.
     pub fn new(term: Term, since: Term, version: Version, now: Duration) -> Self {
         Self {
             term,
@@ -76,10 +79,16 @@
         }
     }
 
-    /// Notes an answer, and whether it came from the start that the record names.
-    pub fn on_state(&mut self, now: Duration, state: TargetState, named: bool, gap: Duration) {
-        if named {
-            let recent = self.last_answer.is_some_and(|last| now < last + gap);
+    /// Stores an answer; `is_current` says whether it came from the incarnation that the record names.
+    pub fn on_state(
+        &mut self,
+        now: Duration,
+        state: TargetState,
+        is_current: bool,
+        span: Duration,
+    ) {
+        if is_current {
+            let recent = self.last_answer.is_some_and(|last| now < last + span);
             if !recent || self.steady_since.is_none() {
                 self.steady_since = Some(now);
             }
@@ -88,18 +97,18 @@
         self.state = Some((now, state));
     }
 
-    /// Returns whether the named start was heard within the span.
+    /// Returns whether the incarnation that the record names answered within the span.
     pub fn is_responsive(&self, now: Duration, span: Duration) -> bool {
         self.last_answer.is_some_and(|last| now < last + span)
     }
 
-    /// Returns what the target said last, if it said it within the span.
+    /// Returns the last state that the target reported, if it was received within the span.
     pub fn recent_state(&self, now: Duration, span: Duration) -> Option<&TargetState> {
         let (at, state) = self.state.as_ref()?;
         (now < *at + span).then_some(state)
     }
 
-    /// Takes another's stop, unless it was withdrawn or a newer one is known.
+    /// Stores another grantor's stop, unless it was withdrawn or a newer one is known.
     pub fn on_stop(&mut self, now: Duration, from: &VmId, stop: Stop) {
         let number = (stop.since, stop.sequence);
         let stale = stop.term != self.term || stop.version < self.version;
@@ -112,7 +121,7 @@
         }
     }
 
-    /// Erases another's stop, and whatever of it may still be on its way.
+    /// Erases another grantor's stop, and ignores copies of it that arrive later.
     pub fn erase(&mut self, from: &VmId, stop: &Stop) {
         let number = (stop.since, stop.sequence);
         let known = self.other_stops.get(from);
@@ -125,12 +134,12 @@
         self.withdrawn.insert(from.clone(), below);
     }
 
-    /// Returns the number below which another's stops are withdrawn.
+    /// Returns the number below which another grantor's stops are withdrawn.
     pub fn withdrawn_below(&self, from: &VmId) -> (Term, u64) {
         self.withdrawn.get(from).copied().unwrap_or((0, 0))
     }
 
-    /// Stops the target, for good until this is withdrawn.
+    /// Stops the target until the stop is withdrawn.
     pub fn stop(&mut self, now: Duration, sequence: u64) {
         let before = self.own_stop.take();
         let initial = sequence == 0 || before.as_ref().is_some_and(|own| own.initial);
@@ -145,10 +154,11 @@
         self.steady_since = None;
     }
 
-    /// Returns whether the own stop can only be withdrawn while some fellow has none.
+    /// Returns whether the own stop can be withdrawn only while some other grantor has none.
     ///
-    /// A grantor that was told of it and then struck can't be asked. It could only have acted on
-    /// the stops of its whole trio. The same goes for the one that a new grantor replaced.
+    /// A grantor that received the stop and was then replaced can't be asked to erase it. It could
+    /// have released the target only on the stops of all grantors of the domain, so one grantor
+    /// without a stop shows that it didn't. The same holds for the grantor that a new one replaced.
     pub fn needs_unstopped_peer(&self, others: &[group::Grantor]) -> bool {
         let named = |vm: &VmId| others.iter().any(|other| other.vm == *vm);
         let replaced = |own: &OwnStop| own.recipients.iter().any(|vm| !named(vm));
@@ -157,7 +167,7 @@
             .is_some_and(|own| own.initial || replaced(own))
     }
 
-    /// Returns the own stop as it is told to others, unless it is being withdrawn.
+    /// Returns the own stop as a message for another grantor, unless it is being withdrawn.
     pub fn announce_stop(
         &mut self,
         target: &TargetId,
--- a/src/group/build.rs
+++ b/src/group/build.rs
@@ -1,4 +1,4 @@
-//! Making the first record of a group, and letting a record follow its document.
+//! Building the first record of a group, and applying a new document or new grantors to a record.
 
 use std::cmp::Reverse;
 
@@ -22,7 +22,7 @@
     pub domain: DomainId,
 }
 
-/// Returns the name of a service's group.
+/// Returns the id of a service's group.
 ///
 /// # Example
 ///
@@ -35,9 +35,9 @@
     format!("{service}/{index}")
 }
 
-/// Returns the slice of the hash space that a group covers.
+/// Returns the range of the hash space that a group covers.
 ///
-/// A name that is no group of the document gives the last slice.
+/// An id that is none of the document's groups gives the last range.
 ///
 /// # Example
 ///
@@ -69,10 +69,10 @@
         .unwrap_or_else(|| group_id(service, 0))
 }
 
-/// Makes the first record of a group.
+/// Builds the first record of a group.
 ///
-/// Ranges are spread evenly over the serving targets. Without such a target, or without a live
-/// VM, there is none.
+/// Ranges are spread evenly over the eligible targets. Returns `None` if there is no such target or
+/// no live VM.
 ///
 /// # Example
 ///
@@ -145,10 +145,10 @@
     Some(record)
 }
 
-/// Lets the members follow a newer document.
+/// Applies a newer document to the members of a record.
 ///
-/// New targets join under the serial of the write that is being made; those that are gone from
-/// the document are leaving, and go once no chain names them.
+/// New targets are added with the serial of the current write as their term. Targets that the
+/// document no longer names start to drain, and are removed once no chain names them.
 ///
 /// # Example
 ///
@@ -200,7 +200,7 @@
     }
 }
 
-/// Drops the members that are leaving for good: no chain names them, nor does the document.
+/// Removes the members that neither a chain nor the document names.
 ///
 /// # Example
 ///
@@ -232,7 +232,8 @@
     }
 }
 
-/// Fills the trio of each failure domain up, under the serial of the write that is being made.
+/// Names grantors for each failure domain until it has enough, with the serial of the current
+/// write.
 ///
 /// # Example
 ///
@@ -257,10 +258,11 @@
     }
 }
 
-/// Fills one trio up from live VMs outside the failure domain.
+/// Names grantors of one failure domain from live VMs outside it, until there are enough.
 ///
-/// They come by rendezvous hash of the group, so that its trios share VMs; first from failure
-/// domains that the trio lacks. Only when there is none outside, one VM inside serves.
+/// They are chosen by rendezvous hash of the group, so that the failure domains of a group share
+/// VMs, and first from domains that have no grantor here yet. Only if there is no VM outside, one
+/// VM inside the domain is named.
 fn fill_domain(
     group: &str,
     domain: &str,
@@ -281,7 +283,7 @@
     }
 }
 
-/// Returns the best VM that the trio lacks.
+/// Returns the best VM to add to the grantors.
 fn best_candidate<'live>(
     domain: &str,
     grantors: &[Grantor],
@@ -303,13 +305,13 @@
         .copied()
 }
 
-/// The targets that some chain names.
+/// Returns the targets that some chain names.
 fn chain_targets(record: &Record) -> IndexSet<TargetId> {
     let chains = record.ranges.iter().flat_map(|entry| &entry.chain);
     chains.cloned().collect()
 }
 
-/// Returns whether a member still stands where the document says, and checks as it says.
+/// Returns whether a member still has the failure domain and the fencing that the document says.
 fn is_unchanged(member: &Member, target: &Target) -> bool {
     member.domain == target.domain && member.fencing == target.fencing
 }
@@ -327,7 +329,8 @@
     }
 }
 
-/// Takes over what the document says; the failure domain and the fencing stay while it is named.
+/// Takes over the document's values, except the failure domain and the fencing: these stay while a
+/// chain names the target.
 fn update_member(member: &mut Member, target: &Target) {
     member.address.clone_from(&target.address);
     member.leaving = target.state == TargetState::Leaving;
--- a/src/group/check.rs
+++ b/src/group/check.rs
@@ -1,4 +1,4 @@
-//! What must hold in every record.
+//! Checks of a record: limits, coverage of the hash space, chains and grantors.
 
 use quick_error::quick_error;
 
@@ -16,14 +16,14 @@
 pub const MAX_GRANTORS: usize = 3;
 
 quick_error! {
-    /// Why a record is refused.
+    /// The reason why a record is refused.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
         /// Too many members, ranges or grantors.
         Size(group: GroupId) {
             display("step=check group={group}: too many members, ranges or grantors")
         }
-        /// The ranges leave a gap, overlap, or do not cover the group's slice.
+        /// The ranges leave a gap, overlap, or do not cover the group's range.
         Ranges(group: GroupId, range: Range) {
             display("step=check group={group}: gap or overlap at {range:?}")
         }
@@ -31,22 +31,22 @@
         Chain(group: GroupId, range: Range) {
             display("step=check group={group}: empty, too long or duplicate succession chain at {range:?}")
         }
-        /// A chain names a target that is no member.
+        /// A chain names a target that is not a member.
         UnknownMember(group: GroupId, target: TargetId) {
             display("step=check group={group}: {target} is not a member")
         }
-        /// A failure domain with members has no grantors, or one is named twice.
+        /// A failure domain with members has no grantors, or names one twice.
         Grantors(group: GroupId, domain: DomainId) {
             display("step=check group={group}: missing or duplicate grantors for {domain}")
         }
     }
 }
 
-/// Checks a record against the slice that it is to cover.
+/// Checks a record against the range that its group covers.
 ///
 /// # Errors
 ///
-/// The first rule that is broken.
+/// Returns an error for the first rule that the record breaks.
 ///
 /// # Example
 ///
@@ -74,7 +74,7 @@
         .try_for_each(|member| check_grantors(record, member))
 }
 
-/// Checks that the ranges cover the slice once.
+/// Checks that the ranges cover the group's range without gaps or overlaps.
 fn check_coverage(record: &Record, slice: Range) -> Result<(), Error> {
     let mut next_start = Some(slice.start);
     for entry in &record.ranges {
--- a/src/group/merge.rs
+++ b/src/group/merge.rs
@@ -1,4 +1,4 @@
-//! Laying handovers over a record: the higher epoch wins.
+//! Applying handovers to a record: for each point the higher epoch wins.
 
 use crate::{
     group::{Entry, Record},
@@ -7,7 +7,7 @@
     range::Range,
 };
 
-/// Returns the record with the facts laid over it, lower epochs first.
+/// Returns the record with the handovers applied, lower epochs first.
 ///
 /// # Example
 ///
@@ -17,9 +17,9 @@
 /// let record = Record::default();
 /// assert_eq!(merge::view(&record, &Handovers::new()), record);
 /// ```
-pub fn view(record: &Record, facts: &Handovers) -> Record {
+pub fn view(record: &Record, handovers: &Handovers) -> Record {
     let mut view = record.clone();
-    let mut order: Vec<&Handover> = facts.values().collect();
+    let mut order: Vec<&Handover> = handovers.values().collect();
     order.sort_by_key(|handover| handover.epoch);
     for handover in order {
         if is_applicable(record, handover) {
@@ -29,15 +29,15 @@
     view
 }
 
-/// Returns whether the record already carries the handover, or a later owner.
+/// Returns whether the record already includes the handover, or a later owner.
 ///
 /// # Example
 ///
 /// ```
 /// use bramleypier::{group::{Record, merge}, handover::Handover, range::Range};
 ///
-/// let fact = Handover { group: "s/0".into(), range: Range::ALL, epoch: 2, chain: vec![] };
-/// assert!(merge::includes(&Record::default(), &fact));
+/// let handover = Handover { group: "s/0".into(), range: Range::ALL, epoch: 2, chain: vec![] };
+/// assert!(merge::includes(&Record::default(), &handover));
 /// ```
 pub fn includes(record: &Record, handover: &Handover) -> bool {
     record
@@ -47,9 +47,10 @@
         .all(|entry| entry.epoch >= handover.epoch)
 }
 
-/// Returns whether the record knows each heir under the term that the handover names.
+/// Returns whether the record has each successor under the term that the handover names.
 ///
-/// A fact that names a newer term waits for the record that admitted it.
+/// A handover that names a newer term is applied only to the record that admitted that term, or a
+/// later one.
 fn is_applicable(record: &Record, handover: &Handover) -> bool {
     !handover.chain.is_empty()
         && handover.chain.iter().all(|successor| {
@@ -58,7 +59,7 @@
         })
 }
 
-/// Lays one handover over the entries.
+/// Applies one handover to the entries.
 fn apply(ranges: &mut Vec<Entry>, handover: &Handover) {
     let chain: Vec<TargetId> = handover
         .chain
@@ -92,7 +93,7 @@
     *ranges = merged;
 }
 
-/// Adds a part of a handover, joined to the part before it.
+/// Adds a part of a handover, and joins it to the part before it if possible.
 fn push(merged: &mut Vec<Entry>, part: Entry) {
     let joins = |last: &Entry| {
         last.range.end.checked_add(1) == Some(part.range.start)
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -1,4 +1,7 @@
-//! Groups: targets that hold a slice of the hash space, and the record that says who owns what.
+//! Groups: the targets that own a slice of the hash space, and the record of their ranges.
+//!
+//! A group's record names its targets, the owner and successors of each range, and the grantors of
+//! each failure domain's targets.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -15,68 +18,70 @@
 pub mod resize;
 pub mod successors;
 
-/// A group's record: one value in the platform's service, changed only by compare-and-swap.
+/// A group's record: one value in the platform's service that is changed only by compare-and-swap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
     /// The group.
     pub group: GroupId,
-    /// How many writes made this record; it grows by one with each.
+    /// The number of writes so far; each write raises it by one.
     pub serial: u64,
-    /// The version of the document that it follows.
+    /// The version of the document that was last applied.
     pub document: Version,
     /// The targets that may hold grants.
     pub members: IndexMap<TargetId, Member>,
     /// The grantors of each failure domain's targets.
     #[serde(rename = "trios")]
     pub grantors: IndexMap<DomainId, Vec<Grantor>>,
-    /// The version that the last change of each trio replaced; none for the first one. Who knows a
-    /// newer version has adopted that change.
+    /// For each failure domain, the version that the last change of its grantors replaced; none
+    /// for the first one. A VM that knows a newer version knows that change.
     #[serde(rename = "changed")]
     pub change_bases: IndexMap<DomainId, Version>,
     /// The ranges, in order, without gaps or overlaps.
     pub ranges: Vec<Entry>,
-    /// The VM that wrote this version, with its count of writes, so that a lost answer can be
-    /// settled by reading back.
+    /// The VM that wrote this version. With `sequence`, it lets a writer whose answer was lost find
+    /// the outcome by reading back.
     pub writer: VmId,
-    /// The writer's count of writes.
+    /// The writer's sequence number of this write.
     pub sequence: u64,
 }
 
-/// A target as a holder of grants.
+/// A target that may hold grants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
     /// `IP:port`.
     pub address: String,
-    /// The failure domain it stands in.
+    /// Its failure domain.
     pub domain: DomainId,
     /// Whether it checks grants.
     pub fencing: Fencing,
-    /// The start of the target that may hold grants; empty until one is known.
+    /// The incarnation of the target that may hold grants; empty until one is known.
     pub boot: BootId,
-    /// The serial of the write that admitted this start. A start that was released comes back
-    /// under a new term, and only while no chain names it.
+    /// The serial of the write that admitted this incarnation. A released target is readmitted
+    /// under a new term. No chain of another owner may name it then; ranges that still name only
+    /// the target itself go back to it at higher epochs.
     pub term: Term,
-    /// Whether its grantors released it: it holds nothing, and no chain should name it.
+    /// Whether its grantors released it: it holds no grants, and no chain should name it.
     pub released: bool,
-    /// Whether it hands its ranges over.
+    /// Whether it is draining: its ranges are moved to other targets.
     pub leaving: bool,
-    /// How many requests it runs at a time.
+    /// The number of requests that it runs at a time.
     pub slots: u32,
 }
 
-/// A VM named to grant to a failure domain's targets.
+/// A VM that issues grants to a failure domain's targets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Grantor {
     /// The VM; its id is new on each start.
     pub vm: VmId,
-    /// The serial of the write that named it. It starts as stopped for each earlier term.
+    /// The serial of the write that named it. For each target with an earlier term it starts with
+    /// a stop.
     pub since: Term,
 }
 
-/// A range with its owner and heirs.
+/// A range with its owner and successors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Entry {
@@ -84,8 +89,9 @@
     pub range: Range,
     /// The epoch at which the first of the chain owns it.
     pub epoch: Epoch,
-    /// The owner, then its heirs in order.
+    /// The owner, then its successors in order.
     pub chain: Vec<TargetId>,
-    /// Whether the owner is being asked to hand it to the first heir.
+    /// Whether a planned move is in progress: the owner is asked to release the range to the first
+    /// successor.
     pub moving: bool,
 }
--- a/src/group/resize.rs
+++ b/src/group/resize.rs
@@ -1,4 +1,4 @@
-//! Splitting hot ranges and joining cold neighbours.
+//! Splitting hot ranges, and joining adjacent ranges with little load.
 
 use crate::{
     group::{Entry, Record},
@@ -6,13 +6,13 @@
     range::Range,
 };
 
-/// Splits the entry that holds the point so that a new entry starts there.
+/// Splits the entry that contains the point so that a new entry starts there.
 ///
 /// Both parts keep the chain and take the next epoch: a target refuses an epoch that it knows under
-/// other bounds. That is as safe as a change of heirs, since it is made by the same rule: only a
-/// grantor of the owner that has not stopped it may write this, so a release that follows derives
-/// from this record or a later one. A range on its way to another owner stays whole, since its
-/// handover is fixed. Returns whether something changed.
+/// other bounds. A split is as safe as a change of successors, since the same rule applies: only a
+/// grantor of the owner that has not stopped it may write this, so a later release derives its
+/// handovers from this record or a newer one. A range that is moving to another owner isn't split,
+/// since its handover is fixed. Returns whether something changed.
 ///
 /// # Example
 ///
@@ -38,7 +38,7 @@
     true
 }
 
-/// Splits so that the point stands alone in its range. Returns whether something changed.
+/// Splits so that the point gets a range of its own. Returns whether something changed.
 ///
 /// # Example
 ///
@@ -56,11 +56,11 @@
     low || high
 }
 
-/// Joins an entry with the next one when both have one owner and neither is moving.
+/// Joins an entry with the next one if both have the same owner and neither is moving.
 ///
-/// The joined range takes the heirs of the higher epoch, and the epoch after it: epochs never go
-/// back, and no handover of either part can exist while a grantor of the owner may still write
-/// this. Returns whether something changed.
+/// The joined range takes the successors of the part with the higher epoch, and the epoch after it:
+/// epochs never decrease. No handover of either part can exist while a grantor of the owner may
+/// still write this. Returns whether something changed.
 ///
 /// # Example
 ///
--- a/src/group/successors.rs
+++ b/src/group/successors.rs
@@ -1,4 +1,4 @@
-//! Who is to own a range next, should its owner be lost.
+//! The successors of a range: the targets that own it next, in order, if its owner is lost.
 
 use std::cmp::Reverse;
 
@@ -10,14 +10,14 @@
     key,
 };
 
-/// The longest chain: the owner and its heirs.
+/// The most targets in a chain: the owner and its successors.
 pub const MAX_CHAIN: usize = 4;
 
-/// Returns the entry's chain with unfit heirs replaced.
+/// Returns the entry's chain with ineligible successors replaced.
 ///
-/// The owner stays, and so do the heirs that are fit, in their order, so that a repair of a sound
-/// chain changes nothing. New heirs come by rendezvous hash, from failure domains that the chain
-/// doesn't have yet where there are such.
+/// The owner and the eligible successors stay in their order, so that the repair of a valid chain
+/// changes nothing. New successors are chosen by rendezvous hash, if possible from failure domains
+/// that the chain doesn't have yet.
 ///
 /// # Example
 ///
@@ -50,7 +50,7 @@
     chain
 }
 
-/// Returns whether a member may be an heir.
+/// Returns whether a member may be a successor.
 ///
 /// # Example
 ///
@@ -73,10 +73,10 @@
     !member.released && !member.leaving
 }
 
-/// Fills the chain up, from failure domains it lacks as long as there are such.
+/// Fills the chain up, first from failure domains that it doesn't have yet.
 fn extend(record: &Record, entry: &Entry, chain: &mut Vec<TargetId>) {
     if chain.len() >= MAX_CHAIN {
-        // Sound chains are looked at again and again: weigh nobody for them.
+        // Complete chains are checked often; hashing every member for each of them is costly.
         return;
     }
     let subject = entry.range.start.to_string();
@@ -95,7 +95,7 @@
     }
 }
 
-/// Returns the best heir that the chain lacks.
+/// Returns the best target to add to the chain.
 fn best_successor(record: &Record, order: &[&TargetId], chain: &[TargetId]) -> Option<TargetId> {
     let domain = |target: &TargetId| record.members.get(target).map(|member| &member.domain);
     let owner = chain.first().and_then(domain);
