--- a/src/group/build.rs
+++ b/src/group/build.rs
@@ -183,9 +183,7 @@
         }
         let has_room = record.members.len() < check::MAX_MEMBERS;
         match record.members.get_mut(id) {
-            Some(known) if named.contains(id) || is_unchanged(known, target) => {
-                update_member(known, target)
-            }
+            Some(known) if named.contains(id) || matches(known, target) => update(known, target),
             Some(known) => *known = new_member(target, term),
             None if has_room => {
                 record.members.insert(id.clone(), new_member(target, term));
@@ -312,7 +310,7 @@
 }
 
 /// Returns whether a member still has the failure domain and the fencing that the document says.
-fn is_unchanged(member: &Member, target: &Target) -> bool {
+fn matches(member: &Member, target: &Target) -> bool {
     member.domain == target.domain && member.fencing == target.fencing
 }
 
@@ -331,7 +329,7 @@
 
 /// Takes over the document's values, except the failure domain and the fencing: these stay while a
 /// chain names the target.
-fn update_member(member: &mut Member, target: &Target) {
+fn update(member: &mut Member, target: &Target) {
     member.address.clone_from(&target.address);
     member.leaving = target.state == TargetState::Leaving;
     member.slots = target.slots;
