--- a/src/grantor/mod.rs
+++ b/src/grantor/mod.rs
@@ -79,8 +79,8 @@
     /// The base version of the last change of each failure domain's grantors, and since when all
     /// grantors that it names are known to have the changed record.
     known_changes: IndexMap<DomainId, (Version, Option<Duration>)>,
-    /// When each other VM last answered a permission request; only VMs that answer are named as
-    /// grantors.
+    /// When each other VM last answered a permission request; only VMs that answered recently are
+    /// named in place of an unresponsive grantor.
     answers: IndexMap<VmId, Duration>,
     /// Until when this VM doesn't name a replaced grantor again.
     excluded: IndexMap<VmId, Duration>,
--- a/src/grantor/peers.rs
+++ b/src/grantor/peers.rs
@@ -1,8 +1,8 @@
 //! Permissions between grantors, and when a grantor may be replaced.
 //!
-//! A grantor may issue grants only while another grantor of the same failure domain gave it a
-//! permission, a lease of less than a second. If permissions are about to expire, a read of the
-//! record from the platform's service takes their place.
+//! A grantor may issue grants to a failure domain's targets only while it has a permission from
+//! another grantor of that domain. A permission is a lease of less than a second. While permissions
+//! are about to expire, a read of the record from the platform's service takes their place.
 
 use std::{cmp::Reverse, time::Duration};
 
