--- a/src/grantor/peers.rs
+++ b/src/grantor/peers.rs
@@ -350,7 +350,7 @@
         let unresponsive_after = self.timing.unresponsive_after;
         let grantors = self.other_grantors(domain);
         let mut others = grantors.iter().filter(|other| other.vm != lost.vm);
-        let timeout = if others.any(|other| self.hears_from(now, &other.vm)) {
+        let timeout = if others.any(|other| self.receives_from(now, &other.vm)) {
             unresponsive_after
         } else {
             unresponsive_after + self.timing.isolated_wait
@@ -359,7 +359,7 @@
         peer.is_some_and(|peer| now >= peer.last_received + timeout)
     }
 
-    pub(super) fn hears_from(&self, now: Duration, vm: &VmId) -> bool {
+    pub(super) fn receives_from(&self, now: Duration, vm: &VmId) -> bool {
         let peer = self.peers.get(vm);
         peer.is_some_and(|peer| now < peer.last_received + self.timing.unresponsive_after)
     }
--- a/src/grantor/record_writes.rs
+++ b/src/grantor/record_writes.rs
@@ -172,7 +172,7 @@
         let rank = |domain: &DomainId| {
             let grantors = self.grantors(domain).iter();
             let before = grantors.take_while(|grantor| grantor.vm != self.vm);
-            count(before.filter(|grantor| self.hears_from(now, &grantor.vm)))
+            count(before.filter(|grantor| self.receives_from(now, &grantor.vm)))
         };
         self.domains().map(rank).min().unwrap_or(3)
     }
@@ -334,7 +334,7 @@
         let eligible = |candidate: &&Candidate| {
             let own = candidate.vm == self.vm;
             let unresponsive =
-                self.peers.contains_key(&candidate.vm) && !self.hears_from(now, &candidate.vm);
+                self.peers.contains_key(&candidate.vm) && !self.receives_from(now, &candidate.vm);
             let excluded = self.excluded.contains_key(&candidate.vm);
             let answers = self.answers.contains_key(&candidate.vm);
             let eligible = answers || (own && !self.retired);
--- a/src/grantor/targets.rs
+++ b/src/grantor/targets.rs
@@ -134,11 +134,11 @@
         if now < last_answer + timeout || blocked {
             return;
         }
-        let resumed = watch
+        let withdrawing = watch
             .own_stop
             .as_ref()
             .is_some_and(|own| !own.erased_by.is_empty());
-        if watch.own_stop.is_some() && !resumed {
+        if watch.own_stop.is_some() && !withdrawing {
             return;
         }
         let sequence = self.next_sequence();
