--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -12,10 +12,10 @@
 use uuid::Uuid;
 
 use super::{
-    Context, Job, desk,
-    passing::Passing,
+    Context, Job, orders,
     payload::{self, Payload},
     reply,
+    response_body::ResponseBody,
     ticket::{self, History, Permit, Report},
 };
 use crate::{
@@ -79,7 +79,7 @@
     let (sender, receiver) = oneshot::channel();
     let context = context.clone();
     compio::runtime::spawn(async move {
-        let result = desk::run(&context, attempt, job, bytes).await;
+        let result = orders::run(&context, attempt, job, bytes).await;
         // The caller may be gone; the outcome is kept all the same.
         let _ = sender.send(result);
     })
@@ -262,7 +262,7 @@
     let size = body.size_hint().exact();
     let is_head = job.head.method == http::Method::HEAD;
     if !is_head && size.is_none_or(|size| size > WHOLE_ANSWER) {
-        let body = Passing::new(context, job, body, permit, cancel.take());
+        let body = ResponseBody::new(context, job, body, permit, cancel.take());
         let response = Response::from_parts(head, Body::stream(body));
         return Ended::Answered(Answered {
             response,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,17 +6,17 @@
 //! - [`router`] says where a request may go, and when;
 //! - [`demand`] counts what is asked for;
 //! - [`ticket`] is what a request and the router say to each other;
-//! - [`desk`] says whether an order may run;
+//! - [`orders`] says whether an order may run;
 //! - [`forward`] sends it and classifies what came back;
 //! - [`payload`] keeps or passes on what the caller sent;
 //! - [`reply`] makes answers of our own, and passes a target's on.
 
 pub mod demand;
-pub mod desk;
 pub mod forward;
-pub mod passing;
+pub mod orders;
 pub mod payload;
 pub mod reply;
+pub mod response_body;
 pub mod router;
 pub mod ticket;
 
@@ -50,7 +50,7 @@
     /// Asks the router.
     pub router: mpsc::UnboundedSender<ticket::Message>,
     /// Asks the desk for orders.
-    pub desk: mpsc::UnboundedSender<desk::Message>,
+    pub orders: mpsc::UnboundedSender<orders::Message>,
     /// Sends work to targets.
     pub sender: target::Sender,
     /// Whether the process takes new work.
--- a/src/entry/desk.rs
+++ b/src/entry/orders.rs
@@ -74,12 +74,12 @@
     /// No order of this entry VM is under way.
     pub orders: bool,
     /// No shard is left to hand over.
-    pub duties: bool,
+    pub shards: bool,
 }
 
 /// The task's state.
 #[derive(Debug)]
-pub struct Desk {
+pub struct OrderTask {
     parts: Parts,
     ledger: Ledger,
     starter: Starter,
@@ -93,7 +93,7 @@
     waiting: IndexMap<u64, oneshot::Sender<(u64, Decision)>>,
 }
 
-impl Desk {
+impl OrderTask {
     /// Creates the task's state.
     pub fn new(parts: Parts) -> Self {
         Self {
@@ -113,7 +113,7 @@
 
     /// Serves messages until nobody can send any more.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
-        ticks::start(&self.parts.clock, &self.parts.tasks.desk, TICK, || {
+        ticks::start(&self.parts.clock, &self.parts.tasks.orders, TICK, || {
             Message::Tick
         });
         self.read();
@@ -142,7 +142,7 @@
             Message::Idle(reply) => {
                 let _ = reply.send(Idle {
                     orders: self.starter.is_idle(),
-                    duties: self.ledger.is_idle(),
+                    shards: self.ledger.is_idle(),
                 });
             }
         }
@@ -298,7 +298,7 @@
     fn send(&self, to: VmId, message: order::Message) {
         if to == self.parts.me.vm {
             let message = Message::Peer(to, message);
-            let _ = self.parts.tasks.desk.unbounded_send(message);
+            let _ = self.parts.tasks.orders.unbounded_send(message);
             return;
         }
         let message = mail::Message::Send(to, wire::Message::Order(message));
@@ -314,7 +314,7 @@
                 // The machines ask again.
                 Err(_) => return,
             };
-            let _ = parts.tasks.desk.unbounded_send(message);
+            let _ = parts.tasks.orders.unbounded_send(message);
         })
         .detach();
     }
@@ -337,7 +337,7 @@
                     _ => return,
                 },
             };
-            let _ = parts.tasks.desk.unbounded_send(message);
+            let _ = parts.tasks.orders.unbounded_send(message);
         })
         .detach();
     }
@@ -409,7 +409,7 @@
             (Err(verdict), end)
         }
     };
-    let _ = context.desk.unbounded_send(Message::Ended(token, end));
+    let _ = context.orders.unbounded_send(Message::Ended(token, end));
     result
 }
 
@@ -430,7 +430,7 @@
         .unwrap_or_default();
     let (reply, answer) = oneshot::channel();
     let message = Message::Begin { order, left, reply };
-    let _ = context.desk.unbounded_send(message);
+    let _ = context.orders.unbounded_send(message);
     answer
         .await
         .unwrap_or((0, Decision::Unknown(UnknownReason::NoReply)))
--- a/src/entry/passing.rs
+++ b/src/entry/response_body.rs
@@ -21,7 +21,7 @@
 ///
 /// When the body is cut, the deadline passes, or the right to send lapses, it ends in an error, which makes hyper break the
 /// caller's connection: an answer cut short never looks whole.
-pub struct Passing {
+pub struct ResponseBody {
     body: Incoming,
     permit: Option<Permit>,
     cancel: Cancel,
@@ -30,7 +30,7 @@
     timer: Pin<Box<dyn Future<Output = ()>>>,
 }
 
-impl Passing {
+impl ResponseBody {
     /// Takes over a body, with the slot that it holds and the duty to cancel it.
     pub fn new(
         context: &Context,
@@ -73,15 +73,15 @@
     }
 }
 
-impl fmt::Debug for Passing {
+impl fmt::Debug for ResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Passing")
+        f.debug_struct("ResponseBody")
             .field("permit", &self.permit)
             .finish_non_exhaustive()
     }
 }
 
-impl Body for Passing {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Cause;
 
--- a/src/entry/router/admission.rs
+++ b/src/entry/router/admission.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::{Flight, Goal, Miss, Name, Router, Waiting, known::group_of};
+use super::{Flight, Goal, Miss, Name, Router, Waiting, state::group_of};
 use crate::{
     document::{Document, Fencing, Ownership},
     entry::ticket::{Ask, COME_BACK, Message, Permit, Reply, Ticket},
--- a/src/entry/router/mod.rs
+++ b/src/entry/router/mod.rs
@@ -1,13 +1,13 @@
 //! The router's task: it owns documents, routes, limits, retries and the quarantine, and says where
 //! a request may go, and when.
 //!
-//! - `known` is what it knows;
+//! - `state` is what it knows;
 //! - `admission` is a request's way to a target;
-//! - `ending` is what it learns from how an attempt ended.
+//! - `completion` is what it learns from how an attempt ended.
 
 mod admission;
-mod ending;
-mod known;
+mod completion;
+mod state;
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -153,7 +153,7 @@
             }
             Message::Document(document) => self.document(&document),
             Message::Record(group, version, record) => self.record(&group, version, *record),
-            Message::Fact(fact) => {
+            Message::Handover(fact) => {
                 let table = self.tables.entry(fact.group.clone()).or_default();
                 table.on_handover(fact);
             }
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -267,7 +267,7 @@
     /// A group's record is known.
     Record(GroupId, Version, Box<Record>),
     /// A handover is known.
-    Fact(Handover),
+    Handover(Handover),
     /// A grantor leases ranges to this VM, counted from when it was asked.
     Lease(GroupId, Duration, Vec<grantor::Leased>),
     /// The fleet has changed.
--- a/src/vm/admin.rs
+++ b/src/vm/admin.rs
@@ -8,7 +8,7 @@
 use super::{Parts, life::Shown, mail, news, owners, wire};
 use crate::{
     admin::{self, Question, Status},
-    entry::{desk, reply},
+    entry::{orders, reply},
     id::VmId,
     peer::{self, Batch, Observer as _},
     util::{
@@ -78,8 +78,8 @@
                 let _ = self.parts.tasks.owners.unbounded_send(message);
             }
             wire::Message::Order(message) => {
-                let message = desk::Message::Peer(from.clone(), message);
-                let _ = self.parts.tasks.desk.unbounded_send(message);
+                let message = orders::Message::Peer(from.clone(), message);
+                let _ = self.parts.tasks.orders.unbounded_send(message);
             }
         }
     }
--- a/src/vm/life.rs
+++ b/src/vm/life.rs
@@ -14,7 +14,7 @@
             vm::{Event, State},
         },
     },
-    entry::{self, desk},
+    entry::{self, orders},
     settings::Settings,
     timeline::{self, Duty, Kind},
     util::{ini, names::Names, server::Control},
@@ -119,7 +119,7 @@
         served.health.set(false);
         let _ = parts.tasks.news.unbounded_send(news::Message::Leave);
         let _ = parts.tasks.owners.unbounded_send(owners::Message::Leave);
-        let _ = parts.tasks.desk.unbounded_send(desk::Message::Leave);
+        let _ = parts.tasks.orders.unbounded_send(orders::Message::Leave);
         parts.clock.sleep(NOTICE).await;
         served.callers.stop();
         let drained = drain(parts, &served.callers);
@@ -178,19 +178,22 @@
         parts.clock.sleep(POLL).await;
     }
     let handing = async {
-        while !idle(parts).await.duties {
+        while !idle(parts).await.shards {
             parts.clock.sleep(POLL).await;
         }
     };
     let _ = parts.clock.timeout(HAND_OVER, handing).await;
 }
 
-async fn idle(parts: &Parts) -> desk::Idle {
+async fn idle(parts: &Parts) -> orders::Idle {
     let (reply, answer) = oneshot::channel();
-    let _ = parts.tasks.desk.unbounded_send(desk::Message::Idle(reply));
-    let ended = desk::Idle {
+    let _ = parts
+        .tasks
+        .orders
+        .unbounded_send(orders::Message::Idle(reply));
+    let ended = orders::Idle {
         orders: true,
-        duties: true,
+        shards: true,
     };
     answer.await.unwrap_or(ended)
 }
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -6,7 +6,7 @@
 //! - [`mail`] sends to other VMs;
 //! - [`owners`] owns the grantors of this VM;
 //! - [`crate::entry::router`] owns routes and limits, and says where a request may go;
-//! - [`crate::entry::desk`] owns what is known of orders;
+//! - [`crate::entry::orders`] owns what is known of orders;
 //! - [`admin`] answers peers and operators;
 //! - [`life`] is the process's own life cycle.
 
@@ -34,7 +34,7 @@
 
 use crate::{
     clock::Clock,
-    entry::{self, desk, router, ticket},
+    entry::{self, orders, router, ticket},
     gossip::Gossip,
     id::VmId,
     key,
@@ -91,8 +91,8 @@
     pub owners: mpsc::UnboundedSender<owners::Message>,
     /// To [`router`].
     pub router: mpsc::UnboundedSender<ticket::Message>,
-    /// To [`desk`].
-    pub desk: mpsc::UnboundedSender<desk::Message>,
+    /// To [`orders`].
+    pub orders: mpsc::UnboundedSender<orders::Message>,
 }
 
 /// The receivers of this process's tasks.
@@ -101,7 +101,7 @@
     news: mpsc::UnboundedReceiver<news::Message>,
     owners: mpsc::UnboundedReceiver<owners::Message>,
     router: mpsc::UnboundedReceiver<ticket::Message>,
-    desk: mpsc::UnboundedReceiver<desk::Message>,
+    orders: mpsc::UnboundedReceiver<orders::Message>,
 }
 
 /// What every task of a process is given.
@@ -194,20 +194,20 @@
     let (news, news_in) = mpsc::unbounded();
     let (owners, owners_in) = mpsc::unbounded();
     let (router, router_in) = mpsc::unbounded();
-    let (desk, desk_in) = mpsc::unbounded();
+    let (orders, orders_in) = mpsc::unbounded();
     let tasks = Tasks {
         mail,
         news,
         owners,
         router,
-        desk,
+        orders,
     };
     let inboxes = Inboxes {
         mail: mail_in,
         news: news_in,
         owners: owners_in,
         router: router_in,
-        desk: desk_in,
+        orders: orders_in,
     };
     (tasks, inboxes)
 }
@@ -220,11 +220,11 @@
     let news = news::News::new(parts.clone(), gossip, seed);
     let owners = owners::Owners::new(parts.clone());
     let router = router::Router::new(parts.clone());
-    let desk = desk::Desk::new(parts.clone());
+    let orders = orders::OrderTask::new(parts.clone());
     compio::runtime::spawn(news.run(inboxes.news)).detach();
     compio::runtime::spawn(owners.run(inboxes.owners)).detach();
     compio::runtime::spawn(router.run(inboxes.router)).detach();
-    compio::runtime::spawn(desk.run(inboxes.desk)).detach();
+    compio::runtime::spawn(orders.run(inboxes.orders)).detach();
     compio::runtime::spawn(mail::run(parts.clone(), address, inboxes.mail)).detach();
     let sender = target::Sender::new(parts.clock.clone(), TARGET_CONNECTIONS);
     compio::runtime::spawn(flush(parts.clone(), sender.clone())).detach();
@@ -232,7 +232,7 @@
         clock: parts.clock.clone(),
         vm: parts.me.vm.clone(),
         router: parts.tasks.router.clone(),
-        desk: parts.tasks.desk.clone(),
+        orders: parts.tasks.orders.clone(),
         sender,
         health: entry::Health::default(),
         recorder: parts.recorder.clone(),
--- a/src/vm/news/items.rs
+++ b/src/vm/news/items.rs
@@ -7,7 +7,7 @@
 use super::{News, VIEWS};
 use crate::{
     document::{self, Document, stored::Stored},
-    entry::{desk, ticket},
+    entry::{orders, ticket},
     gossip::Event,
     handover::Handover,
     id::Version,
@@ -66,8 +66,8 @@
             }
             Kind::View => {
                 let bytes = Bytes::copy_from_slice(bytes);
-                let message = desk::Message::Views(item.version, bytes);
-                let _ = self.parts.tasks.desk.unbounded_send(message);
+                let message = orders::Message::Views(item.version, bytes);
+                let _ = self.parts.tasks.orders.unbounded_send(message);
             }
             Kind::Suspect => {
                 if let Ok(items) = peer::decode(bytes) {
--- a/src/vm/news/mod.rs
+++ b/src/vm/news/mod.rs
@@ -19,7 +19,7 @@
 
 use super::{Parts, Tasks, mail, owners, ticks};
 use crate::{
-    entry::{desk, ticket},
+    entry::{orders, ticket},
     gossip::{CallId, Effect, Envelope, Event, Gossip},
     handover::Handover,
     id::{GroupId, ServiceId, Version},
@@ -276,8 +276,8 @@
         let _ = self
             .parts
             .tasks
-            .desk
-            .unbounded_send(desk::Message::Fleet(fleet.clone()));
+            .orders
+            .unbounded_send(orders::Message::Fleet(fleet.clone()));
         let message = ticket::Message::Fleet(fleet.clone());
         let _ = self.parts.tasks.router.unbounded_send(message);
         let _ = self
--- a/src/vm/news/service.rs
+++ b/src/vm/news/service.rs
@@ -6,7 +6,7 @@
 
 use super::{Message, News, items};
 use crate::{
-    entry::{desk, ticket},
+    entry::{orders, ticket},
     gossip::Event,
     id::Version,
     membership::{Listed, Standing, Update},
@@ -136,8 +136,8 @@
         let leaving = platform::leaving_targets(&list);
         let message = ticket::Message::Leaving(leaving);
         let _ = self.parts.tasks.router.unbounded_send(message);
-        let message = desk::Message::Listed(list.clone());
-        let _ = self.parts.tasks.desk.unbounded_send(message);
+        let message = orders::Message::Listed(list.clone());
+        let _ = self.parts.tasks.orders.unbounded_send(message);
         let message = owners::Message::Listed(list.clone());
         let _ = self.parts.tasks.owners.unbounded_send(message);
         let vms = list
--- a/src/vm/owners.rs
+++ b/src/vm/owners.rs
@@ -427,7 +427,7 @@
     }
 
     fn tell_fact(&self, fact: Handover) {
-        let message = ticket::Message::Fact(fact);
+        let message = ticket::Message::Handover(fact);
         let _ = self.parts.tasks.router.unbounded_send(message);
     }
 
