--- a/examples/spread_slopes.rs
+++ b/examples/spread_slopes.rs
@@ -102,7 +102,7 @@
     while times[2].is_none() && fleet.now < begun + SECOND * 120 {
         fleet.run(Duration::from_millis(50));
         let holds = |it: usize| fleet.nodes[it].gossip.store().version(&id).is_some();
-        let sees = |it: usize| fleet.nodes[it].gossip.members().live().len() == all;
+        let sees = |it: usize| fleet.nodes[it].gossip.membership().live().len() == all;
         let met = [(0..far).any(holds), (0..all).all(holds), (0..all).all(sees)];
         let now = fleet.now.saturating_sub(begun).as_secs_f64();
         for (time, met) in times.iter_mut().zip(met) {
@@ -160,10 +160,14 @@
 
 /// Counts what the VMs hold: the mean of members, and their encoded size at one VM.
 fn held(fleet: &Fleet) -> String {
-    let members = |number: usize| fleet.nodes[number].gossip.members();
-    let total: usize = fleet.running().iter().map(|it| members(*it).held()).sum();
+    let members = |number: usize| fleet.nodes[number].gossip.membership();
+    let total: usize = fleet
+        .running()
+        .iter()
+        .map(|it| members(*it).member_count())
+        .sum();
     let bytes = peer::encode(&members(0).members()).map_or(0, |bytes| bytes.len());
-    let size = members(0).size();
+    let size = members(0).fleet_size();
     format!("{} | {bytes} | {size}", total / fleet.running().len())
 }
 
@@ -220,7 +224,7 @@
 
 /// Returns when the last VM that holds a lost one declared it, if all did.
 fn last(fleet: &Fleet, vm: &VmId) -> Option<Duration> {
-    let holds = |it: &usize| fleet.nodes[*it].gossip.members().is_live(vm);
+    let holds = |it: &usize| fleet.nodes[*it].gossip.membership().is_live(vm);
     if fleet.running().iter().any(holds) {
         return None;
     }
--- a/src/entry/router/completion.rs
+++ b/src/entry/router/completion.rs
@@ -91,7 +91,7 @@
             let name = format!("{:x}/{}/{}", item.fingerprint, death.target, death.boot);
             let version = 1 + Version::from(item.cleared);
             let item = Item::new(Id::new(Kind::Suspect, name), version, bytes.to_vec());
-            let item = item.lasting(quarantine::EXPIRY);
+            let item = item.with_ttl(quarantine::EXPIRY);
             let _ = self
                 .parts
                 .tasks
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -173,7 +173,7 @@
     }
 
     /// Returns the membership.
-    pub fn members(&self) -> &Membership {
+    pub fn membership(&self) -> &Membership {
         &self.members
     }
 
--- a/src/membership/calls.rs
+++ b/src/membership/calls.rs
@@ -91,7 +91,7 @@
 
     /// Turns suspicions that stood long enough into losses.
     fn declare_losses(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        let doublings = self.view.size().max(16).ilog2();
+        let doublings = self.view.fleet_size().max(16).ilog2();
         let patience = self.timing.suspicion * doublings / 4;
         for mut update in self.view.overdue(now, patience) {
             update.standing = Standing::Gone;
@@ -135,7 +135,7 @@
         if self.is_whole() {
             return false;
         }
-        self.random.random_range(0..self.view.size()) >= self.timing.others.max(1)
+        self.random.random_range(0..self.view.fleet_size()) >= self.timing.others.max(1)
     }
 
     /// Starts a new round over all present members.
@@ -172,7 +172,7 @@
         if alone {
             return self.timing.period;
         }
-        let share = (self.view.size() / CONTACTING).max(1);
+        let share = (self.view.fleet_size() / CONTACTING).max(1);
         self.timing.retry * u32::try_from(share).unwrap_or(u32::MAX)
     }
 
@@ -361,7 +361,7 @@
 
     /// Returns how often an update is to be sent: to all where all hold the member, else to a few.
     fn sends(&self, update: &Update) -> usize {
-        let doublings = (self.view.size() + 1).ilog2() + 1;
+        let doublings = (self.view.fleet_size() + 1).ilog2() + 1;
         let is_for_all = self.is_whole() || self.view.is_duty(&update.peer.vm);
         if is_for_all || update.standing > Standing::Suspect {
             (doublings * SENDS) as usize
@@ -372,7 +372,7 @@
 
     /// Returns whether the view holds about the whole fleet.
     fn is_whole(&self) -> bool {
-        self.view.size() <= self.view.live_count() * 5 / 4
+        self.view.fleet_size() <= self.view.live_count() * 5 / 4
     }
 
     /// Makes a message with the news that is due.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -85,7 +85,7 @@
     /// use bramleypier::membership::{Membership, Peer, Timing};
     ///
     /// let members = Membership::new(Peer::default(), Timing::default(), 7);
-    /// assert_eq!(members.size(), 1);
+    /// assert_eq!(members.fleet_size(), 1);
     /// ```
     pub fn new(me: Peer, timing: Timing, seed: u64) -> Self {
         let view = view::View::new(me, timing.duty, timing.others);
@@ -267,10 +267,10 @@
     /// ```
     /// use bramleypier::membership::{Membership, Peer, Timing};
     ///
-    /// assert_eq!(Membership::new(Peer::default(), Timing::default(), 7).size(), 1);
+    /// assert_eq!(Membership::new(Peer::default(), Timing::default(), 7).fleet_size(), 1);
     /// ```
-    pub fn size(&self) -> usize {
-        self.view.size()
+    pub fn fleet_size(&self) -> usize {
+        self.view.fleet_size()
     }
 
     /// Returns whether fewer than half of the members that were known lately live.
@@ -290,7 +290,7 @@
     }
 
     /// Returns how many members the view holds, lost ones included.
-    pub fn held(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.view.len()
     }
 
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -169,7 +169,7 @@
     }
 
     /// Returns how many VMs are live in the fleet.
-    pub(super) fn size(&self) -> usize {
+    pub(super) fn fleet_size(&self) -> usize {
         self.size
     }
 
--- a/src/spread/exchange.rs
+++ b/src/spread/exchange.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use super::{
-    CallId, Digest, Effect, Id, Item, Kind, Known, Message,
+    CallId, Digest, Effect, Id, Item, ItemVersion, Kind, Message,
     call::Call,
     store::{Held, Store, size},
 };
@@ -107,10 +107,10 @@
         &mut self,
         now: Duration,
         address: &str,
-        theirs: &[Known],
+        theirs: &[ItemVersion],
         effects: &mut Vec<Effect>,
     ) {
-        let lacks = |known: &&Known| {
+        let lacks = |known: &&ItemVersion| {
             self.version(&known.id)
                 .is_none_or(|own| own < known.version)
         };
@@ -189,13 +189,13 @@
     /// Returns the versions in the buckets where another's hashes differ.
     ///
     /// Where they are more than a message holds, each answer goes on where the last one ended.
-    fn differing(&mut self, now: Duration, hashes: &IndexMap<Kind, Vec<u64>>) -> Vec<Known> {
+    fn differing(&mut self, now: Duration, hashes: &IndexMap<Kind, Vec<u64>>) -> Vec<ItemVersion> {
         let fades = |held: &Held| held.expires.is_some_and(|at| at < now + self.limits.fading);
-        let mut versions: Vec<Known> = self
+        let mut versions: Vec<ItemVersion> = self
             .items
             .iter()
             .filter(|(id, held)| self.buckets.differ(hashes, id) && !fades(held))
-            .map(|(id, held)| Known {
+            .map(|(id, held)| ItemVersion {
                 id: id.clone(),
                 version: held.version,
             })
--- a/src/spread/mod.rs
+++ b/src/spread/mod.rs
@@ -63,7 +63,7 @@
 /// An item's version, without what it holds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Known {
+pub struct ItemVersion {
     /// The item.
     pub id: Id,
     /// Its version.
@@ -105,7 +105,7 @@
     /// Asks for the versions in the buckets whose hashes differ.
     Compare(IndexMap<Kind, Vec<u64>>),
     /// Answers [`Message::Compare`].
-    Versions(Vec<Known>),
+    Versions(Vec<ItemVersion>),
     /// Answers [`Message::News`].
     Done,
 }
@@ -286,11 +286,11 @@
     /// use bramleypier::spread::{Id, Item, Kind};
     ///
     /// let item = Item::new(Id::new(Kind::Suspect, "7f"), 1, Vec::new());
-    /// let item = item.lasting(Duration::from_secs(60));
+    /// let item = item.with_ttl(Duration::from_secs(60));
     /// assert_eq!(item.left, Some(Duration::from_secs(60)));
     /// ```
     #[must_use]
-    pub fn lasting(self, left: Duration) -> Self {
+    pub fn with_ttl(self, left: Duration) -> Self {
         Self {
             left: Some(left),
             ..self
--- a/src/spread/store.rs
+++ b/src/spread/store.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::{
-    CallId, Content, Digest, Effect, Event, Id, Item, Kind, Known, Limits, Message,
+    CallId, Content, Digest, Effect, Event, Id, Item, ItemVersion, Kind, Limits, Message,
     buckets::Buckets, call::Call,
 };
 use crate::id::Version;
@@ -84,9 +84,9 @@
     /// use bramleypier::spread::{Kind, Limits, Store};
     ///
     /// let mut store = Store::new(Limits::default());
-    /// store.leave_out(Kind::Record);
+    /// store.skip_values(Kind::Record);
     /// ```
-    pub fn leave_out(&mut self, kind: Kind) {
+    pub fn skip_values(&mut self, kind: Kind) {
         self.unwanted.insert(kind);
     }
 
@@ -157,10 +157,10 @@
     }
 
     /// Returns what is in force here.
-    pub fn in_force(&self) -> Vec<Known> {
+    pub fn in_force(&self) -> Vec<ItemVersion> {
         self.items
             .iter()
-            .map(|(id, held)| Known {
+            .map(|(id, held)| ItemVersion {
                 id: id.clone(),
                 version: held.version,
             })
@@ -171,7 +171,7 @@
     ///
     /// A process that has just started may lack everything while this is 0. While this process
     /// holds nothing it stays 0: two that have both just started know nothing by agreeing.
-    pub fn agreed(&self) -> usize {
+    pub fn synced_peers(&self) -> usize {
         self.agreed.len()
     }
 
--- a/src/vm/news/items.rs
+++ b/src/vm/news/items.rs
@@ -29,7 +29,7 @@
         let range = fact.range;
         let name = format!("{}/{:x}-{:x}", fact.group, range.start, range.end);
         let id = Id::new(Kind::Handover, name);
-        let item = Item::new(id, fact.epoch, bytes.to_vec()).lasting(HANDOVER_KEPT);
+        let item = Item::new(id, fact.epoch, bytes.to_vec()).with_ttl(HANDOVER_KEPT);
         self.feed(Event::Put(item));
     }
 
@@ -37,7 +37,7 @@
     pub(super) fn accepted(&mut self, item: &Item) {
         if let Some(key) = platform_key(&item.id) {
             let version = item.version;
-            self.watch(watcher::Event::Held(watcher::Change { key, version }));
+            self.watch(watcher::Event::Stored(watcher::Change { key, version }));
         }
         let Content::Value(bytes) = &item.content else {
             return;
@@ -61,8 +61,8 @@
                 Err(cause) => log::error!("step=news peer={} cause={cause:?}", item.id.name),
             },
             Kind::Watch => {
-                let own = item.id.name == self.gossip.members().me().domain;
-                self.watch(watcher::Event::Mark { own });
+                let own = item.id.name == self.gossip.membership().me().domain;
+                self.watch(watcher::Event::Heartbeat { own });
             }
             Kind::View => {
                 let bytes = Bytes::copy_from_slice(bytes);
--- a/src/vm/news/mod.rs
+++ b/src/vm/news/mod.rs
@@ -255,7 +255,7 @@
 
     /// Tells the fleet to the tasks that need it, and weighs the duty to watch anew.
     fn tell(&mut self) {
-        let members = self.gossip.members();
+        let members = self.gossip.membership();
         let live = members.live();
         self.parts
             .recorder
@@ -267,7 +267,7 @@
         let now = self.parts.clock.now();
         let watchers = members.candidates_in(now, watcher::SUBJECT, usize::MAX, &me.domain);
         let place = watchers.iter().position(|peer| peer.vm == me.vm);
-        let size = members.size();
+        let size = members.fleet_size();
         let _ = self
             .parts
             .tasks
@@ -285,7 +285,10 @@
             .tasks
             .owners
             .unbounded_send(owners::Message::Fleet(fleet));
-        self.watch(watcher::Event::Duty { place, size });
+        self.watch(watcher::Event::Role {
+            rank: place,
+            fleet_size: size,
+        });
     }
 
     fn documents(&self) -> IndexMap<ServiceId, Version> {
@@ -299,15 +302,15 @@
     /// Returns whether this process knows what is in force: the platform told it, or it agrees with
     /// a peer.
     fn is_joined(&self) -> bool {
-        self.watcher.is_reached() == Some(true) || self.gossip.store().agreed() > 0
+        self.watcher.is_reachable() == Some(true) || self.gossip.store().synced_peers() > 0
     }
 
     fn status(&self) -> Status {
         Status {
-            members: self.gossip.members().members(),
+            members: self.gossip.membership().members(),
             documents: self.documents(),
-            is_watcher: self.watcher.is_on_duty(),
-            is_reached: self.watcher.is_reached(),
+            is_watcher: self.watcher.is_active(),
+            is_reached: self.watcher.is_reachable(),
             asked: self.watcher.counts(),
         }
     }
--- a/src/vm/news/service.rs
+++ b/src/vm/news/service.rs
@@ -32,8 +32,8 @@
                 watcher::Effect::Watch(since) => self.list(Some(since)),
                 watcher::Effect::Read(change) => self.read(change),
                 watcher::Effect::Removed(change) => self.removed(&change),
-                watcher::Effect::Mark => self.mark(),
-                watcher::Effect::Reached(is_reached) => {
+                watcher::Effect::Heartbeat => self.mark(),
+                watcher::Effect::Reachable(is_reached) => {
                     let kind = if is_reached {
                         timeline::Kind::PlatformBack
                     } else {
@@ -57,8 +57,8 @@
             let event = match (listing, since) {
                 (Ok(listing), None) => watcher::Event::Listed(changes(listing)),
                 (Ok(listing), Some(_)) => watcher::Event::Watched(changes(listing)),
-                (Err(_), None) => watcher::Event::Failed(watcher::Asked::List),
-                (Err(_), Some(_)) => watcher::Event::Failed(watcher::Asked::Watch),
+                (Err(_), None) => watcher::Event::Failed(watcher::Call::List),
+                (Err(_), Some(_)) => watcher::Event::Failed(watcher::Call::Watch),
             };
             let _ = news.unbounded_send(Message::Platform(event));
         })
@@ -77,7 +77,7 @@
                 // Deleted meanwhile; the watch tells of that too.
                 Ok(None) => Message::Platform(watcher::Event::Read(change)),
                 Err(_) => {
-                    let asked = watcher::Asked::Read(change.key);
+                    let asked = watcher::Call::Read(change.key);
                     Message::Platform(watcher::Event::Failed(asked))
                 }
             };
@@ -102,10 +102,10 @@
 
     /// Tells the fleet that this failure domain has a watcher that hears the platform.
     pub(super) fn mark(&mut self) {
-        let name = self.gossip.members().me().domain.clone();
+        let name = self.gossip.membership().me().domain.clone();
         let id = Id::new(Kind::Watch, name);
         let version = self.gossip.store().version(&id).unwrap_or(0) + 1;
-        let item = Item::new(id, version, Vec::new()).lasting(WATCH_KEPT);
+        let item = Item::new(id, version, Vec::new()).with_ttl(WATCH_KEPT);
         self.feed(Event::Put(item));
     }
 
@@ -122,8 +122,8 @@
     pub(super) fn listed(&mut self, list: Option<Vec<platform::ListedVm>>) {
         self.is_listing = false;
         let suspects = |update: &Update| update.standing == Standing::Suspect;
-        let misses = self.gossip.members().members().iter().any(suspects);
-        let is_short = self.watcher.is_on_duty() || misses;
+        let misses = self.gossip.membership().members().iter().any(suspects);
+        let is_short = self.watcher.is_active() || misses;
         let period = if is_short {
             LIST_PERIOD_SHORT
         } else {
--- a/src/watcher/message.rs
+++ b/src/watcher/message.rs
@@ -33,11 +33,11 @@
     Tick,
     /// This VM's place among the watchers of its failure domain, from 0, or none; and the size of
     /// the fleet, as membership estimates it.
-    Duty {
+    Role {
         /// The place.
-        place: Option<usize>,
+        rank: Option<usize>,
         /// The size.
-        size: usize,
+        fleet_size: usize,
     },
     /// [`Effect::List`] was answered.
     Listed(Listing),
@@ -46,11 +46,11 @@
     /// [`Effect::Read`] was answered, and the value was put into the store.
     Read(Change),
     /// A list, watch or read failed.
-    Failed(Asked),
+    Failed(Call),
     /// This version of a key of the platform is held, from whatever source.
-    Held(Change),
+    Stored(Change),
     /// A watcher of some failure domain, this one too, said that it hears from the platform.
-    Mark {
+    Heartbeat {
         /// Whether it is of this VM's own failure domain.
         own: bool,
     },
@@ -58,7 +58,7 @@
 
 /// What was asked of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Call {
     /// The keys.
     List,
     /// The changes.
@@ -79,9 +79,9 @@
     /// The key was deleted at a revision: put a tombstone into the store.
     Removed(Change),
     /// Say that this failure domain's watchers hear from the platform.
-    Mark,
+    Heartbeat,
     /// The platform began to answer (`true`) or to fail (`false`), for the log.
-    Reached(bool),
+    Reachable(bool),
 }
 
 /// The times and bounds of a watcher.
--- a/src/watcher/mod.rs
+++ b/src/watcher/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use crate::id::Version;
-pub use crate::watcher::message::{Asked, Change, Counts, Effect, Event, Listing, Timing};
+pub use crate::watcher::message::{Call, Change, Counts, Effect, Event, Listing, Timing};
 use indexmap::{IndexMap, IndexSet};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
@@ -56,7 +56,7 @@
 /// use bramleypier::watcher::{Effect, Event, Timing, Watcher};
 ///
 /// let mut watcher = Watcher::new(Timing::default(), 7);
-/// let duty = Event::Duty { place: Some(0), size: 3 };
+/// let duty = Event::Role { rank: Some(0), fleet_size: 3 };
 /// assert_eq!(watcher.on(Duration::ZERO, duty), [Effect::List]);
 /// ```
 #[derive(Debug)]
@@ -84,7 +84,7 @@
     /// ```
     /// use bramleypier::watcher::{Timing, Watcher};
     ///
-    /// assert!(!Watcher::new(Timing::default(), 7).is_on_duty());
+    /// assert!(!Watcher::new(Timing::default(), 7).is_active());
     /// ```
     pub fn new(timing: Timing, seed: u64) -> Self {
         Self {
@@ -120,24 +120,24 @@
         let mut effects = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut effects),
-            Event::Duty { place, size } => self.duty(now, place, size, &mut effects),
+            Event::Role { rank, fleet_size } => self.duty(now, rank, fleet_size, &mut effects),
             Event::Listed(listing) => self.listed(now, listing, &mut effects),
             Event::Watched(listing) => self.watched(now, listing, &mut effects),
             Event::Read(change) => self.read(now, &change, &mut effects),
             Event::Failed(asked) => self.failed(now, &asked, &mut effects),
-            Event::Held(change) => self.note(change),
-            Event::Mark { own } => self.mark(now, own),
+            Event::Stored(change) => self.note(change),
+            Event::Heartbeat { own } => self.mark(now, own),
         }
         effects
     }
 
     /// Returns whether this VM watches for its failure domain.
-    pub fn is_on_duty(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.place.is_some()
     }
 
     /// Returns whether the platform answered the last call; `None` before the first.
-    pub fn is_reached(&self) -> Option<bool> {
+    pub fn is_reachable(&self) -> Option<bool> {
         self.reached
     }
 
@@ -186,7 +186,7 @@
         let hears = self.place.is_some() && self.reached == Some(true);
         if hears && now >= self.marked + self.timing.mark {
             self.mark(now, true);
-            effects.push(Effect::Mark);
+            effects.push(Effect::Heartbeat);
         }
     }
 
@@ -339,21 +339,21 @@
     }
 
     /// Backs off after a failure.
-    fn failed(&mut self, now: Duration, asked: &Asked, effects: &mut Vec<Effect>) {
+    fn failed(&mut self, now: Duration, asked: &Call, effects: &mut Vec<Effect>) {
         self.counts.failures += 1;
         self.reach(false, effects);
         let wait = self.back_off();
         match asked {
-            Asked::Read(key) => {
+            Call::Read(key) => {
                 if let Some(due) = self.due.get_mut(key) {
                     due.running = false;
                     due.at = now + wait;
                 }
             }
-            Asked::List | Asked::Watch if self.place.is_some() => {
+            Call::List | Call::Watch if self.place.is_some() => {
                 self.phase = Phase::Waiting(now + wait);
             }
-            Asked::List | Asked::Watch => self.phase = Phase::Idle,
+            Call::List | Call::Watch => self.phase = Phase::Idle,
         }
     }
 
@@ -376,7 +376,7 @@
     /// Notes whether the platform answers, and says so when that changed.
     fn reach(&mut self, reached: bool, effects: &mut Vec<Effect>) {
         if self.reached.replace(reached) != Some(reached) {
-            effects.push(Effect::Reached(reached));
+            effects.push(Effect::Reachable(reached));
         }
     }
 }
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -168,7 +168,7 @@
 
     /// Returns a process as its peers know it.
     pub fn peer(&self, number: usize) -> Peer {
-        self.nodes[number].gossip.members().me().clone()
+        self.nodes[number].gossip.membership().me().clone()
     }
 
     /// Returns the numbers of the processes that run.
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -118,7 +118,7 @@
     let list: Vec<Listed> = running.iter().map(listed).collect();
     for number in running {
         let me = fleet.peer(number);
-        let members = fleet.nodes[number].gossip.members();
+        let members = fleet.nodes[number].gossip.membership();
         let watchers = members.candidates_in(fleet.now, watcher::SUBJECT, 2, &me.domain);
         if watchers.contains(&me) {
             fleet.put(number, Event::List(list.clone()));
@@ -130,7 +130,7 @@
 fn agreed(fleet: &Fleet) -> Result<(), String> {
     let running = fleet.running();
     for a in &running {
-        let members = fleet.nodes[*a].gossip.members();
+        let members = fleet.nodes[*a].gossip.membership();
         let mut live: Vec<Peer> = members.live();
         let mut expected: Vec<Peer> = running.iter().map(|b| fleet.peer(*b)).collect();
         live.sort_by(|x, y| x.vm.cmp(&y.vm));
@@ -141,7 +141,7 @@
     }
     let digests = running
         .iter()
-        .map(|it| fleet.nodes[*it].gossip.members().digest());
+        .map(|it| fleet.nodes[*it].gossip.membership().digest());
     let mut digests: Vec<u64> = digests.collect();
     digests.dedup();
     if digests.len() > 1 {
@@ -156,7 +156,7 @@
     for op in ops {
         apply(&mut fleet, op);
         for node in &fleet.nodes {
-            let held = node.gossip.members().held();
+            let held = node.gossip.membership().member_count();
             if held > 2 * (3 * 32 + 32) {
                 return Err(format!("{held} members held"));
             }
@@ -232,7 +232,7 @@
     fleet.restart(4);
     fleet.run(SECOND);
     for number in fleet.running() {
-        assert!(!fleet.nodes[number].gossip.members().is_live(&old));
+        assert!(!fleet.nodes[number].gossip.membership().is_live(&old));
     }
     fleet.crash(4);
     fleet.run(4 * SECOND);
@@ -261,7 +261,7 @@
         fleet.run(7 * SECOND);
     }
     let now = fleet.now;
-    let members = fleet.nodes[0].gossip.members();
+    let members = fleet.nodes[0].gossip.membership();
     let offers = |now| {
         let candidates = members.candidates(now, "group-1", 4, None);
         candidates.iter().any(|it| it.vm == "vm-2#0")
@@ -276,7 +276,7 @@
     let mut fleet = new_fleet(9, 2);
     fleet.run(5 * SECOND);
     let chosen = |number: usize, outside| {
-        let members = fleet.nodes[number].gossip.members();
+        let members = fleet.nodes[number].gossip.membership();
         members.candidates(fleet.now, "group-1", 3, outside)
     };
     let mut domains: Vec<String> = chosen(0, None).into_iter().map(|it| it.domain).collect();
@@ -300,7 +300,7 @@
     fleet.run(3 * SECOND);
     fleet.put(3, Event::Leave);
     fleet.run(2 * SECOND);
-    let members = fleet.nodes[0].gossip.members();
+    let members = fleet.nodes[0].gossip.membership();
     assert!(members.is_live("vm-3#0"));
     assert_eq!(members.live().len(), 5);
     assert_eq!(members.candidates(fleet.now, "x", 9, None).len(), 4);
@@ -308,7 +308,7 @@
     fleet.run(200 * MILLIS);
     fleet.crash(3);
     fleet.run(SECOND);
-    let members = fleet.nodes[0].gossip.members();
+    let members = fleet.nodes[0].gossip.membership();
     assert_eq!(members.standing("vm-3#0"), Some(Standing::Left));
     assert_eq!(agreed(&fleet), Ok(()));
 }
@@ -334,8 +334,8 @@
     fleet.run(5 * SECOND);
     apply(&mut fleet, &Op::Split(2));
     fleet.run(6 * SECOND);
-    assert!(fleet.nodes[0].gossip.members().is_minority());
-    assert!(!fleet.nodes[4].gossip.members().is_minority());
+    assert!(fleet.nodes[0].gossip.membership().is_minority());
+    assert!(!fleet.nodes[4].gossip.membership().is_minority());
 }
 
 /// Views bounded far below the fleet's size, so that the bounds matter at a size that runs fast.
@@ -349,7 +349,7 @@
 }
 
 fn choices(fleet: &Fleet, number: usize) -> Vec<Peer> {
-    let members = fleet.nodes[number].gossip.members();
+    let members = fleet.nodes[number].gossip.membership();
     members.candidates(fleet.now, "group-1", 6, None)
 }
 
@@ -360,8 +360,8 @@
     for round in 0..2 {
         let first = choices(&fleet, 0);
         for number in fleet.running() {
-            let members = fleet.nodes[number].gossip.members();
-            assert!(members.held() <= 3 * 4 + 8 + 3 * 4 + 8);
+            let members = fleet.nodes[number].gossip.membership();
+            assert!(members.member_count() <= 3 * 4 + 8 + 3 * 4 + 8);
             assert_eq!(choices(&fleet, number), first, "round {round} at {number}");
         }
         let lost: Vec<usize> = first.iter().map(number).filter(|it| *it != 0).collect();
@@ -435,6 +435,6 @@
 fn the_size_of_a_fleet_beyond_the_view_is_estimated() {
     let mut fleet = bounded(60, 6);
     fleet.run(20 * SECOND);
-    let size = fleet.nodes[5].gossip.members().size();
+    let size = fleet.nodes[5].gossip.membership().fleet_size();
     assert!((30..120).contains(&size), "{size}");
 }
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -8,7 +8,7 @@
     gossip::Event,
     membership::Timing,
     spread::{self, Content, Effect, Id, Item, Kind, Limits, Message, Store},
-    watcher::{self, Asked, Change, Listing, Watcher},
+    watcher::{self, Call, Change, Listing, Watcher},
 };
 use fleet::{Faults, Flaw, Fleet};
 use proptest::{
@@ -199,7 +199,7 @@
     fleet.run(2 * SECOND);
     let gossip = &fleet.nodes[4].gossip;
     assert_eq!(gossip.store().version(&id(0)), Some(9));
-    assert!(gossip.store().agreed() > 0);
+    assert!(gossip.store().synced_peers() > 0);
     let agreement = gossip.agreement(fleet.now, 2 * SECOND);
     assert!(agreement.heard > 0 && agreement.differ.is_empty());
 }
@@ -220,14 +220,14 @@
 fn two_that_hold_nothing_learn_nothing_by_agreeing() {
     let mut fleet = Fleet::new(2, 1, Timing::default(), Limits::default(), 4);
     fleet.run(3 * SECOND);
-    assert_eq!(fleet.nodes[0].gossip.store().agreed(), 0);
+    assert_eq!(fleet.nodes[0].gossip.store().synced_peers(), 0);
     fleet.put(0, Event::Put(Item::new(id(0), 9, value(9, 10))));
     fleet.run(3 * SECOND);
-    assert_eq!(fleet.nodes[1].gossip.store().agreed(), 1);
+    assert_eq!(fleet.nodes[1].gossip.store().synced_peers(), 1);
 }
 
 fn lasting(name: &str, version: u64, seconds: u32) -> Item {
-    Item::new(Id::new(Kind::Suspect, name), version, vec![1]).lasting(SECOND * seconds)
+    Item::new(Id::new(Kind::Suspect, name), version, vec![1]).with_ttl(SECOND * seconds)
 }
 
 #[test]
@@ -251,7 +251,7 @@
 #[test]
 fn an_unwanted_big_value_is_known_by_its_version_alone() {
     let mut store = Store::new(Limits::default());
-    store.leave_out(Kind::Record);
+    store.skip_values(Kind::Record);
     let item = Item {
         id: Id::new(Kind::Record, "tracking/0"),
         version: 7,
@@ -282,9 +282,9 @@
 
 fn on_duty(place: usize) -> Watcher {
     let mut watcher = Watcher::new(watcher::Timing::default(), 1);
-    let duty = watcher::Event::Duty {
-        place: Some(place),
-        size: 12,
+    let duty = watcher::Event::Role {
+        rank: Some(place),
+        fleet_size: 12,
     };
     assert_eq!(watcher.on(SECOND, duty), [watcher::Effect::List]);
     watcher
@@ -300,7 +300,7 @@
     };
     let effects = watcher.on(SECOND, Happens::Listed(listing(5, &[("doc", 4)])));
     let expected = [
-        Wants::Reached(true),
+        Wants::Reachable(true),
         Wants::Read(change(4)),
         Wants::Watch(5),
     ];
@@ -321,7 +321,7 @@
         watcher.on(SECOND, Happens::Listed(listing(5, &[("doc", 4)])));
         if brought {
             let change = listing(5, &[("doc", 4)]).keys.remove(0);
-            watcher.on(SECOND, Happens::Held(change));
+            watcher.on(SECOND, Happens::Stored(change));
         }
         let effects = watcher.on(3 * SECOND, Happens::Tick);
         let count = effects.iter().filter(|it| matches!(it, Wants::Read(_)));
@@ -334,22 +334,22 @@
     use watcher::{Effect as Wants, Event as Happens};
     let mut watcher = on_duty(0);
     watcher.on(SECOND, Happens::Listed(listing(5, &[])));
-    watcher.on(SECOND, Happens::Failed(Asked::Watch));
-    assert_eq!(watcher.is_reached(), Some(false));
+    watcher.on(SECOND, Happens::Failed(Call::Watch));
+    assert_eq!(watcher.is_reachable(), Some(false));
     let mut asked = 0;
     for tenth in 10..6_010 {
         let now = Duration::from_millis(100) * tenth;
         let effects = watcher.on(now, Happens::Tick);
         if effects.contains(&Wants::List) {
             asked += 1;
-            watcher.on(now, Happens::Failed(Asked::List));
+            watcher.on(now, Happens::Failed(Call::List));
         }
     }
     assert!((60..200).contains(&asked), "{asked} lists in ten minutes");
     let wakes = watcher.on(700 * SECOND, Happens::Tick);
     assert_eq!(wakes, [Wants::List]);
     let effects = watcher.on(700 * SECOND, Happens::Listed(listing(6, &[])));
-    assert_eq!(effects, [Wants::Reached(true), Wants::Watch(6)]);
+    assert_eq!(effects, [Wants::Reachable(true), Wants::Watch(6)]);
 }
 
 #[test]
@@ -359,12 +359,18 @@
     let mut lists = 0;
     for seed in 0..100 {
         let mut watcher = Watcher::new(watcher::Timing::default(), seed);
-        watcher.on(SECOND, Happens::Duty { place: None, size });
+        watcher.on(
+            SECOND,
+            Happens::Role {
+                rank: None,
+                fleet_size: size,
+            },
+        );
         for second in 1..=600 {
             let effects = watcher.on(SECOND * second, Happens::Tick);
             if effects.contains(&Wants::List) {
                 lists += 1;
-                watcher.on(SECOND * second, Happens::Failed(Asked::List));
+                watcher.on(SECOND * second, Happens::Failed(Call::List));
             }
         }
     }
