--- a/src/entry/demand.rs
+++ b/src/entry/demand.rs
@@ -9,11 +9,11 @@
 use crate::{balance::Load, key::Point, range::Range};
 
 /// How many points are counted at a time.
-pub const POINTS: usize = 512;
+pub const MAX_POINTS: usize = 512;
 /// The part of a group's requests from which a point is told apart from its range.
-const HOT: f64 = 0.005;
+const HOT_SHARE: f64 = 0.005;
 /// What is left of the counts after each reading, so that they follow what changes.
-const KEPT: f64 = 0.7;
+const DECAY_FACTOR: f64 = 0.7;
 
 /// The demand on one group.
 ///
@@ -50,7 +50,7 @@
         *self.ranges.entry(range).or_default() += 1.0;
         if let Some(count) = self.points.get_mut(&point) {
             *count += 1.0;
-        } else if self.points.len() < POINTS {
+        } else if self.points.len() < MAX_POINTS {
             self.points.insert(point, 1.0);
         } else {
             self.points.retain(|_, count| {
@@ -71,29 +71,29 @@
     /// ```
     pub fn read(&mut self) -> Vec<Load> {
         let total: f64 = self.ranges.values().sum();
-        let least = (total * HOT).max(1.0);
-        let hot = self.points.iter().filter(|(_, count)| **count > least);
+        let threshold = (total * HOT_SHARE).max(1.0);
+        let hot = self.points.iter().filter(|(_, count)| **count > threshold);
         let mut hot: Vec<(Point, f64)> = hot.map(|(point, count)| (*point, *count)).collect();
         hot.sort_by_key(|(point, _)| *point);
         let ranges = self.ranges.iter();
-        let loads = ranges.flat_map(|(range, count)| pieces(*range, *count, &hot));
+        let loads = ranges.flat_map(|(range, count)| split_load(*range, *count, &hot));
         let loads = loads.collect();
-        self.fade();
+        self.decay();
         loads
     }
 
-    fn fade(&mut self) {
-        let fade = |count: &mut f64| {
-            *count *= KEPT;
+    fn decay(&mut self) {
+        let decay = |count: &mut f64| {
+            *count *= DECAY_FACTOR;
             *count >= 1.0
         };
-        self.ranges.retain(|_, count| fade(count));
-        self.points.retain(|_, count| fade(count));
+        self.ranges.retain(|_, count| decay(count));
+        self.points.retain(|_, count| decay(count));
     }
 }
 
 /// Divides a range's load into its hot points and what lies between them.
-fn pieces(range: Range, count: f64, hot: &[(Point, f64)]) -> Vec<Load> {
+fn split_load(range: Range, count: f64, hot: &[(Point, f64)]) -> Vec<Load> {
     let inside = hot.iter().filter(|(point, _)| range.contains(*point));
     let inside: Vec<&(Point, f64)> = inside.collect();
     let hottest: f64 = inside.iter().map(|(_, count)| count).sum();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -32,7 +32,7 @@
 
 /// The largest answer that is read whole before its head goes to the caller, in bytes: up to
 /// here a cut answer can be asked for again, or be told as an error with a status.
-const WHOLE_ANSWER: u64 = 64 * 1024;
+const BUFFERED_ANSWER_BYTES: u64 = 64 * 1024;
 
 /// A target's answer, with the right to the slot that it still holds.
 #[derive(Debug)]
@@ -50,13 +50,13 @@
 /// # Errors
 ///
 /// The final word, when no target answered.
-pub async fn plain(
+pub async fn send_idempotent(
     context: &Context,
     attempt: Attempt<Received>,
     job: Job,
     body: Incoming,
 ) -> Result<Response<Body>, Verdict> {
-    let payload = payload::any(context, &attempt, &job, body).await?;
+    let payload = payload::read(context, &attempt, &job, body).await?;
     let answered = run(context, attempt.admit(), &job, payload).await?;
     Ok(answered.response)
 }
@@ -69,13 +69,13 @@
 /// # Errors
 ///
 /// The final word, when no target answered.
-pub async fn order(
+pub async fn send_order(
     context: &Context,
     attempt: Attempt<Received>,
     job: Job,
     body: Incoming,
 ) -> Result<Response<Body>, Verdict> {
-    let bytes = payload::whole(context, &attempt, &job, body).await?;
+    let bytes = payload::read_whole(context, &attempt, &job, body).await?;
     let (sender, receiver) = oneshot::channel();
     let context = context.clone();
     compio::runtime::spawn(async move {
@@ -102,54 +102,54 @@
     job: &Job,
     mut payload: Payload,
 ) -> Result<Answered, Verdict> {
-    let print = payload.print(job);
+    let fingerprint = payload.fingerprint(job);
     let since = context.clock.now();
     let mut admitted = attempt;
     let mut history = History::default();
     loop {
-        let permit = ticket::admit(context, job, print, since, &history, admitted.proof())
+        let permit = ticket::admit(context, job, fingerprint, since, &history, admitted.proof())
             .await
-            .map_err(|verdict| history.judge(verdict))?;
+            .map_err(|verdict| history.final_verdict(verdict))?;
         let started = admitted.start(&permit.target);
         // A body that streams is there for one attempt; the loop ends before a second.
         let body = payload.take().unwrap_or_else(Body::empty);
         match send(context, job, started, permit, body).await {
-            Ended::Answered(answered) => return Ok(answered),
-            Ended::Refused(next, refusal, permit) => {
+            AttemptResult::Answered(answered) => return Ok(answered),
+            AttemptResult::Refused(next, refusal, permit) => {
                 history.refused(&permit, &refusal);
                 permit.finish(Report::Refused(refusal));
                 admitted = next;
             }
-            Ended::Unsent(next, error, permit) => {
+            AttemptResult::Unsent(next, error, permit) => {
                 history.unsent(&permit, &error);
                 permit.finish(Report::Unsent(error.is_refused()));
                 admitted = next;
             }
-            Ended::Lost(verdict, permit) => {
+            AttemptResult::Lost(verdict, permit) => {
                 history.lost(&permit, verdict.clone());
                 permit.finish(Report::Lost);
-                if !job.plan.idempotent || !payload.is_left() {
+                if !job.policy.idempotent || !payload.is_sendable() {
                     return Err(verdict);
                 }
                 admitted = Attempt::new().admit();
             }
         }
-        if !payload.is_left() {
-            return Err(history.judge(spent(&admitted, &history)));
+        if !payload.is_sendable() {
+            return Err(history.final_verdict(consumed_body_verdict(&admitted, &history)));
         }
     }
 }
 
 /// Gives up a request whose body has streamed to a target that did not take it.
-fn spent(admitted: &Attempt<Admitted>, history: &History) -> Verdict {
+fn consumed_body_verdict(admitted: &Attempt<Admitted>, history: &History) -> Verdict {
     let last = history.last.as_ref();
     let (peer, reason) = last.map_or(("self", ""), |last| (&*last.target, &*last.reason));
     let verdict = Verdict::not_run(&admitted.proof(), 503, Step::Send, peer, reason);
-    verdict.retry_after(ticket::COME_BACK)
+    verdict.retry_after(ticket::DEFAULT_RETRY_AFTER)
 }
 
 /// How one attempt ended.
-enum Ended {
+enum AttemptResult {
     Answered(Answered),
     Refused(Attempt<Admitted>, Refusal, Permit),
     Unsent(Attempt<Admitted>, client::Error, Permit),
@@ -163,10 +163,10 @@
     started: Attempt<Started>,
     permit: Permit,
     body: Body,
-) -> Ended {
+) -> AttemptResult {
     let Some(left) = job.deadline.remaining(context.clock.now()) else {
         let verdict = Verdict::unknown(504, Step::Deadline, &permit.target, "the deadline passed");
-        return Ended::Lost(verdict, permit);
+        return AttemptResult::Lost(verdict, permit);
     };
     let work = Work {
         method: job.head.method.clone(),
@@ -178,26 +178,26 @@
         epoch: permit.epoch,
         left,
     };
-    let mut cancel = Cancel::new(context, permit.address, work.attempt.clone());
-    let lapse = ticket::lapse(
+    let mut cancel = CancelGuard::new(context, permit.address, work.attempt.clone());
+    let expired = ticket::lease_expired(
         context.clone(),
         job.call.service.clone(),
         job.call.point,
         permit.lease.clone(),
     );
     let sending = Box::pin(context.sender.send(permit.address, &work, body));
-    let result = match future::select(sending, Box::pin(lapse)).await {
+    let result = match future::select(sending, Box::pin(expired)).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => {
             let reason = "the lease to send to the target lapsed";
             let verdict = Verdict::unknown(502, Step::Grant, &permit.target, reason);
-            return Ended::Lost(verdict, permit);
+            return AttemptResult::Lost(verdict, permit);
         }
     };
     match result {
         Ok(response) => {
             let ended = classify(context, job, started, permit, response, &mut cancel).await;
-            if !matches!(ended, Ended::Lost(..)) {
+            if !matches!(ended, AttemptResult::Lost(..)) {
                 cancel.disarm();
             }
             ended
@@ -206,20 +206,24 @@
             if error.unsent() {
                 cancel.disarm();
             }
-            failed(started, permit, error)
+            classify_error(started, permit, error)
         }
     }
 }
 
 /// Classifies a failure to send.
-fn failed(started: Attempt<Started>, permit: Permit, error: client::Error) -> Ended {
+fn classify_error(
+    started: Attempt<Started>,
+    permit: Permit,
+    error: client::Error,
+) -> AttemptResult {
     if let Ok(admitted) = started.failed(&error) {
-        return Ended::Unsent(admitted, error, permit);
+        return AttemptResult::Unsent(admitted, error, permit);
     }
-    let late = matches!(error, client::Error::Timeout(..));
-    let status = if late { 504 } else { 502 };
+    let is_timeout = matches!(error, client::Error::Timeout(..));
+    let status = if is_timeout { 504 } else { 502 };
     let verdict = Verdict::unknown(status, Step::Answer, &permit.target, &error.to_string());
-    Ended::Lost(verdict, permit)
+    AttemptResult::Lost(verdict, permit)
 }
 
 /// Classifies the head of an answer, and reads small answers whole.
@@ -229,42 +233,42 @@
     started: Attempt<Started>,
     permit: Permit,
     response: Response<Incoming>,
-    cancel: &mut Cancel,
-) -> Ended {
+    cancel: &mut CancelGuard,
+) -> AttemptResult {
     match answer::read(response.status(), response.headers()) {
         Answer::Refused(refusal) => {
             let admitted = started.refused(&refusal);
-            Ended::Refused(admitted, refusal, permit)
+            AttemptResult::Refused(admitted, refusal, permit)
         }
         Answer::Unknown => {
             let reason = "the target doesn't know";
             let verdict = Verdict::unknown(502, Step::Answer, &permit.target, reason);
-            Ended::Lost(verdict, permit)
+            AttemptResult::Lost(verdict, permit)
         }
-        Answer::Ran => ran(context, job, started, permit, response, cancel).await,
+        Answer::Ran => pass_on_answer(context, job, started, permit, response, cancel).await,
     }
 }
 
 /// Passes on an answer of work that ran.
-async fn ran(
+async fn pass_on_answer(
     context: &Context,
     job: &Job,
     started: Attempt<Started>,
     permit: Permit,
     response: Response<Incoming>,
-    cancel: &mut Cancel,
-) -> Ended {
+    cancel: &mut CancelGuard,
+) -> AttemptResult {
     let (mut head, body) = response.into_parts();
     let target = permit.target.clone();
     let outcome = started.answered().outcome();
     reply::pass_on(&mut head.headers, &target);
-    permit.head(head.status);
+    permit.report_head(head.status);
     let size = body.size_hint().exact();
     let is_head = job.head.method == http::Method::HEAD;
-    if !is_head && size.is_none_or(|size| size > WHOLE_ANSWER) {
+    if !is_head && size.is_none_or(|size| size > BUFFERED_ANSWER_BYTES) {
         let body = ResponseBody::new(context, job, body, permit, cancel.take());
         let response = Response::from_parts(head, Body::stream(body));
-        return Ended::Answered(Answered {
+        return AttemptResult::Answered(Answered {
             response,
             target,
             outcome,
@@ -277,7 +281,7 @@
             }
             permit.finish(Report::Answered(head.status));
             let response = Response::from_parts(head, Body::from(bytes));
-            Ended::Answered(Answered {
+            AttemptResult::Answered(Answered {
                 response,
                 target,
                 outcome,
@@ -285,7 +289,7 @@
         }
         Err(reason) => {
             let verdict = Verdict::unknown(502, Step::Answer, &target, reason);
-            Ended::Lost(verdict, permit)
+            AttemptResult::Lost(verdict, permit)
         }
     }
 }
@@ -295,7 +299,7 @@
         .deadline
         .remaining(context.clock.now())
         .unwrap_or_default();
-    let limit = usize::try_from(WHOLE_ANSWER).unwrap_or(usize::MAX);
+    let limit = usize::try_from(BUFFERED_ANSWER_BYTES).unwrap_or(usize::MAX);
     match context.clock.timeout(left, body::read(body, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
         Ok(Err(_)) => Err("the answer was cut short"),
@@ -305,7 +309,7 @@
 
 /// Tells the target that nobody waits any more, unless it is disarmed first.
 #[derive(Debug)]
-pub struct Cancel {
+pub struct CancelGuard {
     armed: Option<Armed>,
 }
 
@@ -316,7 +320,7 @@
     attempt: String,
 }
 
-impl Cancel {
+impl CancelGuard {
     fn new(context: &Context, address: SocketAddr, attempt: String) -> Self {
         Self {
             armed: Some(Armed {
@@ -341,7 +345,7 @@
     }
 }
 
-impl Drop for Cancel {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         let Some(armed) = self.armed.take() else {
             return;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -49,7 +49,7 @@
     pub vm: VmId,
     /// Asks the router.
     pub router: mpsc::UnboundedSender<ticket::Message>,
-    /// Asks the desk for orders.
+    /// Sends messages to the task for orders.
     pub orders: mpsc::UnboundedSender<orders::Message>,
     /// Sends work to targets.
     pub sender: target::Sender,
@@ -88,7 +88,7 @@
     /// The caller's method and headers.
     pub head: Parts,
     /// What the service's document says of it.
-    pub plan: ticket::Plan,
+    pub policy: ticket::RequestPolicy,
     /// When it must have ended.
     pub deadline: Deadline,
 }
@@ -166,17 +166,17 @@
     let (head, body) = request.into_parts();
     let proof = attempt.proof();
     let call = Call::read(&head).map_err(|error| error.verdict(&proof))?;
-    let (call, plan) = ticket::classify(context, call, proof).await?;
-    let deadline = Deadline::new(context.clock.now(), call.wait, plan.longest);
+    let (call, policy) = ticket::classify(context, call, proof).await?;
+    let deadline = Deadline::new(context.clock.now(), call.timeout, policy.max_deadline);
     let job = Job {
         call,
         head,
-        plan,
+        policy,
         deadline,
     };
-    if job.plan.idempotent {
-        forward::plain(context, attempt, job, body).await
+    if job.policy.idempotent {
+        forward::send_idempotent(context, attempt, job, body).await
     } else {
-        forward::order(context, attempt, job, body).await
+        forward::send_order(context, attempt, job, body).await
     }
 }
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -30,11 +30,11 @@
 /// How often the task is woken.
 const TICK: Duration = Duration::from_millis(50);
 /// The largest answer that is kept with an outcome, in bytes.
-const KEPT_ANSWER: usize = 4 * 1024;
+const STORED_ANSWER_BYTES: usize = 4 * 1024;
 /// How long a caller is asked to wait before it asks again for an outcome.
-const COME_BACK: Duration = Duration::from_millis(500);
+const OUTCOME_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// Who is named when no target is to blame.
-const SELF: &str = "orders";
+const ORDERS_PEER: &str = "orders";
 
 /// A message to the desk.
 #[derive(Debug)]
@@ -84,13 +84,13 @@
     ledger: Ledger,
     starter: Starter,
     fleet: Option<Fleet>,
-    judge: Gone,
+    detector: Gone,
     gone: IndexSet<VmId>,
     version: Version,
     views: Views,
-    is_leaving: bool,
+    is_draining: bool,
     next_token: u64,
-    waiting: IndexMap<u64, oneshot::Sender<(u64, Decision)>>,
+    pending: IndexMap<u64, oneshot::Sender<(u64, Decision)>>,
 }
 
 impl OrderTask {
@@ -99,15 +99,15 @@
         Self {
             ledger: Ledger::new(&parts.me.vm, parts.memory),
             starter: Starter::new(&parts.me.vm),
-            judge: Gone::new(parts.timing.list_lag),
+            detector: Gone::new(parts.timing.list_lag),
             parts,
             fleet: None,
             gone: IndexSet::new(),
             version: 0,
             views: Views::default(),
-            is_leaving: false,
+            is_draining: false,
             next_token: 0,
-            waiting: IndexMap::new(),
+            pending: IndexMap::new(),
         }
     }
 
@@ -127,17 +127,17 @@
             Message::Tick => self.tick(),
             Message::Fleet(fleet) => {
                 self.fleet = Some(fleet);
-                self.tell_peers();
+                self.update_peers();
             }
             Message::Listed(list) => self.listed(&list),
             Message::Views(version, bytes) => self.views(version, &bytes),
-            Message::NoViews => self.tell_views(),
+            Message::NoViews => self.apply_views(),
             Message::Peer(from, message) => self.peer(from, message),
             Message::Begin { order, left, reply } => self.begin(order, left, reply),
             Message::Ended(token, end) => self.starter(starter::Event::Ended { token, end }),
             Message::Leave => {
-                self.is_leaving = true;
-                self.tell_peers();
+                self.is_draining = true;
+                self.update_peers();
             }
             Message::Idle(reply) => {
                 let _ = reply.send(Idle {
@@ -156,13 +156,13 @@
         self.parts.recorder.set(&metrics::ORDERS_HELD, held as u64);
         // A caller that no longer waits needs no decision.
         let left: Vec<u64> = self
-            .waiting
+            .pending
             .iter()
             .filter(|(_, reply)| reply.is_canceled())
             .map(|(token, _)| *token)
             .collect();
         for token in left {
-            self.waiting.swap_remove(&token);
+            self.pending.swap_remove(&token);
             self.starter(starter::Event::Cancelled { token });
         }
     }
@@ -170,7 +170,7 @@
     fn begin(&mut self, order: Order, left: Duration, reply: oneshot::Sender<(u64, Decision)>) {
         self.next_token += 1;
         let token = self.next_token;
-        self.waiting.insert(token, reply);
+        self.pending.insert(token, reply);
         let deadline = self.parts.clock.now() + left;
         self.starter(starter::Event::Begin {
             token,
@@ -197,14 +197,14 @@
         let named: IndexSet<VmId> = members.cloned().collect();
         let live = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.live);
         let now = self.parts.clock.now();
-        let gone = self.judge.of(now, &named, list, live);
+        let gone = self.detector.of(now, &named, list, live);
         if gone.iter().any(|vm| !self.gone.contains(vm)) {
             self.gone = gone;
-            self.tell_peers();
+            self.update_peers();
         }
     }
 
-    fn tell_peers(&mut self) {
+    fn update_peers(&mut self) {
         let Some(fleet) = &self.fleet else {
             return;
         };
@@ -213,7 +213,7 @@
             let known = plan::Peer {
                 domain: peer.domain.clone(),
                 up: true,
-                leaving: fleet.leaving.contains(peer) || (peer.vm == *me && self.is_leaving),
+                leaving: fleet.leaving.contains(peer) || (peer.vm == *me && self.is_draining),
             };
             (peer.vm.clone(), known)
         });
@@ -243,10 +243,10 @@
                 return;
             }
         }
-        self.tell_views();
+        self.apply_views();
     }
 
-    fn tell_views(&mut self) {
+    fn apply_views(&mut self) {
         let (version, views) = (self.version, self.views.clone());
         self.ledger(ledger::Event::Views {
             version,
@@ -259,15 +259,15 @@
 
     fn ledger(&mut self, event: ledger::Event) {
         let effects = self.ledger.on(self.parts.clock.now(), event);
-        self.act(effects);
+        self.apply(effects);
     }
 
     fn starter(&mut self, event: starter::Event) {
         let effects = self.starter.on(self.parts.clock.now(), event);
-        self.act(effects);
+        self.apply(effects);
     }
 
-    fn act(&mut self, effects: Vec<Effect>) {
+    fn apply(&mut self, effects: Vec<Effect>) {
         let mut notes = Vec::new();
         for effect in effects {
             match effect {
@@ -278,12 +278,12 @@
                 Effect::Decide { token, decision } => self.decide(token, decision),
             }
         }
-        self.note(&notes);
+        self.record_changes(&notes);
     }
 
     /// Tells a request what was decided; an order whose caller has gone is given up before it starts.
     fn decide(&mut self, token: u64, decision: Decision) {
-        let Some(reply) = self.waiting.swap_remove(&token) else {
+        let Some(reply) = self.pending.swap_remove(&token) else {
             return;
         };
         if matches!(decision, Decision::Ran(_)) {
@@ -343,13 +343,14 @@
     }
 
     /// Records changes of views: one event for all shards that change alike.
-    fn note(&self, notes: &[order::Note]) {
-        let mut alike: IndexMap<(order::Change, order::ViewNumber), Vec<String>> = IndexMap::new();
+    fn record_changes(&self, notes: &[order::Note]) {
+        let mut grouped: IndexMap<(order::Change, order::ViewNumber), Vec<String>> =
+            IndexMap::new();
         for note in notes {
-            let shards = alike.entry((note.change, note.view)).or_default();
+            let shards = grouped.entry((note.change, note.view)).or_default();
             shards.push(note.shard.to_string());
         }
-        for ((change, view), shards) in alike {
+        for ((change, view), shards) in grouped {
             let kind = match change {
                 order::Change::Horizon => timeline::Kind::MemoryLost,
                 _ => timeline::Kind::ViewChanged,
@@ -385,23 +386,23 @@
     let (token, decision) = begin(context, &job, order).await;
     match decision {
         Decision::Run => {}
-        Decision::Ran(answer) => return Ok(recorded(&answer)),
+        Decision::Ran(answer) => return Ok(replay(&answer)),
         Decision::Mismatch => {
             let reason = "the id was used for another request";
             return Err(Verdict::not_run(
                 &attempt.proof(),
                 422,
                 Step::Order,
-                SELF,
+                ORDERS_PEER,
                 reason,
             ));
         }
-        Decision::Unknown(why) => return Err(unknown(why)),
+        Decision::Unknown(why) => return Err(unknown_verdict(why)),
     }
-    let result = forward::run(context, attempt.admit(), &job, Payload::Kept(bytes)).await;
+    let result = forward::run(context, attempt.admit(), &job, Payload::Buffered(bytes)).await;
     let (result, end) = match result {
         Ok(answered) => {
-            let (response, answer) = keep(answered.response).await;
+            let (response, answer) = capture_answer(answered.response).await;
             (Ok(response), End::Ran(answer))
         }
         Err(verdict) => {
@@ -418,7 +419,7 @@
     let id = job.call.id.as_ref()?;
     Some(Order {
         id: format!("{}/{id}", job.call.service),
-        created_at: call::made_at(id),
+        created_at: call::created_at(id),
         fingerprint: request::fingerprint(&job.call.method, &job.call.uri, bytes),
     })
 }
@@ -436,7 +437,7 @@
         .unwrap_or((0, Decision::Unknown(UnknownReason::NoReply)))
 }
 
-fn unknown(why: UnknownReason) -> Verdict {
+fn unknown_verdict(why: UnknownReason) -> Verdict {
     let (status, reason) = match why {
         UnknownReason::Lost => (502, "it may have run before; nobody knows any more"),
         UnknownReason::Running => (409, "it is still running"),
@@ -450,17 +451,17 @@
         ),
         UnknownReason::DatedAhead => (400, "its id is dated too far ahead"),
     };
-    let verdict = Verdict::unknown(status, Step::Order, SELF, reason);
+    let verdict = Verdict::unknown(status, Step::Order, ORDERS_PEER, reason);
     match why {
         UnknownReason::Running | UnknownReason::NoReply | UnknownReason::MemoryFull => {
-            verdict.retry_after(COME_BACK)
+            verdict.retry_after(OUTCOME_RETRY_AFTER)
         }
         UnknownReason::Lost | UnknownReason::DatedAhead => verdict,
     }
 }
 
 /// Makes the answer of an order that ran before.
-fn recorded(answer: &Answer) -> Response<Body> {
+fn replay(answer: &Answer) -> Response<Body> {
     let body = answer.body.clone().unwrap_or_default();
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
@@ -468,12 +469,12 @@
     if let Ok(media) = HeaderValue::from_str(&answer.media) {
         headers.insert(header::CONTENT_TYPE, media);
     }
-    reply::mark(headers, Outcome::Ran, Step::Order, SELF);
+    reply::mark(headers, Outcome::Ran, Step::Order, ORDERS_PEER);
     response
 }
 
 /// Keeps what a later resend is to hear: the status, the media type and a small body.
-async fn keep(response: Response<Body>) -> (Response<Body>, Answer) {
+async fn capture_answer(response: Response<Body>) -> (Response<Body>, Answer) {
     let (head, body) = response.into_parts();
     let media = head.headers.get(header::CONTENT_TYPE);
     let media = media
@@ -482,13 +483,13 @@
         .to_owned();
     let status = head.status.as_u16();
     let Body::Whole(whole) = body else {
-        let mut answer = Answer::new(status, &media, &[], KEPT_ANSWER);
+        let mut answer = Answer::new(status, &media, &[], STORED_ANSWER_BYTES);
         answer.body = None;
         return (Response::from_parts(head, body), answer);
     };
     // A whole body is in memory; collecting it can't fail.
     let bytes = whole.collect().await.map(Collected::to_bytes);
     let bytes = bytes.unwrap_or_default();
-    let answer = Answer::new(status, &media, &bytes, KEPT_ANSWER);
+    let answer = Answer::new(status, &media, &bytes, STORED_ANSWER_BYTES);
     (Response::from_parts(head, Body::from(bytes)), answer)
 }
--- a/src/entry/payload.rs
+++ b/src/entry/payload.rs
@@ -16,7 +16,7 @@
 };
 
 /// The largest body that is kept whole for idempotent work, in bytes.
-const KEPT_LIMIT: u64 = 64 * 1024;
+const BUFFER_LIMIT_BYTES: u64 = 64 * 1024;
 /// Who is named when the caller's own input is at fault.
 const CALLER: &str = "caller";
 
@@ -24,39 +24,39 @@
 #[derive(Debug)]
 pub enum Payload {
     /// All of it; it can be sent again.
-    Kept(Bytes),
+    Buffered(Bytes),
     /// Passed on as it comes, once.
-    Passing(Box<Passing>),
+    Streaming(Box<LimitedBody>),
     /// It was passed on; there is nothing left to send.
-    Spent,
+    Consumed,
 }
 
 impl Payload {
     /// Returns the body to send, or nothing when it can't be sent again.
     pub fn take(&mut self) -> Option<Body> {
-        match std::mem::replace(self, Self::Spent) {
-            Self::Kept(bytes) => {
-                *self = Self::Kept(bytes.clone());
+        match std::mem::replace(self, Self::Consumed) {
+            Self::Buffered(bytes) => {
+                *self = Self::Buffered(bytes.clone());
                 Some(Body::from(bytes))
             }
-            Self::Passing(body) => Some(Body::stream(*body)),
-            Self::Spent => None,
+            Self::Streaming(body) => Some(Body::stream(*body)),
+            Self::Consumed => None,
         }
     }
 
     /// Returns what the request is known by, if a target dies of it.
-    pub fn print(&self, job: &Job) -> Fingerprint {
+    pub fn fingerprint(&self, job: &Job) -> Fingerprint {
         let body: &[u8] = match self {
-            Self::Kept(bytes) => bytes,
+            Self::Buffered(bytes) => bytes,
             // A body that streams isn't known yet; the rest must do.
-            Self::Passing(_) | Self::Spent => &[],
+            Self::Streaming(_) | Self::Consumed => &[],
         };
         request::fingerprint(&job.call.method, &job.call.uri, body)
     }
 
     /// Returns whether the body can be sent (again).
-    pub fn is_left(&self) -> bool {
-        !matches!(self, Self::Spent)
+    pub fn is_sendable(&self) -> bool {
+        !matches!(self, Self::Consumed)
     }
 }
 
@@ -65,7 +65,7 @@
 /// # Errors
 ///
 /// The body is over the service's limit, was cut short, or came too slowly. Nothing ran.
-pub async fn any(
+pub async fn read(
     entry: &Entry,
     attempt: &Attempt<Received>,
     job: &Job,
@@ -73,12 +73,14 @@
 ) -> Result<Payload, Verdict> {
     check_length(attempt, job)?;
     let size = body.size_hint().upper();
-    if size.is_some_and(|size| size <= KEPT_LIMIT) {
-        return whole(entry, attempt, job, body).await.map(Payload::Kept);
+    if size.is_some_and(|size| size <= BUFFER_LIMIT_BYTES) {
+        return read_whole(entry, attempt, job, body)
+            .await
+            .map(Payload::Buffered);
     }
-    Ok(Payload::Passing(Box::new(Passing {
+    Ok(Payload::Streaming(Box::new(LimitedBody {
         body,
-        left: job.plan.body_limit,
+        remaining: job.policy.body_limit,
     })))
 }
 
@@ -87,7 +89,7 @@
 /// # Errors
 ///
 /// The body is over the service's limit, was cut short, or came too slowly. Nothing ran.
-pub async fn whole(
+pub async fn read_whole(
     entry: &Entry,
     attempt: &Attempt<Received>,
     job: &Job,
@@ -100,7 +102,7 @@
     let refuse = |status, reason: &str| refusal(attempt.proof(), status, reason);
     let now = entry.clock.now();
     let left = job.deadline.remaining(now).unwrap_or_default();
-    let limit = usize::try_from(job.plan.body_limit).unwrap_or(usize::MAX);
+    let limit = usize::try_from(job.policy.body_limit).unwrap_or(usize::MAX);
     let reading = body::read(body, limit);
     match entry.clock.timeout(left, reading).await {
         Ok(Ok(bytes)) => Ok(bytes),
@@ -116,7 +118,7 @@
 fn check_length(attempt: &Attempt<Received>, job: &Job) -> Result<(), Verdict> {
     let stated = job.head.headers.get(header::CONTENT_LENGTH);
     let length = stated.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
-    if length.is_some_and(|length| length > job.plan.body_limit) {
+    if length.is_some_and(|length| length > job.policy.body_limit) {
         let reason = "the body is over the service's limit";
         return Err(refusal(attempt.proof(), 413, reason));
     }
@@ -129,12 +131,12 @@
 
 /// A body passed on as it comes, up to a limit.
 #[derive(Debug)]
-pub struct Passing {
+pub struct LimitedBody {
     body: Incoming,
-    left: u64,
+    remaining: u64,
 }
 
-impl HttpBody for Passing {
+impl HttpBody for LimitedBody {
     type Data = Bytes;
     type Error = Cause;
 
@@ -154,10 +156,10 @@
             .ok()
             .and_then(Frame::data_ref)
             .map_or(0, Bytes::len) as u64;
-        if size > self.left {
+        if size > self.remaining {
             return Poll::Ready(Some(Err("the body is over the service's limit".into())));
         }
-        self.left -= size;
+        self.remaining -= size;
         Poll::Ready(Some(frame))
     }
 
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -28,7 +28,7 @@
     headers.insert(header::CONTENT_TYPE, json);
     mark(headers, verdict.outcome(), verdict.step, &verdict.peer);
     if let Some(wait) = verdict.retry_after {
-        set_retry(headers, wait);
+        set_retry_after(headers, wait);
     }
     response
 }
@@ -46,7 +46,7 @@
     mark(headers, Outcome::Ran, Step::Answer, peer);
 }
 
-fn set_retry(headers: &mut HeaderMap, wait: Duration) {
+fn set_retry_after(headers: &mut HeaderMap, wait: Duration) {
     let ms = wait.as_micros().div_ceil(1_000);
     let seconds = ms.div_ceil(1_000);
     set(headers, "retry-after", &seconds.to_string());
--- a/src/entry/response_body.rs
+++ b/src/entry/response_body.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Context, Job,
-    forward::Cancel,
+    forward::CancelGuard,
     ticket::{self, Permit, Report},
 };
 use crate::{id::ServiceId, metrics, util::body::Cause, vm::recorder::Recorder};
@@ -24,7 +24,7 @@
 pub struct ResponseBody {
     body: Incoming,
     permit: Option<Permit>,
-    cancel: Cancel,
+    cancel: CancelGuard,
     recorder: Recorder,
     service: ServiceId,
     timer: Pin<Box<dyn Future<Output = ()>>>,
@@ -37,19 +37,19 @@
         job: &Job,
         body: Incoming,
         permit: Permit,
-        cancel: Cancel,
+        cancel: CancelGuard,
     ) -> Self {
         let now = context.clock.now();
         let left = job.deadline.remaining(now).unwrap_or(Duration::ZERO);
         let clock = context.clock.clone();
-        let late = Box::pin(async move { clock.sleep(left).await });
-        let lapse = ticket::lapse(
+        let timeout = Box::pin(async move { clock.sleep(left).await });
+        let expired = ticket::lease_expired(
             context.clone(),
             job.call.service.clone(),
             job.call.point,
             permit.lease.clone(),
         );
-        let end = future::select(late, Box::pin(lapse));
+        let end = future::select(timeout, Box::pin(expired));
         Self {
             body,
             permit: Some(permit),
--- a/src/entry/router/admission.rs
+++ b/src/entry/router/admission.rs
@@ -2,10 +2,10 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use super::{Flight, Goal, Miss, Name, Router, Waiting, state::group_of};
+use super::{Destination, InFlight, QueuedRequest, RouteError, Router, TargetKey, state::group_of};
 use crate::{
     document::{Document, Fencing, Ownership},
-    entry::ticket::{Ask, COME_BACK, Message, Permit, Reply, Ticket},
+    entry::ticket::{AdmissionRequest, DEFAULT_RETRY_AFTER, Message, Permit, Reply, Ticket},
     id::BootId,
     limit::{
         AdmissionQueue,
@@ -20,112 +20,137 @@
 };
 
 /// The first pause of a request whose key has no owner that answers; it doubles.
-const OWNER_PAUSE: Duration = Duration::from_millis(10);
+const OWNER_RETRY_MIN: Duration = Duration::from_millis(10);
 /// The longest such pause.
-const OWNER_PAUSE_MAX: Duration = Duration::from_millis(80);
+const OWNER_RETRY_MAX: Duration = Duration::from_millis(80);
 /// The longest pause before a suspect that left the gate again is looked at anew.
-const SUSPECT_PAUSE: Duration = Duration::from_millis(100);
+const SUSPECT_RETRY_MAX: Duration = Duration::from_millis(100);
 /// Deaths of a shared service's target within this span count as one: it has no start to name.
-const DEATH_SPAN: Duration = Duration::from_secs(10);
+const DEATH_WINDOW: Duration = Duration::from_secs(10);
 
 impl Router {
     /// Takes a request, or decides whether it may be tried again.
-    pub(super) fn admit(&mut self, ask: Box<Ask>, reply: Reply) {
-        let Some(last) = ask.history.last.clone() else {
-            return self.place(ask, reply);
+    pub(super) fn admit(&mut self, request: Box<AdmissionRequest>, reply: Reply) {
+        let Some(last) = request.history.last.clone() else {
+            return self.route(request, reply);
         };
         if last.misdirected {
             // The owner is changing; nothing ran, and the request waits for the new one.
-            return self.wait_owner(ask, reply, Step::Grant, "the key's owner is changing");
+            return self.wait_for_owner(request, reply, Step::Grant, "the key's owner is changing");
         }
         let tried = FailedAttempt {
-            number: ask.history.count,
+            number: request.history.count,
             outcome: last.outcome,
-            idempotent: ask.plan.idempotent,
-            retry_after: last.after,
+            idempotent: request.policy.idempotent,
+            retry_after: last.retry_after,
         };
-        let dice = self.dice();
+        let random = self.next_random();
         let now = self.parts.clock.now();
-        let budget = self.budgets.entry(ask.service.clone()).or_default();
-        let Some(pause) = budget.retry(now, &tried, ask.deadline, dice) else {
-            let step = if last.after.is_some() {
+        let budget = self.budgets.entry(request.service.clone()).or_default();
+        let Some(pause) = budget.retry(now, &tried, request.deadline, random) else {
+            let step = if last.retry_after.is_some() {
                 Step::Limit
             } else {
                 Step::Retry
             };
-            let verdict = Verdict::not_run(&ask.proof, 503, step, &last.target, &last.reason);
-            let wait = last.after.unwrap_or(COME_BACK);
+            let verdict = Verdict::not_run(&request.proof, 503, step, &last.target, &last.reason);
+            let wait = last.retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
             let _ = reply.send(Err(verdict.retry_after(wait)));
             return;
         };
-        let service = Some(ask.service.as_str());
+        let service = Some(request.service.as_str());
         self.parts
             .recorder
             .count(&metrics::REQUESTS_RETRIED, service);
-        self.again(ask, reply, pause);
+        self.retry_later(request, reply, pause);
     }
 
     /// Finds a request's target, and asks its gate.
-    pub(super) fn place(&mut self, ask: Box<Ask>, reply: Reply) {
+    pub(super) fn route(&mut self, request: Box<AdmissionRequest>, reply: Reply) {
         if reply.is_canceled() {
             return;
         }
         let now = self.parts.clock.now();
-        if ask.deadline.remaining(now).is_none() {
-            let verdict = self.late(&ask);
+        if request.deadline.remaining(now).is_none() {
+            let verdict = self.deadline_verdict(&request);
             let _ = reply.send(Err(verdict));
             return;
         }
-        let goal = match self.goal(&ask, now) {
-            Ok(goal) => goal,
-            Err(Miss::Pause(step, reason)) => return self.wait_owner(ask, reply, step, reason),
-            Err(Miss::Over(verdict)) => {
+        let destination = match self.destination(&request, now) {
+            Ok(destination) => destination,
+            Err(RouteError::Retry(step, reason)) => {
+                return self.wait_for_owner(request, reply, step, reason);
+            }
+            Err(RouteError::Refused(verdict)) => {
                 let _ = reply.send(Err(*verdict));
                 return;
             }
         };
         match self
             .quarantine
-            .check(stamp::wall(), ask.print, &goal.target)
+            .check(stamp::wall(), request.fingerprint, &destination.target)
         {
-            Decision::Allow | Decision::RunAlone => self.enter(now, ask, reply, goal),
-            Decision::Wait(pause) => self.again(ask, reply, pause),
+            Decision::Allow | Decision::RunAlone => self.enqueue(now, request, reply, destination),
+            Decision::Wait(pause) => self.retry_later(request, reply, pause),
             Decision::Refuse(wait) => {
                 let reason = "a target died while it ran this request";
                 let step = Step::Quarantine;
-                let verdict = Verdict::not_run(&ask.proof, 503, step, &goal.target, reason);
+                let verdict =
+                    Verdict::not_run(&request.proof, 503, step, &destination.target, reason);
                 let _ = reply.send(Err(verdict.retry_after(wait)));
             }
         }
     }
 
     /// Stands at the gate of the target.
-    pub(super) fn enter(&mut self, now: Duration, ask: Box<Ask>, reply: Reply, goal: Goal) {
+    pub(super) fn enqueue(
+        &mut self,
+        now: Duration,
+        request: Box<AdmissionRequest>,
+        reply: Reply,
+        destination: Destination,
+    ) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        let name = (ask.service.clone(), goal.target.clone());
-        let class = ask.plan.document.classes.get_index(ask.plan.class);
+        let name = (request.service.clone(), destination.target.clone());
+        let class = request
+            .policy
+            .document
+            .classes
+            .get_index(request.policy.class);
         let event = admission::Event::Request {
             ticket,
             class: class.map(|(name, _)| name.clone()).unwrap_or_default(),
-            deadline: ask.deadline,
+            deadline: request.deadline,
         };
-        if !self.gates.contains_key(&name) {
-            let gate = AdmissionQueue::new(goal.slots, &ask.plan.document.classes);
-            self.gates.insert(name.clone(), gate);
+        if !self.queues.contains_key(&name) {
+            let queue = AdmissionQueue::new(destination.slots, &request.policy.document.classes);
+            self.queues.insert(name.clone(), queue);
         }
-        self.waiting.insert(ticket, Waiting { ask, reply, goal });
-        self.gate(now, &name, event);
+        self.queued.insert(
+            ticket,
+            QueuedRequest {
+                request,
+                reply,
+                destination,
+            },
+        );
+        self.on_queue_event(now, &name, event);
     }
 
     /// Feeds a gate, and carries out what it decides.
-    pub(super) fn gate(&mut self, now: Duration, name: &Name, event: admission::Event) {
-        let Some(gate) = self.gates.get_mut(name) else {
+    pub(super) fn on_queue_event(
+        &mut self,
+        now: Duration,
+        name: &TargetKey,
+        event: admission::Event,
+    ) {
+        let Some(queue) = self.queues.get_mut(name) else {
             return;
         };
-        for effect in gate.on(now, event) {
+        for effect in queue.on(now, event) {
             match effect {
-                admission::Effect::Admit(ticket) => self.send(now, ticket),
+                admission::Effect::Admit(ticket) => self.issue_permit(now, ticket),
                 admission::Effect::Refuse {
                     ticket,
                     reason,
@@ -136,46 +161,55 @@
     }
 
     /// Gives a request its permit. One whose owner has changed while it waited looks again.
-    pub(super) fn send(&mut self, now: Duration, ticket: Ticket) {
-        let Some(Waiting { ask, reply, goal }) = self.waiting.swap_remove(&ticket) else {
+    pub(super) fn issue_permit(&mut self, now: Duration, ticket: Ticket) {
+        let Some(QueuedRequest {
+            request,
+            reply,
+            destination,
+        }) = self.queued.swap_remove(&ticket)
+        else {
             return;
         };
         // Another suspect may have gone in while this one stood at the gate: it waits its turn.
         let check = self
             .quarantine
-            .check(stamp::wall(), ask.print, &goal.target);
+            .check(stamp::wall(), request.fingerprint, &destination.target);
         if let Decision::Wait(pause) | Decision::Refuse(pause) = check {
-            let name = (ask.service.clone(), goal.target.clone());
+            let name = (request.service.clone(), destination.target.clone());
             let sample = Sample::Cancelled;
-            self.gate(now, &name, admission::Event::Ended { ticket, sample });
-            return self.again(ask, reply, pause.min(SUSPECT_PAUSE));
+            self.on_queue_event(now, &name, admission::Event::Ended { ticket, sample });
+            return self.retry_later(request, reply, pause.min(SUSPECT_RETRY_MAX));
         }
-        if let Some(owner) = &goal.owner {
-            let group = group_of(&ask.plan.document, ask.point);
+        if let Some(owner) = &destination.owner {
+            let group = group_of(&request.policy.document, request.point);
             let demand = self.demands.entry(group).or_default();
-            demand.count(owner.range, ask.point);
+            demand.count(owner.range, request.point);
         }
-        let boot = match &goal.owner {
+        let boot = match &destination.owner {
             Some(owner) => owner.boot.clone(),
-            None => shared_boot(),
+            None => time_as_boot(),
         };
-        let flight = Flight {
-            name: (ask.service.clone(), goal.target.clone()),
+        let attempt = InFlight {
+            name: (request.service.clone(), destination.target.clone()),
             boot: boot.clone(),
             sent: now,
             head: None,
         };
-        self.flights.insert(ticket, flight);
-        if let Some(pool) = self.pools.get_mut(&ask.service) {
-            let class = ask.plan.document.classes.get_index(ask.plan.class);
+        self.in_flight.insert(ticket, attempt);
+        if let Some(pool) = self.pools.get_mut(&request.service) {
+            let class = request
+                .policy
+                .document
+                .classes
+                .get_index(request.policy.class);
             let class = class.map_or("", |(name, _)| name.as_str());
-            pool.started(now, &goal.target, class, ticket);
+            pool.started(now, &destination.target, class, ticket);
         }
         let incarnation = Incarnation {
-            target: goal.target.clone(),
+            target: destination.target.clone(),
             boot,
         };
-        let fingerprint = ask.print;
+        let fingerprint = request.fingerprint;
         let sent = quarantine::Event::Sent {
             ticket,
             fingerprint,
@@ -183,14 +217,25 @@
         };
         self.quarantine.on(stamp::wall(), sent);
         let router = self.parts.tasks.router.clone();
-        let owner = goal.owner.as_ref();
-        let permit = Permit::new(ticket, goal.target, goal.address, owner, router);
+        let owner = destination.owner.as_ref();
+        let permit = Permit::new(
+            ticket,
+            destination.target,
+            destination.address,
+            owner,
+            router,
+        );
         // A permit that nobody takes reports itself as abandoned.
         let _ = reply.send(Ok(permit));
     }
 
     pub(super) fn refuse(&mut self, ticket: Ticket, why: RefusalReason, retry: Duration) {
-        let Some(Waiting { ask, reply, goal }) = self.waiting.swap_remove(&ticket) else {
+        let Some(QueuedRequest {
+            request,
+            reply,
+            destination,
+        }) = self.queued.swap_remove(&ticket)
+        else {
             return;
         };
         let (status, step, reason) = match why {
@@ -208,38 +253,45 @@
             RefusalReason::Unreachable => (503, Step::Connect, "the target can't be reached"),
             RefusalReason::Draining => (503, Step::Drain, "the target is leaving"),
         };
-        let verdict = Verdict::not_run(&ask.proof, status, step, &goal.target, reason);
+        let verdict = Verdict::not_run(&request.proof, status, step, &destination.target, reason);
         let _ = reply.send(Err(verdict.retry_after(retry)));
     }
 
     /// Finds where a request is to go.
-    pub(super) fn goal(&self, ask: &Ask, now: Duration) -> Result<Goal, Miss> {
-        let document = &ask.plan.document;
+    pub(super) fn destination(
+        &self,
+        request: &AdmissionRequest,
+        now: Duration,
+    ) -> Result<Destination, RouteError> {
+        let document = &request.policy.document;
         match document.ownership {
-            Ownership::Exclusive => self.exclusive(ask, document, now),
-            Ownership::Shared => self.shared(ask, document, now),
+            Ownership::Exclusive => self.exclusive_destination(request, document, now),
+            Ownership::Shared => self.shared_destination(request, document, now),
         }
     }
 
-    pub(super) fn exclusive(
+    pub(super) fn exclusive_destination(
         &self,
-        ask: &Ask,
+        request: &AdmissionRequest,
         document: &Document,
         now: Duration,
-    ) -> Result<Goal, Miss> {
-        let owner = self.owner(document, ask.point);
-        let owner = owner.ok_or(Miss::Pause(Step::Route, "the key has no owner known here"))?;
+    ) -> Result<Destination, RouteError> {
+        let owner = self.owner(document, request.point);
+        let owner = owner.ok_or(RouteError::Retry(
+            Step::Route,
+            "the key has no owner known here",
+        ))?;
         if owner.fencing == Fencing::Unchecked {
-            let until = self.until(document, ask.point, &owner);
-            until.filter(|until| *until > now).ok_or(Miss::Pause(
+            let until = self.lease_expiry(document, request.point, &owner);
+            until.filter(|until| *until > now).ok_or(RouteError::Retry(
                 Step::Grant,
                 "no lease to send to the key's owner",
             ))?;
         }
         let target = document.targets.get(&owner.target);
-        Ok(Goal {
+        Ok(Destination {
             target: owner.target.clone(),
-            address: self.address(ask, &owner.address)?,
+            address: self.address(request, &owner.address)?,
             slots: Slots {
                 slots: target.map_or(1, |target| target.slots),
                 vms: 1,
@@ -248,21 +300,21 @@
         })
     }
 
-    pub(super) fn shared(
+    pub(super) fn shared_destination(
         &self,
-        ask: &Ask,
+        request: &AdmissionRequest,
         document: &Document,
         now: Duration,
-    ) -> Result<Goal, Miss> {
-        let pool = self.pools.get(&ask.service);
-        let name = pool.and_then(|pool| pool.pick(now, self.dice()));
-        let none = Miss::Pause(Step::Route, "the service has no target that takes work");
+    ) -> Result<Destination, RouteError> {
+        let pool = self.pools.get(&request.service);
+        let name = pool.and_then(|pool| pool.pick(now, self.next_random()));
+        let none = RouteError::Retry(Step::Route, "the service has no target that takes work");
         let name = name.ok_or(none)?;
         let target = document.targets.get(&name);
-        let none = Miss::Pause(Step::Route, "the document no longer names the target");
+        let none = RouteError::Retry(Step::Route, "the document no longer names the target");
         let target = target.ok_or(none)?;
-        Ok(Goal {
-            address: self.address(ask, &target.address)?,
+        Ok(Destination {
+            address: self.address(request, &target.address)?,
             slots: Slots {
                 slots: target.slots,
                 vms: self.vms,
@@ -272,12 +324,16 @@
         })
     }
 
-    pub(super) fn address(&self, ask: &Ask, text: &str) -> Result<SocketAddr, Miss> {
+    pub(super) fn address(
+        &self,
+        request: &AdmissionRequest,
+        text: &str,
+    ) -> Result<SocketAddr, RouteError> {
         text.parse().map_err(|_| {
             let reason = "the target's address is no address";
             let vm = &self.parts.me.vm;
-            Miss::Over(Box::new(Verdict::not_run(
-                &ask.proof,
+            RouteError::Refused(Box::new(Verdict::not_run(
+                &request.proof,
                 503,
                 Step::Route,
                 vm,
@@ -289,71 +345,87 @@
     /// Lets a request wait for an owner that takes it, for as long as its class may queue.
     ///
     /// Nothing reaches a target meanwhile, so this needs no part of the retry budget.
-    pub(super) fn wait_owner(&mut self, ask: Box<Ask>, reply: Reply, step: Step, reason: &str) {
+    pub(super) fn wait_for_owner(
+        &mut self,
+        request: Box<AdmissionRequest>,
+        reply: Reply,
+        step: Step,
+        reason: &str,
+    ) {
         let now = self.parts.clock.now();
-        let waited = now.saturating_sub(ask.since);
-        let longest = ask
-            .plan
-            .queue
-            .min(ask.deadline.at.saturating_sub(ask.since));
+        let waited = now.saturating_sub(request.since);
+        let longest = request
+            .policy
+            .max_wait
+            .min(request.deadline.at.saturating_sub(request.since));
         if waited >= longest {
-            let last = ask.history.last.as_ref();
+            let last = request.history.last.as_ref();
             let peer = last.map_or(self.parts.me.vm.as_str(), |last| last.target.as_str());
-            let verdict = Verdict::not_run(&ask.proof, 503, step, peer, reason);
-            let _ = reply.send(Err(verdict.retry_after(COME_BACK)));
+            let verdict = Verdict::not_run(&request.proof, 503, step, peer, reason);
+            let _ = reply.send(Err(verdict.retry_after(DEFAULT_RETRY_AFTER)));
             return;
         }
         // It waits about as long again as it has waited.
         let pause = waited
-            .clamp(OWNER_PAUSE, OWNER_PAUSE_MAX)
+            .clamp(OWNER_RETRY_MIN, OWNER_RETRY_MAX)
             .min(longest.saturating_sub(waited));
-        let pause = concurrency::jitter(pause, self.dice());
-        self.again(ask, reply, pause);
+        let pause = concurrency::jitter(pause, self.next_random());
+        self.retry_later(request, reply, pause);
     }
 
-    pub(super) fn again(&self, ask: Box<Ask>, reply: Reply, pause: Duration) {
+    pub(super) fn retry_later(
+        &self,
+        request: Box<AdmissionRequest>,
+        reply: Reply,
+        pause: Duration,
+    ) {
         let clock = self.parts.clock.clone();
         let router = self.parts.tasks.router.clone();
         compio::runtime::spawn(async move {
             clock.sleep(pause).await;
-            let _ = router.unbounded_send(Message::Again(ask, reply));
+            let _ = router.unbounded_send(Message::Retry(request, reply));
         })
         .detach();
     }
 
-    pub(super) fn late(&self, ask: &Ask) -> Verdict {
-        let (peer, reason) = match &ask.history.last {
+    pub(super) fn deadline_verdict(&self, request: &AdmissionRequest) -> Verdict {
+        let (peer, reason) = match &request.history.last {
             Some(last) => (last.target.as_str(), last.reason.as_str()),
             None => (self.parts.me.vm.as_str(), "no target took it in time"),
         };
-        let verdict = Verdict::not_run(&ask.proof, 503, Step::Deadline, peer, reason);
-        verdict.retry_after(COME_BACK)
+        let verdict = Verdict::not_run(&request.proof, 503, Step::Deadline, peer, reason);
+        verdict.retry_after(DEFAULT_RETRY_AFTER)
     }
 
     pub(super) fn tick(&mut self) {
         let now = self.parts.clock.now();
-        self.tell_demand(now);
+        self.report_demand(now);
         let left = self
-            .waiting
+            .queued
             .iter()
-            .filter(|(_, waiting)| waiting.reply.is_canceled());
-        let left: Vec<(Ticket, Name)> = left
-            .map(|(ticket, it)| (*ticket, (it.ask.service.clone(), it.goal.target.clone())))
+            .filter(|(_, queued)| queued.reply.is_canceled());
+        let left: Vec<(Ticket, TargetKey)> = left
+            .map(|(ticket, it)| {
+                (
+                    *ticket,
+                    (it.request.service.clone(), it.destination.target.clone()),
+                )
+            })
             .collect();
         for (ticket, name) in left {
-            self.waiting.swap_remove(&ticket);
-            self.gate(now, &name, admission::Event::Cancelled { ticket });
+            self.queued.swap_remove(&ticket);
+            self.on_queue_event(now, &name, admission::Event::Cancelled { ticket });
         }
-        let busy = self.gates.iter().filter(|(_, gate)| gate.waiting() > 0);
-        let busy: Vec<Name> = busy.map(|(name, _)| name.clone()).collect();
+        let busy = self.queues.iter().filter(|(_, queue)| queue.waiting() > 0);
+        let busy: Vec<TargetKey> = busy.map(|(name, _)| name.clone()).collect();
         for name in busy {
-            self.gate(now, &name, admission::Event::Tick);
+            self.on_queue_event(now, &name, admission::Event::Tick);
         }
     }
 }
 
 /// Returns the start of a shared service's target: it tells none, so time stands in for it.
-fn shared_boot() -> BootId {
-    let span = stamp::wall().as_secs() / DEATH_SPAN.as_secs();
+fn time_as_boot() -> BootId {
+    let span = stamp::wall().as_secs() / DEATH_WINDOW.as_secs();
     format!("at-{span}")
 }
--- a/src/entry/router/completion.rs
+++ b/src/entry/router/completion.rs
@@ -4,7 +4,7 @@
 
 use http::StatusCode;
 
-use super::{Name, Router};
+use super::{Router, TargetKey};
 use crate::{
     entry::ticket::{Report, Ticket},
     id::{BootId, Version},
@@ -17,34 +17,34 @@
 };
 
 impl Router {
-    pub(super) fn head(&mut self, ticket: Ticket, status: StatusCode) {
+    pub(super) fn on_head(&mut self, ticket: Ticket, status: StatusCode) {
         let now = self.parts.clock.now();
-        if let Some(flight) = self.flights.get_mut(&ticket) {
-            flight.head = Some((status, now.saturating_sub(flight.sent)));
+        if let Some(attempt) = self.in_flight.get_mut(&ticket) {
+            attempt.head = Some((status, now.saturating_sub(attempt.sent)));
         }
     }
 
     /// Takes the end of an attempt: limits, budget, pool and quarantine learn from it.
-    pub(super) fn done(&mut self, ticket: Ticket, report: &Report) {
-        let Some(flight) = self.flights.swap_remove(&ticket) else {
+    pub(super) fn on_done(&mut self, ticket: Ticket, report: &Report) {
+        let Some(attempt) = self.in_flight.swap_remove(&ticket) else {
             return;
         };
         let now = self.parts.clock.now();
-        let taken = now.saturating_sub(flight.sent);
+        let taken = now.saturating_sub(attempt.sent);
         let status = match report {
             Report::Answered(status) => Some(*status),
-            Report::Ended => flight.head.map(|(status, _)| status),
+            Report::Ended => attempt.head.map(|(status, _)| status),
             _ => None,
         };
         let sample = sample(report, taken);
-        let service = &flight.name.0;
+        let service = &attempt.name.0;
         if status.is_some() {
             let budget = self.budgets.entry(service.clone()).or_default();
             budget.succeeded(now);
         }
         if let Some(pool) = self.pools.get_mut(service) {
             let is_error = status.is_some_and(|status| status.is_server_error());
-            pool.ended(now, &flight.name.1, ticket, sample, is_error);
+            pool.ended(now, &attempt.name.1, ticket, sample, is_error);
         }
         let end = match report {
             Report::Answered(_) | Report::Ended => End::Completed,
@@ -53,19 +53,19 @@
         };
         let event = quarantine::Event::Ended { ticket, end };
         let items = self.quarantine.on(stamp::wall(), event);
-        self.spread(items);
+        self.publish_suspects(items);
         if matches!(report, Report::Unsent(true)) {
             // Nobody listens there any more: whatever was in flight is suspect.
-            self.died(&flight.name, flight.boot);
+            self.on_target_death(&attempt.name, attempt.boot);
         }
-        self.gate(
+        self.on_queue_event(
             now,
-            &flight.name,
+            &attempt.name,
             admission::Event::Ended { ticket, sample },
         );
     }
 
-    pub(super) fn died(&mut self, name: &Name, boot: BootId) {
+    pub(super) fn on_target_death(&mut self, name: &TargetKey, boot: BootId) {
         let target = name.1.clone();
         let death = Incarnation { target, boot };
         let items = self
@@ -78,11 +78,11 @@
             let cause = format!("suspect={:x} boot={}", item.fingerprint, item.death.boot);
             self.parts.recorder.event(event.cause(cause.as_str()));
         }
-        self.spread(items);
+        self.publish_suspects(items);
     }
 
     /// Tells the fleet of suspects; a cleared one is a newer version of the same item.
-    pub(super) fn spread(&self, items: Vec<quarantine::Suspect>) {
+    pub(super) fn publish_suspects(&self, items: Vec<quarantine::Suspect>) {
         for item in items {
             let Ok(bytes) = peer::encode(&vec![item.clone()]) else {
                 continue;
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn hear(&mut self, items: Vec<quarantine::Suspect>) {
+    pub(super) fn on_suspects(&mut self, items: Vec<quarantine::Suspect>) {
         let wall = stamp::wall();
         self.quarantine.on(wall, quarantine::Event::Received(items));
     }
--- a/src/entry/router/mod.rs
+++ b/src/entry/router/mod.rs
@@ -19,7 +19,7 @@
 
 use super::{
     demand::Demand,
-    ticket::{Ask, Message, Reply, Ticket},
+    ticket::{AdmissionRequest, Message, Reply, Ticket},
 };
 use crate::{
     document::Document,
@@ -38,10 +38,10 @@
 const TICK: Duration = Duration::from_millis(20);
 
 /// A target of a service.
-type Name = (ServiceId, TargetId);
+type TargetKey = (ServiceId, TargetId);
 
 /// Where a request is to go.
-struct Goal {
+struct Destination {
     target: TargetId,
     address: SocketAddr,
     owner: Option<Owner>,
@@ -49,26 +49,26 @@
 }
 
 /// A request that waits at a gate.
-struct Waiting {
-    ask: Box<Ask>,
+struct QueuedRequest {
+    request: Box<AdmissionRequest>,
     reply: Reply,
-    goal: Goal,
+    destination: Destination,
 }
 
 /// An attempt in flight.
-struct Flight {
-    name: Name,
+struct InFlight {
+    name: TargetKey,
     boot: BootId,
     sent: Duration,
     head: Option<(StatusCode, Duration)>,
 }
 
 /// Why a request gets no goal.
-enum Miss {
+enum RouteError {
     /// Ask again after a pause: this passes by itself.
-    Pause(Step, &'static str),
+    Retry(Step, &'static str),
     /// It is over.
-    Over(Box<Verdict>),
+    Refused(Box<Verdict>),
 }
 
 /// The router's state.
@@ -76,15 +76,15 @@
     parts: Parts,
     documents: IndexMap<ServiceId, Rc<Document>>,
     tables: IndexMap<GroupId, Table>,
-    gates: IndexMap<Name, AdmissionQueue>,
+    queues: IndexMap<TargetKey, AdmissionQueue>,
     pools: IndexMap<ServiceId, Pool>,
     budgets: IndexMap<ServiceId, Budget>,
-    boots: IndexMap<Name, BootId>,
+    boots: IndexMap<TargetKey, BootId>,
     /// Targets whose VMs were ever listed as leaving.
     leaving: IndexSet<TargetId>,
     quarantine: Quarantine,
-    waiting: IndexMap<Ticket, Waiting>,
-    flights: IndexMap<Ticket, Flight>,
+    queued: IndexMap<Ticket, QueuedRequest>,
+    in_flight: IndexMap<Ticket, InFlight>,
     demands: IndexMap<GroupId, Demand>,
     next_demand: Duration,
     vms: u32,
@@ -109,14 +109,14 @@
             parts,
             documents: IndexMap::new(),
             tables: IndexMap::new(),
-            gates: IndexMap::new(),
+            queues: IndexMap::new(),
             pools: IndexMap::new(),
             budgets: IndexMap::new(),
             boots: IndexMap::new(),
             leaving: IndexSet::new(),
             quarantine: Quarantine::default(),
-            waiting: IndexMap::new(),
-            flights: IndexMap::new(),
+            queued: IndexMap::new(),
+            in_flight: IndexMap::new(),
             demands: IndexMap::new(),
             next_demand: Duration::ZERO,
             vms: 1,
@@ -139,20 +139,21 @@
         match message {
             Message::Tick => self.tick(),
             Message::Classify(call, proof, reply) => {
-                let plan = self.plan(&call, proof);
-                let _ = reply.send(plan.map(|plan| (*call, plan)));
+                let policy = self.classify(&call, proof);
+                let _ = reply.send(policy.map(|policy| (*call, policy)));
             }
-            Message::Admit(ask, reply) => self.admit(ask, reply),
-            Message::Again(ask, reply) => self.place(ask, reply),
-            Message::Head { ticket, status } => self.head(ticket, status),
-            Message::Done { ticket, report } => self.done(ticket, &report),
-            Message::Until(service, point, owner, reply) => {
+            Message::Admit(request, reply) => self.admit(request, reply),
+            Message::Retry(request, reply) => self.route(request, reply),
+            Message::Head { ticket, status } => self.on_head(ticket, status),
+            Message::Done { ticket, report } => self.on_done(ticket, &report),
+            Message::LeaseExpiry(service, point, owner, reply) => {
                 let document = self.documents.get(&service);
-                let until = document.and_then(|document| self.until(document, point, &owner));
+                let until =
+                    document.and_then(|document| self.lease_expiry(document, point, &owner));
                 let _ = reply.send(until);
             }
-            Message::Document(document) => self.document(&document),
-            Message::Record(group, version, record) => self.record(&group, version, *record),
+            Message::Document(document) => self.on_document(&document),
+            Message::Record(group, version, record) => self.on_record(&group, version, *record),
             Message::Handover(fact) => {
                 let table = self.tables.entry(fact.group.clone()).or_default();
                 table.on_handover(fact);
@@ -163,14 +164,14 @@
             }
             Message::Fleet(fleet) => {
                 self.vms = u32::try_from(fleet.live.len()).unwrap_or(u32::MAX).max(1);
-                self.resize();
+                self.update_slots();
             }
-            Message::Leaving(targets) => self.leaving(targets),
-            Message::Suspects(items) => self.hear(items),
+            Message::Leaving(targets) => self.on_leaving(targets),
+            Message::Suspects(items) => self.on_suspects(items),
         }
     }
 
-    fn dice(&self) -> u64 {
+    fn next_random(&self) -> u64 {
         self.random.borrow_mut().random()
     }
 }
--- a/src/entry/router/state.rs
+++ b/src/entry/router/state.rs
@@ -2,10 +2,10 @@
 
 use std::{rc::Rc, time::Duration};
 
-use super::{Name, Router};
+use super::{Router, TargetKey};
 use crate::{
     document::{Document, Ownership, TargetState},
-    entry::ticket::Plan,
+    entry::ticket::RequestPolicy,
     group::{Record, build},
     id::{GroupId, TargetId, Version},
     key::Point,
@@ -19,7 +19,7 @@
 const DEMAND_PERIOD: Duration = Duration::from_secs(5);
 
 impl Router {
-    pub(super) fn plan(&self, call: &Call, proof: Proof) -> Result<Plan, Verdict> {
+    pub(super) fn classify(&self, call: &Call, proof: Proof) -> Result<RequestPolicy, Verdict> {
         let Some(document) = self.documents.get(&call.service) else {
             let reason = "no document in force names this service";
             let vm = &self.parts.me.vm;
@@ -28,25 +28,25 @@
         let (name, class) = call
             .class(document)
             .map_err(|error| error.verdict(&proof))?;
-        Ok(Plan {
+        Ok(RequestPolicy {
             class: document.classes.get_index_of(name).unwrap_or(0),
             idempotent: class.idempotent,
-            longest: class.deadline,
-            queue: class.queue,
+            max_deadline: class.deadline,
+            max_wait: class.queue,
             body_limit: document.body_limit,
             document: document.clone(),
         })
     }
 
-    pub(super) fn document(&mut self, document: &Rc<Document>) {
+    pub(super) fn on_document(&mut self, document: &Rc<Document>) {
         let service = document.service.clone();
         let known = self.documents.insert(service.clone(), document.clone());
         if known.is_none_or(|known| known.classes != document.classes) {
             // The gates divide by class: new classes, new gates.
-            self.gates.retain(|(of, _), _| *of != service);
+            self.queues.retain(|(of, _), _| *of != service);
         }
         self.set_pool(document);
-        self.resize();
+        self.update_slots();
     }
 
     /// Tells the pool of a shared service which targets take work.
@@ -65,7 +65,7 @@
     }
 
     /// Takes targets that leave out of the pools; an exclusive one is left to its grantors.
-    pub(super) fn leaving(&mut self, targets: Vec<TargetId>) {
+    pub(super) fn on_leaving(&mut self, targets: Vec<TargetId>) {
         let known = self.leaving.len();
         self.leaving.extend(targets);
         if self.leaving.len() == known {
@@ -77,20 +77,20 @@
     }
 
     /// Tells the gates how many slots there are for this VM.
-    pub(super) fn resize(&mut self) {
+    pub(super) fn update_slots(&mut self) {
         let now = self.parts.clock.now();
-        let names: Vec<Name> = self.gates.keys().cloned().collect();
+        let names: Vec<TargetKey> = self.queues.keys().cloned().collect();
         for name in names {
             let document = self.documents.get(&name.0);
             let slots = document.and_then(|document| slots(document, &name.1, self.vms));
             if let Some(slots) = slots {
-                self.gate(now, &name, admission::Event::Slots(slots));
+                self.on_queue_event(now, &name, admission::Event::Slots(slots));
             }
         }
     }
 
     /// Takes a group's record; a target with another start than before has died.
-    pub(super) fn record(&mut self, group: &GroupId, version: Version, record: Record) {
+    pub(super) fn on_record(&mut self, group: &GroupId, version: Version, record: Record) {
         let service = notes::service(group).to_owned();
         for (target, member) in &record.members {
             let name = (service.clone(), target.clone());
@@ -99,8 +99,8 @@
             }
             let before = self.boots.insert(name.clone(), member.boot.clone());
             if let Some(boot) = before.filter(|boot| *boot != member.boot) {
-                self.died(&name, boot);
-                self.gate(self.parts.clock.now(), &name, admission::Event::ColdStart);
+                self.on_target_death(&name, boot);
+                self.on_queue_event(self.parts.clock.now(), &name, admission::Event::ColdStart);
             }
         }
         let table = self.tables.entry(group.clone()).or_default();
@@ -108,7 +108,7 @@
     }
 
     /// Tells the grantors what is asked for, from time to time.
-    pub(super) fn tell_demand(&mut self, now: Duration) {
+    pub(super) fn report_demand(&mut self, now: Duration) {
         if now < self.next_demand {
             return;
         }
@@ -125,7 +125,7 @@
     }
 
     /// Returns until when this VM may send to an owner.
-    pub(super) fn until(
+    pub(super) fn lease_expiry(
         &self,
         document: &Document,
         point: Point,
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -24,16 +24,16 @@
 /// How long the word that an attempt is given up may take to a target.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 /// The time to come back when nothing is known that would tell it better.
-pub const COME_BACK: Duration = Duration::from_millis(500);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 /// The shortest pause between two looks at a lease.
-const LEASE_POLL: Duration = Duration::from_millis(10);
+const LEASE_POLL_MIN: Duration = Duration::from_millis(10);
 
 /// The number of an attempt, or of a request that waits for one.
 pub type Ticket = u64;
 
 /// What the service's document says of a request.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct RequestPolicy {
     /// The document.
     pub document: Rc<Document>,
     /// The class of work, by its place in the document.
@@ -41,16 +41,16 @@
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// The longest deadline.
-    pub longest: Duration,
+    pub max_deadline: Duration,
     /// The longest wait for a slot, or for an owner.
-    pub queue: Duration,
+    pub max_wait: Duration,
     /// The largest body.
     pub body_limit: u64,
 }
 
 /// Why the last attempt ended, and the request may be tried again.
 #[derive(Clone, Debug)]
-pub struct Last {
+pub struct LastAttempt {
     /// The target.
     pub target: TargetId,
     /// The epoch under which it was sent.
@@ -62,7 +62,7 @@
     /// Whether it may have run.
     pub outcome: Outcome,
     /// How long the target asks to be left alone.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// What became of a request's earlier attempts.
@@ -71,7 +71,7 @@
     /// How many there were.
     pub count: u32,
     /// The last of them.
-    pub last: Option<Last>,
+    pub last: Option<LastAttempt>,
     lost: Option<Verdict>,
 }
 
@@ -79,24 +79,24 @@
     /// Notes a target's refusal.
     pub fn refused(&mut self, permit: &Permit, refusal: &Refusal) {
         let reason = format!("the target refused with status {}", refusal.status());
-        let last = self.note(permit, reason, Outcome::NotRun);
+        let last = self.record(permit, reason, Outcome::NotRun);
         last.misdirected = refusal.is_misdirected();
-        last.after = refusal.retry_after();
+        last.retry_after = refusal.retry_after();
     }
 
     /// Notes an attempt of which no byte left.
     pub fn unsent(&mut self, permit: &Permit, error: &client::Error) {
-        self.note(permit, error.to_string(), Outcome::NotRun);
+        self.record(permit, error.to_string(), Outcome::NotRun);
     }
 
     /// Notes an attempt that ended without an answer.
     pub fn lost(&mut self, permit: &Permit, verdict: Verdict) {
-        self.note(permit, verdict.reason.clone(), Outcome::Unknown);
+        self.record(permit, verdict.reason.clone(), Outcome::Unknown);
         self.lost = Some(verdict);
     }
 
     /// Returns the final word: `not-run` only if no attempt was lost.
-    pub fn judge(&self, verdict: Verdict) -> Verdict {
+    pub fn final_verdict(&self, verdict: Verdict) -> Verdict {
         match &self.lost {
             Some(lost) if verdict.outcome() == Outcome::NotRun => {
                 let mut lost = lost.clone();
@@ -107,15 +107,15 @@
         }
     }
 
-    fn note(&mut self, permit: &Permit, reason: String, outcome: Outcome) -> &mut Last {
+    fn record(&mut self, permit: &Permit, reason: String, outcome: Outcome) -> &mut LastAttempt {
         self.count += 1;
-        self.last.insert(Last {
+        self.last.insert(LastAttempt {
             target: permit.target.clone(),
             epoch: permit.epoch,
             reason,
             misdirected: false,
             outcome,
-            after: None,
+            retry_after: None,
         })
     }
 }
@@ -176,7 +176,7 @@
     }
 
     /// Tells that the head of the answer came.
-    pub fn head(&self, status: StatusCode) {
+    pub fn report_head(&self, status: StatusCode) {
         let ticket = self.ticket;
         let _ = self.router.unbounded_send(Message::Head { ticket, status });
     }
@@ -207,15 +207,15 @@
 
 /// What a request asks of the router.
 #[derive(Debug)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// The service.
     pub service: ServiceId,
     /// The key's point.
     pub point: Point,
     /// What the document says of it.
-    pub plan: Plan,
+    pub policy: RequestPolicy,
     /// What it asks for, by which it is known if a target dies of it.
-    pub print: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// When it must have ended.
     pub deadline: Deadline,
     /// When it began to look for a target.
@@ -235,12 +235,12 @@
     Classify(
         Box<Call>,
         Proof,
-        oneshot::Sender<Result<(Call, Plan), Verdict>>,
+        oneshot::Sender<Result<(Call, RequestPolicy), Verdict>>,
     ),
     /// Where may it go?
-    Admit(Box<Ask>, Reply),
+    Admit(Box<AdmissionRequest>, Reply),
     /// It has paused before a further attempt.
-    Again(Box<Ask>, Reply),
+    Retry(Box<AdmissionRequest>, Reply),
     /// The head of an attempt's answer came.
     Head {
         /// The attempt.
@@ -256,7 +256,7 @@
         report: Report,
     },
     /// Until when may this VM send to the owner of a point, who doesn't check grants?
-    Until(
+    LeaseExpiry(
         ServiceId,
         Point,
         Box<Owner>,
@@ -287,11 +287,13 @@
     context: &Context,
     call: Call,
     proof: Proof,
-) -> Result<(Call, Plan), Verdict> {
+) -> Result<(Call, RequestPolicy), Verdict> {
     let (reply, answer) = oneshot::channel();
     let message = Message::Classify(Box::new(call), proof, reply);
     let _ = context.router.unbounded_send(message);
-    answer.await.unwrap_or_else(|_| Err(stopped(proof)))
+    answer
+        .await
+        .unwrap_or_else(|_| Err(stopping_verdict(proof)))
 }
 
 /// Asks for the right to send an attempt; waits for a slot where that is worth it.
@@ -302,16 +304,16 @@
 pub async fn admit(
     context: &Context,
     job: &Job,
-    print: Fingerprint,
+    fingerprint: Fingerprint,
     since: Duration,
     history: &History,
     proof: Proof,
 ) -> Result<Permit, Verdict> {
-    let ask = Ask {
+    let request = AdmissionRequest {
         service: job.call.service.clone(),
         point: job.call.point,
-        plan: job.plan.clone(),
-        print,
+        policy: job.policy.clone(),
+        fingerprint,
         deadline: job.deadline,
         since,
         history: history.clone(),
@@ -320,21 +322,28 @@
     let (reply, answer) = oneshot::channel();
     let _ = context
         .router
-        .unbounded_send(Message::Admit(Box::new(ask), reply));
+        .unbounded_send(Message::Admit(Box::new(request), reply));
     // The router answers by the deadline at the latest.
-    answer.await.unwrap_or_else(|_| Err(stopped(proof)))
+    answer
+        .await
+        .unwrap_or_else(|_| Err(stopping_verdict(proof)))
 }
 
 /// Waits until the right to send to a target that doesn't check grants has lapsed.
 ///
 /// For a target that checks, and for a shared service, it waits for ever.
-pub async fn lapse(context: Context, service: ServiceId, point: Point, lease: Option<Owner>) {
+pub async fn lease_expired(
+    context: Context,
+    service: ServiceId,
+    point: Point,
+    lease: Option<Owner>,
+) {
     let Some(owner) = lease else {
         return future::pending().await;
     };
     loop {
         let (reply, answer) = oneshot::channel();
-        let message = Message::Until(service.clone(), point, Box::new(owner.clone()), reply);
+        let message = Message::LeaseExpiry(service.clone(), point, Box::new(owner.clone()), reply);
         let _ = context.router.unbounded_send(message);
         let until = answer.await.ok().flatten();
         let left = until.and_then(|until| until.checked_sub(context.clock.now()));
@@ -344,11 +353,12 @@
         // Half of what is left: a lease is renewed well before it ends.
         context
             .clock
-            .sleep((left / 2).max(LEASE_POLL).min(left))
+            .sleep((left / 2).max(LEASE_POLL_MIN).min(left))
             .await;
     }
 }
 
-fn stopped(proof: Proof) -> Verdict {
-    Verdict::not_run(&proof, 503, Step::Drain, "self", "the process stops").retry_after(COME_BACK)
+fn stopping_verdict(proof: Proof) -> Verdict {
+    Verdict::not_run(&proof, 503, Step::Drain, "self", "the process stops")
+        .retry_after(DEFAULT_RETRY_AFTER)
 }
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -104,17 +104,17 @@
 /// assert_eq!(answer::read(StatusCode::OK, &headers), Answer::Unknown);
 /// ```
 pub fn read(status: StatusCode, headers: &HeaderMap) -> Answer {
-    let mut words = headers.get_all(OUTCOME).iter();
-    let (word, second) = (words.next(), words.next());
-    let Some(word) = word else {
+    let mut values = headers.get_all(OUTCOME).iter();
+    let (value, second) = (values.next(), values.next());
+    let Some(value) = value else {
         return Answer::Ran;
     };
-    let refused = status.is_client_error() || status.is_server_error();
+    let is_error = status.is_client_error() || status.is_server_error();
     if second.is_some() {
         Answer::Unknown
-    } else if word == Outcome::Ran.as_str() {
+    } else if value == Outcome::Ran.as_str() {
         Answer::Ran
-    } else if word == Outcome::NotRun.as_str() && refused {
+    } else if value == Outcome::NotRun.as_str() && is_error {
         Answer::Refused(Refusal {
             status,
             retry_after: retry_after(headers),
--- a/src/request/call.rs
+++ b/src/request/call.rs
@@ -89,7 +89,7 @@
     /// The caller's id of the request.
     pub id: Option<RequestId>,
     /// How long the caller waits.
-    pub wait: Option<Duration>,
+    pub timeout: Option<Duration>,
 }
 
 impl Call {
@@ -137,7 +137,7 @@
             rest,
             uri: uri.into(),
             id: read_id(&head.headers)?,
-            wait: read_wait(&head.headers)?,
+            timeout: read_timeout(&head.headers)?,
         })
     }
 
@@ -182,7 +182,10 @@
     /// assert_eq!(name, "look-up");
     /// ```
     pub fn class<'a>(&self, document: &'a Document) -> Result<(&'a str, &'a Class), Error> {
-        let taken = document.classes.iter().find(|(_, class)| self.is_of(class));
+        let taken = document
+            .classes
+            .iter()
+            .find(|(_, class)| self.matches_class(class));
         let (name, class) = taken.ok_or(Error::Class)?;
         if !class.idempotent && self.id.is_none() {
             return Err(Error::Id("is required for work that is not idempotent"));
@@ -190,7 +193,7 @@
         Ok((name, class))
     }
 
-    fn is_of(&self, class: &Class) -> bool {
+    fn matches_class(&self, class: &Class) -> bool {
         let method = class.methods.is_empty()
             || class
                 .methods
@@ -209,11 +212,11 @@
 /// ```
 /// use bramleypier::request::call;
 ///
-/// let made = call::made_at("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").unwrap();
-/// assert_eq!(made.as_millis(), 1_645_557_742_000);
-/// assert_eq!(call::made_at("letter-1"), None);
+/// let created = call::created_at("017f22e2-79b0-7cc3-98c4-dc0c0c07398f").unwrap();
+/// assert_eq!(created.as_millis(), 1_645_557_742_000);
+/// assert_eq!(call::created_at("letter-1"), None);
 /// ```
-pub fn made_at(id: &str) -> Option<Duration> {
+pub fn created_at(id: &str) -> Option<Duration> {
     let uuid = Uuid::try_parse(id).ok()?;
     if uuid.get_version_num() != 7 {
         return None;
@@ -301,7 +304,7 @@
     Ok(Some(uuid.unwrap_or_else(|_| id.into())))
 }
 
-fn read_wait(headers: &HeaderMap) -> Result<Option<Duration>, Error> {
+fn read_timeout(headers: &HeaderMap) -> Result<Option<Duration>, Error> {
     let Some(text) = read_single(headers, DEADLINE).map_err(Error::Deadline)? else {
         return Ok(None);
     };
@@ -310,5 +313,5 @@
     if ms == 0 {
         return Err(Error::Deadline("is zero"));
     }
-    Ok(Some(Duration::from_millis(ms).min(deadline::LONGEST)))
+    Ok(Some(Duration::from_millis(ms).min(deadline::MAX_DEADLINE)))
 }
--- a/src/request/deadline.rs
+++ b/src/request/deadline.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// The longest deadline that a header can ask for: a day.
-pub const LONGEST: Duration = Duration::from_hours(24);
+pub const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
 /// The reading of this process's clock at which a request's time ends.
 ///
@@ -30,9 +30,9 @@
     /// let deadline = Deadline::new(second, Some(9 * second), 2 * second);
     /// assert_eq!(deadline.at, 3 * second);
     /// ```
-    pub fn new(now: Duration, asked: Option<Duration>, longest: Duration) -> Self {
-        let span = asked.map_or(longest, |asked| asked.min(longest));
-        Self { at: now + span }
+    pub fn new(now: Duration, requested: Option<Duration>, max: Duration) -> Self {
+        let timeout = requested.map_or(max, |requested| requested.min(max));
+        Self { at: now + timeout }
     }
 
     /// Returns the time that is left, or nothing once less than a millisecond is.
