--- a/src/entry/demand.rs
+++ b/src/entry/demand.rs
@@ -1,21 +1,22 @@
-//! How much each range and each hot key is asked for, from this VM's own requests.
+//! Request rates of key ranges and of hot keys, estimated from the requests of this VM.
 //!
-//! The balancer spreads callers over all VMs alike, so what one VM sees is a fair sample of the whole;
-//! only the proportions matter. Memory is bounded: hot points are found by Misra and Gries' counting,
-//! which misses none that has more than one in [`POINTS`] of a group's requests.
+//! The load balancer spreads callers evenly over all VMs, so the requests of one VM are a fair sample
+//! of the total, and only the proportions matter. Memory is bounded: hot points are found by the
+//! Misra-Gries algorithm, which finds every point with more than one in [`MAX_POINTS`] of a group's
+//! requests.
 
 use indexmap::IndexMap;
 
 use crate::{balance::Load, key::Point, range::Range};
 
-/// How many points are counted at a time.
+/// The largest number of points that are counted at a time.
 pub const MAX_POINTS: usize = 512;
-/// The part of a group's requests from which a point is told apart from its range.
+/// The fraction of a group's requests above which a point is reported apart from its range.
 const HOT_SHARE: f64 = 0.005;
-/// What is left of the counts after each reading, so that they follow what changes.
+/// The factor applied to all counts after each reading, so that old requests lose weight.
 const DECAY_FACTOR: f64 = 0.7;
 
-/// The demand on one group.
+/// Counts the requests for the keys of one group.
 ///
 /// # Example
 ///
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns the loads in ranges that share no point, and lets older counts fade.
+    /// Returns the loads of ranges that don't overlap, and lowers all counts by the decay factor.
     ///
     /// # Example
     ///
@@ -92,7 +93,7 @@
     }
 }
 
-/// Divides a range's load into its hot points and what lies between them.
+/// Splits a range's load into its hot points and the ranges between them.
 fn split_load(range: Range, count: f64, hot: &[(Point, f64)]) -> Vec<Load> {
     let inside = hot.iter().filter(|(point, _)| range.contains(*point));
     let inside: Vec<&(Point, f64)> = inside.collect();
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to a target, again where that is allowed, and classifies what came back.
+//! Sends a request to a target, retries it where that is allowed, and classifies the responses.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -30,14 +30,15 @@
     },
 };
 
-/// The largest answer that is read whole before its head goes to the caller, in bytes: up to
-/// here a cut answer can be asked for again, or be told as an error with a status.
+/// The largest response that is read completely before its head goes to the caller.
+///
+/// Up to this size a truncated response can be retried, or reported as an error with a status.
 const BUFFERED_ANSWER_BYTES: u64 = 64 * 1024;
 
-/// A target's answer, with the right to the slot that it still holds.
+/// A target's response; while its body streams, it holds its slot at the target.
 #[derive(Debug)]
 pub struct Answered {
-    /// The answer; its body may still be under way.
+    /// The response; its body may still be streaming.
     pub response: Response<Body>,
     /// The target's name.
     pub target: String,
@@ -45,11 +46,11 @@
     pub outcome: Outcome,
 }
 
-/// Answers a request that may run more than once.
+/// Answers an idempotent request, which may run more than once.
 ///
 /// # Errors
 ///
-/// The final word, when no target answered.
+/// Returns the verdict for the caller if no target answered.
 pub async fn send_idempotent(
     context: &Context,
     attempt: Attempt<Received>,
@@ -61,14 +62,14 @@
     Ok(answered.response)
 }
 
-/// Answers a request that must run at most once.
+/// Answers an order, which must run at most once.
 ///
-/// It runs in a task of its own, so that it ends, and its outcome is kept, when the caller is
-/// gone half-way.
+/// The order runs in its own task, so that it completes and its outcome is stored even if the caller
+/// disconnects.
 ///
 /// # Errors
 ///
-/// The final word, when no target answered.
+/// Returns the verdict for the caller if no target answered.
 pub async fn send_order(
     context: &Context,
     attempt: Attempt<Received>,
@@ -80,7 +81,7 @@
     let context = context.clone();
     compio::runtime::spawn(async move {
         let result = orders::run(&context, attempt, job, bytes).await;
-        // The caller may be gone; the outcome is kept all the same.
+        // The caller may have disconnected; the outcome is stored anyway.
         let _ = sender.send(result);
     })
     .detach();
@@ -88,14 +89,14 @@
     receiver.await.unwrap_or_else(|_| Err(lost()))
 }
 
-/// Sends a request until a target answers, or until it is given up.
+/// Sends a request until a target answers or no further attempt is allowed.
 ///
-/// Every refusal leads back to the router, which decides whether, when and where to send it again.
-/// Once an attempt has ended without an answer, no later refusal can make the request `not-run`.
+/// After every refusal the router decides whether, when and where to retry. Once an attempt has ended
+/// without a response, no later refusal can make the request `not-run`.
 ///
 /// # Errors
 ///
-/// The final word, when no target answered.
+/// Returns the verdict for the caller if no target answered.
 pub async fn run(
     context: &Context,
     attempt: Attempt<Admitted>,
@@ -111,7 +112,7 @@
             .await
             .map_err(|verdict| history.final_verdict(verdict))?;
         let started = admitted.start(&permit.target);
-        // A body that streams is there for one attempt; the loop ends before a second.
+        // A streaming body can be sent once; the loop ends before a second attempt.
         let body = payload.take().unwrap_or_else(Body::empty);
         match send(context, job, started, permit, body).await {
             AttemptResult::Answered(answered) => return Ok(answered),
@@ -140,7 +141,7 @@
     }
 }
 
-/// Gives up a request whose body has streamed to a target that did not take it.
+/// Returns the verdict of a request whose streaming body is consumed, so that it can't be retried.
 fn consumed_body_verdict(admitted: &Attempt<Admitted>, history: &History) -> Verdict {
     let last = history.last.as_ref();
     let (peer, reason) = last.map_or(("self", ""), |last| (&*last.target, &*last.reason));
@@ -148,7 +149,7 @@
     verdict.retry_after(ticket::DEFAULT_RETRY_AFTER)
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 enum AttemptResult {
     Answered(Answered),
     Refused(Attempt<Admitted>, Refusal, Permit),
@@ -156,7 +157,7 @@
     Lost(Verdict, Permit),
 }
 
-/// Makes one attempt.
+/// Sends one attempt and classifies its result.
 async fn send(
     context: &Context,
     job: &Job,
@@ -189,7 +190,7 @@
     let result = match future::select(sending, Box::pin(expired)).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => {
-            let reason = "the lease to send to the target lapsed";
+            let reason = "the lease to send to the target expired";
             let verdict = Verdict::unknown(502, Step::Grant, &permit.target, reason);
             return AttemptResult::Lost(verdict, permit);
         }
@@ -226,7 +227,7 @@
     AttemptResult::Lost(verdict, permit)
 }
 
-/// Classifies the head of an answer, and reads small answers whole.
+/// Classifies the head of a response, and reads small bodies completely.
 async fn classify(
     context: &Context,
     job: &Job,
@@ -241,7 +242,7 @@
             AttemptResult::Refused(admitted, refusal, permit)
         }
         Answer::Unknown => {
-            let reason = "the target doesn't know";
+            let reason = "the target doesn't know whether the request ran";
             let verdict = Verdict::unknown(502, Step::Answer, &permit.target, reason);
             AttemptResult::Lost(verdict, permit)
         }
@@ -249,7 +250,7 @@
     }
 }
 
-/// Passes on an answer of work that ran.
+/// Passes on the response of a request that ran: small bodies buffered, others streamed.
 async fn pass_on_answer(
     context: &Context,
     job: &Job,
@@ -302,12 +303,12 @@
     let limit = usize::try_from(BUFFERED_ANSWER_BYTES).unwrap_or(usize::MAX);
     match context.clock.timeout(left, body::read(body, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(_)) => Err("the answer was cut short"),
-        Err(_) => Err("the answer came too slowly"),
+        Ok(Err(_)) => Err("the response was truncated"),
+        Err(_) => Err("the response did not complete before the deadline"),
     }
 }
 
-/// Tells the target that nobody waits any more, unless it is disarmed first.
+/// Cancels the attempt at the target when dropped, unless it was disarmed before.
 #[derive(Debug)]
 pub struct CancelGuard {
     armed: Option<Armed>,
@@ -331,12 +332,12 @@
         }
     }
 
-    /// Lets the attempt be: it has ended.
+    /// Turns the cancellation off, as the attempt has ended.
     pub fn disarm(&mut self) {
         self.armed = None;
     }
 
-    /// Hands the duty to cancel to another owner.
+    /// Moves the armed state into a new guard, and disarms this one.
     #[must_use]
     pub fn take(&mut self) -> Self {
         Self {
@@ -359,7 +360,7 @@
     }
 }
 
-/// Returns what a target's answer says of an order.
+/// Returns the outcome of a request.
 pub fn outcome(result: &Result<Answered, Verdict>) -> Outcome {
     match result {
         Ok(answered) => answered.outcome,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,15 +1,17 @@
-//! Entry: takes callers' requests, sends each to its key's owner, and answers truthfully.
+//! Entry: accepts callers' requests and sends each to the owner of its key.
 //!
-//! One task per connection runs [`handle`]. It owns the request; what is shared (routes, limits,
-//! outcomes of orders) belongs to other tasks, which it asks by messages.
+//! Every response says whether the request ran. One task per connection runs [`handle`] and owns the
+//! request. Shared state (routes, limits, outcomes of orders) belongs to other tasks, which it asks
+//! by messages.
 //!
-//! - [`router`] says where a request may go, and when;
-//! - [`demand`] counts what is asked for;
-//! - [`ticket`] is what a request and the router say to each other;
-//! - [`orders`] says whether an order may run;
-//! - [`forward`] sends it and classifies what came back;
-//! - [`payload`] keeps or passes on what the caller sent;
-//! - [`reply`] makes answers of our own, and passes a target's on.
+//! - [`router`] decides where a request may go, and when;
+//! - [`demand`] counts requests per range and hot key;
+//! - [`ticket`] has the messages between a request and the router;
+//! - [`orders`] decides whether an order may run;
+//! - [`forward`] sends a request and classifies the responses;
+//! - [`response_body`] streams a target's response body to the caller;
+//! - [`payload`] buffers or streams the body of a request;
+//! - [`reply`] builds local responses, and prepares the heads of targets' responses.
 
 pub mod demand;
 pub mod forward;
@@ -37,36 +39,36 @@
     vm::recorder::Recorder,
 };
 
-/// Where the balancer's health check looks.
+/// The path of the load balancer's health check.
 const HEALTH_PATH: &str = "/healthz";
 
-/// What the task of a connection needs.
+/// The shared handles that a connection's task needs.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// The process's clock.
     pub clock: Clock,
     /// This VM.
     pub vm: VmId,
-    /// Asks the router.
+    /// Sends messages to the router.
     pub router: mpsc::UnboundedSender<ticket::Message>,
     /// Sends messages to the task for orders.
     pub orders: mpsc::UnboundedSender<orders::Message>,
-    /// Sends work to targets.
+    /// Sends requests to targets.
     pub sender: target::Sender,
-    /// Whether the process takes new work.
+    /// Whether the process accepts new requests.
     pub health: Health,
-    /// The time line, the metrics and the log.
+    /// The timeline, the metrics and the log.
     pub recorder: Recorder,
 }
 
-/// Whether the process takes new work, for the balancer.
+/// Whether the process accepts new requests, as the load balancer's health check reports it.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     serving: Rc<Cell<bool>>,
 }
 
 impl Health {
-    /// Says whether the balancer should send requests; those that arrive all the same are served.
+    /// Sets whether the load balancer should send requests; those that arrive anyway are served.
     pub fn set(&self, is_serving: bool) {
         self.serving.set(is_serving);
     }
@@ -83,17 +85,17 @@
 /// A request that was read and classified.
 #[derive(Debug)]
 pub struct Job {
-    /// What the caller asked.
+    /// The caller's request, parsed.
     pub call: Call,
     /// The caller's method and headers.
     pub head: Parts,
-    /// What the service's document says of it.
+    /// The rules of the service's document for it.
     pub policy: ticket::RequestPolicy,
-    /// When it must have ended.
+    /// Its deadline.
     pub deadline: Deadline,
 }
 
-/// Answers one request of a caller.
+/// Answers one request of a caller, or the load balancer's health check.
 pub async fn handle(context: Context, request: Request<Incoming>) -> Response<Body> {
     if request.method() == Method::GET && request.uri().path() == HEALTH_PATH {
         return context.health.answer();
@@ -114,7 +116,7 @@
     }
 }
 
-/// What the time line says of a request that was refused or lost.
+/// What the timeline records about a request that was refused or lost.
 struct Subject {
     path: String,
     id: Option<RequestId>,
@@ -134,7 +136,7 @@
     }
 
     fn record(&self, recorder: &Recorder, verdict: &Verdict) {
-        // A name that no document knows must not become a name in the metrics.
+        // The name of an unknown service must not become a label in the metrics.
         let is_known = verdict.step != Step::Parse && verdict.step != Step::Route;
         let service = self.service().filter(|_| is_known);
         let (metric, kind) = match verdict.outcome() {
@@ -157,7 +159,7 @@
     }
 }
 
-/// Reads and classifies a request, and hands it on by its kind.
+/// Reads and classifies a request, and sends it as idempotent work or as an order.
 async fn serve(
     context: &Context,
     attempt: Attempt<Received>,
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -1,5 +1,7 @@
-//! The desk for orders: its task owns what this VM knows of them, as entry VM and as home or
-//! standby of shards; requests ask it whether an order may run, and tell it how it ended.
+//! The task that owns this VM's state of orders, both as an entry VM and as home or standby of shards.
+//!
+//! A request asks the task whether its order may run, and reports how the order ended. An order that
+//! ran before is answered with its stored outcome, so that a resend doesn't run it twice.
 
 use std::time::Duration;
 
@@ -27,57 +29,57 @@
     vm::{Parts, gone::Gone, mail, news, news::Fleet, ticks, wire},
 };
 
-/// How often the task is woken.
+/// The interval of [`Message::Tick`].
 const TICK: Duration = Duration::from_millis(50);
-/// The largest answer that is kept with an outcome, in bytes.
+/// The largest response body that is stored with an outcome, in bytes.
 const STORED_ANSWER_BYTES: usize = 4 * 1024;
-/// How long a caller is asked to wait before it asks again for an outcome.
+/// How long a caller is asked to wait before it asks for the outcome again.
 const OUTCOME_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Who is named when no target is to blame.
+/// The peer that is named when no target caused the outcome.
 const ORDERS_PEER: &str = "orders";
 
-/// A message to the desk.
+/// A message to the task for orders.
 #[derive(Debug)]
 pub enum Message {
-    /// Time has passed.
+    /// The periodic wake-up.
     Tick,
     /// The fleet has changed.
     Fleet(Fleet),
     /// The platform's list of VMs was read.
     Listed(Vec<platform::ListedVm>),
-    /// The views of orders were read, or heard of.
+    /// The views of orders were read from the platform or received from another VM.
     Views(Version, Bytes),
-    /// There are no views in the platform's service yet.
+    /// The platform stores no views yet.
     NoViews,
-    /// Another VM writes.
+    /// A message from another VM.
     Peer(VmId, order::Message),
-    /// May this order run?
+    /// Asks whether an order may run.
     Begin {
         /// The order.
         order: Order,
-        /// How long the caller waits for the answer.
+        /// How long the caller still waits for the response.
         left: Duration,
-        /// Where the order's number at this VM and the decision go.
+        /// Receives the order's token at this VM, and the decision.
         reply: oneshot::Sender<(u64, Decision)>,
     },
-    /// An order that was to run has ended.
+    /// An order that was allowed to run has ended.
     Ended(u64, End),
-    /// This VM stops: it hands its duties over.
+    /// This VM stops: it hands over its roles as home and standby.
     Leave,
-    /// What is still under way here?
+    /// Asks which work is still in progress at this VM.
     Idle(oneshot::Sender<Idle>),
 }
 
-/// What a stopping VM has still to wait for.
+/// Which work of a stopping VM has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Idle {
-    /// No order of this entry VM is under way.
+    /// No order of this entry VM is in progress.
     pub orders: bool,
     /// No shard is left to hand over.
     pub shards: bool,
 }
 
-/// The task's state.
+/// The state of the task for orders.
 #[derive(Debug)]
 pub struct OrderTask {
     parts: Parts,
@@ -94,7 +96,7 @@
 }
 
 impl OrderTask {
-    /// Creates the task's state.
+    /// Creates the task's state, without views and without orders.
     pub fn new(parts: Parts) -> Self {
         Self {
             ledger: Ledger::new(&parts.me.vm, parts.memory),
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Serves messages until nobody can send any more.
+    /// Handles messages until all senders are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         ticks::start(&self.parts.clock, &self.parts.tasks.orders, TICK, || {
             Message::Tick
@@ -154,7 +156,7 @@
         self.starter(starter::Event::Tick);
         let (held, _) = self.ledger.size();
         self.parts.recorder.set(&metrics::ORDERS_HELD, held as u64);
-        // A caller that no longer waits needs no decision.
+        // A caller that has disconnected needs no decision.
         let left: Vec<u64> = self
             .pending
             .iter()
@@ -180,7 +182,7 @@
         });
     }
 
-    /// Hands a message to the side that it is for; a question is for both.
+    /// Passes a message to the state machine that it is for: the starter or the ledger.
     fn peer(&mut self, from: VmId, message: order::Message) {
         if message.is_for_starter() {
             self.starter(starter::Event::Message { from, message });
@@ -189,9 +191,9 @@
         }
     }
 
-    // --- What is known of the fleet and the views ---
+    // --- The fleet and the views ---
 
-    /// Notes which members of views are gone for certain.
+    /// Records which members of views are certainly gone.
     fn listed(&mut self, list: &[platform::ListedVm]) {
         let members = self.views.shards.iter().flat_map(order::View::members);
         let named: IndexSet<VmId> = members.cloned().collect();
@@ -255,7 +257,7 @@
         self.starter(starter::Event::Views { version, views });
     }
 
-    // --- The machines ---
+    // --- The state machines ---
 
     fn ledger(&mut self, event: ledger::Event) {
         let effects = self.ledger.on(self.parts.clock.now(), event);
@@ -281,7 +283,7 @@
         self.record_changes(&notes);
     }
 
-    /// Tells a request what was decided; an order whose caller has gone is given up before it starts.
+    /// Sends the decision to the request; an order whose caller has disconnected is cancelled before it starts.
     fn decide(&mut self, token: u64, decision: Decision) {
         let Some(reply) = self.pending.swap_remove(&token) else {
             return;
@@ -294,7 +296,7 @@
         }
     }
 
-    /// Sends a message; what this VM has to say to itself takes no wire.
+    /// Sends a message; one to this VM itself bypasses the network.
     fn send(&self, to: VmId, message: order::Message) {
         if to == self.parts.me.vm {
             let message = Message::Peer(to, message);
@@ -311,7 +313,7 @@
             let message = match parts.platform.get(platform::ORDERS).await {
                 Ok(Some((version, bytes))) => Message::Views(version, bytes),
                 Ok(None) => Message::NoViews,
-                // The machines ask again.
+                // The state machines ask again.
                 Err(_) => return,
             };
             let _ = parts.tasks.orders.unbounded_send(message);
@@ -319,7 +321,7 @@
         .detach();
     }
 
-    /// Writes the views by compare-and-swap; whatever became of it, what stands is read then.
+    /// Writes the views by compare-and-swap; if the write fails, reads the current views.
     fn write(&self, base: Version, views: &Views) {
         let parts = self.parts.clone();
         let Ok(bytes) = peer::encode(views) else {
@@ -342,7 +344,7 @@
         .detach();
     }
 
-    /// Records changes of views: one event for all shards that change alike.
+    /// Records changes of views on the timeline: one event for all shards with the same change.
     fn record_changes(&self, notes: &[order::Note]) {
         let mut grouped: IndexMap<(order::Change, order::ViewNumber), Vec<String>> =
             IndexMap::new();
@@ -362,11 +364,11 @@
     }
 }
 
-/// Runs an order unless it ran before; its outcome is kept either way.
+/// Runs an order unless it ran before, and records its outcome.
 ///
 /// # Errors
 ///
-/// The final word, when no target answered.
+/// Returns the verdict for the caller if the order may not run or no target answered it.
 pub async fn run(
     context: &Context,
     attempt: Attempt<Received>,
@@ -414,7 +416,7 @@
     result
 }
 
-/// Returns the order that a request is; the same id at another service is another order.
+/// Returns the order of a request with an id; the same id at another service is another order.
 fn order_of(job: &Job, bytes: &Bytes) -> Option<Order> {
     let id = job.call.id.as_ref()?;
     Some(Order {
@@ -439,17 +441,17 @@
 
 fn unknown_verdict(why: UnknownReason) -> Verdict {
     let (status, reason) = match why {
-        UnknownReason::Lost => (502, "it may have run before; nobody knows any more"),
-        UnknownReason::Running => (409, "it is still running"),
+        UnknownReason::Lost => (502, "the order may have run before; its outcome is lost"),
+        UnknownReason::Running => (409, "the order is still running"),
         UnknownReason::NoReply => (
             503,
-            "who remembers it did not answer; this attempt did not run",
+            "the VM that stores its outcome did not answer; this attempt did not run",
         ),
         UnknownReason::MemoryFull => (
             503,
-            "there is no room to remember it; this attempt did not run",
+            "the memory for outcomes of orders is full; this attempt did not run",
         ),
-        UnknownReason::DatedAhead => (400, "its id is dated too far ahead"),
+        UnknownReason::DatedAhead => (400, "the timestamp in its id is too far in the future"),
     };
     let verdict = Verdict::unknown(status, Step::Order, ORDERS_PEER, reason);
     match why {
@@ -460,7 +462,7 @@
     }
 }
 
-/// Makes the answer of an order that ran before.
+/// Builds the response for an order that ran before, from its stored answer.
 fn replay(answer: &Answer) -> Response<Body> {
     let body = answer.body.clone().unwrap_or_default();
     let mut response = Response::new(Body::from(body));
@@ -473,7 +475,7 @@
     response
 }
 
-/// Keeps what a later resend is to hear: the status, the media type and a small body.
+/// Returns the response with the answer to store for later resends: status, media type and a small body.
 async fn capture_answer(response: Response<Body>) -> (Response<Body>, Answer) {
     let (head, body) = response.into_parts();
     let media = head.headers.get(header::CONTENT_TYPE);
@@ -487,7 +489,7 @@
         answer.body = None;
         return (Response::from_parts(head, body), answer);
     };
-    // A whole body is in memory; collecting it can't fail.
+    // The body is in memory, so collecting it can't fail.
     let bytes = whole.collect().await.map(Collected::to_bytes);
     let bytes = bytes.unwrap_or_default();
     let answer = Answer::new(status, &media, &bytes, STORED_ANSWER_BYTES);
--- a/src/entry/payload.rs
+++ b/src/entry/payload.rs
@@ -1,5 +1,7 @@
-//! Bodies of callers' requests: small ones are kept whole, so that they can be sent again; large
-//! ones stream through once, with bounded memory.
+//! Bodies of callers' requests.
+//!
+//! Small bodies are buffered, so that they can be sent again. Large ones are streamed once, with
+//! bounded memory.
 
 use std::{
     pin::Pin,
@@ -15,24 +17,24 @@
     util::body::{self, Body, Cause},
 };
 
-/// The largest body that is kept whole for idempotent work, in bytes.
+/// The largest body that is buffered for idempotent requests.
 const BUFFER_LIMIT_BYTES: u64 = 64 * 1024;
-/// Who is named when the caller's own input is at fault.
+/// The peer that errors of the caller's input name.
 const CALLER: &str = "caller";
 
 /// A request's body.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of it; it can be sent again.
+    /// The complete body, which can be sent again.
     Buffered(Bytes),
-    /// Passed on as it comes, once.
+    /// A body that is streamed as it arrives, and can be sent once.
     Streaming(Box<LimitedBody>),
-    /// It was passed on; there is nothing left to send.
+    /// The streaming body was sent; nothing is left to send.
     Consumed,
 }
 
 impl Payload {
-    /// Returns the body to send, or nothing when it can't be sent again.
+    /// Returns the body to send, or `None` if it can't be sent again.
     pub fn take(&mut self) -> Option<Body> {
         match std::mem::replace(self, Self::Consumed) {
             Self::Buffered(bytes) => {
@@ -44,27 +46,28 @@
         }
     }
 
-    /// Returns what the request is known by, if a target dies of it.
+    /// Returns the fingerprint by which the quarantine identifies the request.
     pub fn fingerprint(&self, job: &Job) -> Fingerprint {
         let body: &[u8] = match self {
             Self::Buffered(bytes) => bytes,
-            // A body that streams isn't known yet; the rest must do.
+            // The content of a streaming body isn't known yet, so only method and URI count.
             Self::Streaming(_) | Self::Consumed => &[],
         };
         request::fingerprint(&job.call.method, &job.call.uri, body)
     }
 
-    /// Returns whether the body can be sent (again).
+    /// Returns whether the body can be sent, for the first time or again.
     pub fn is_sendable(&self) -> bool {
         !matches!(self, Self::Consumed)
     }
 }
 
-/// Takes the body of idempotent work: kept when it is small, passed on when it isn't.
+/// Reads the body of an idempotent request: buffered if it is small, otherwise streamed.
 ///
 /// # Errors
 ///
-/// The body is over the service's limit, was cut short, or came too slowly. Nothing ran.
+/// Returns a verdict if the body is over the service's limit, truncated, or not complete by the
+/// deadline. Nothing ran.
 pub async fn read(
     entry: &Entry,
     attempt: &Attempt<Received>,
@@ -84,11 +87,12 @@
     })))
 }
 
-/// Reads the whole body of work that is not idempotent.
+/// Reads the complete body of a request, up to the service's limit.
 ///
 /// # Errors
 ///
-/// The body is over the service's limit, was cut short, or came too slowly. Nothing ran.
+/// Returns a verdict if the body is over the service's limit, truncated, or not complete by the
+/// deadline. Nothing ran.
 pub async fn read_whole(
     entry: &Entry,
     attempt: &Attempt<Received>,
@@ -109,12 +113,12 @@
         Ok(Err(cause)) if cause.is::<http_body_util::LengthLimitError>() => {
             Err(refuse(413, "the body is over the service's limit"))
         }
-        Ok(Err(_)) => Err(refuse(400, "the body was cut short")),
-        Err(_) => Err(refuse(408, "the body came too slowly")),
+        Ok(Err(_)) => Err(refuse(400, "the body was truncated")),
+        Err(_) => Err(refuse(408, "the body did not complete before the deadline")),
     }
 }
 
-/// Refuses a body whose stated length is over the limit, before it is read.
+/// Refuses a body whose `Content-Length` is over the limit, before it is read.
 fn check_length(attempt: &Attempt<Received>, job: &Job) -> Result<(), Verdict> {
     let stated = job.head.headers.get(header::CONTENT_LENGTH);
     let length = stated.and_then(|value| value.to_str().ok()?.parse::<u64>().ok());
@@ -129,7 +133,7 @@
     Verdict::not_run(&proof, status, Step::Parse, CALLER, reason)
 }
 
-/// A body passed on as it comes, up to a limit.
+/// A body that is streamed as it arrives, up to a limit in bytes.
 #[derive(Debug)]
 pub struct LimitedBody {
     body: Incoming,
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: our own, and targets' passed on.
+//! Responses to callers: local ones, and the heads of targets' responses.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
     util::body::Body,
 };
 
-/// Makes a short answer in plain text.
+/// Returns a local response in plain text.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut response = Response::new(Body::from(text));
     *response.status_mut() = status;
     response
 }
 
-/// Makes the answer that a verdict gives.
+/// Returns the local response for a verdict.
 pub fn verdict(verdict: &Verdict) -> Response<Body> {
     let mut response = Response::new(Body::from(verdict.body()));
     *response.status_mut() =
@@ -33,14 +33,14 @@
     response
 }
 
-/// Sets the headers that tell the outcome, and where it arose.
+/// Sets the headers for the outcome, and for the step and peer at which it arose.
 pub fn mark(headers: &mut HeaderMap, outcome: Outcome, step: Step, peer: &str) {
     set(headers, request::OUTCOME, outcome.as_str());
     set(headers, request::STEP, step.as_str());
     set(headers, request::PEER, peer);
 }
 
-/// Prepares the head of a target's answer for the caller.
+/// Prepares the headers of a target's response for the caller.
 pub fn pass_on(headers: &mut HeaderMap, peer: &str) {
     target::drop_hop_headers(headers);
     mark(headers, Outcome::Ran, Step::Answer, peer);
@@ -54,7 +54,7 @@
 }
 
 fn set(headers: &mut HeaderMap, name: &'static str, value: &str) {
-    // A target's or VM's name holds only visible ASCII; anything else is left out.
+    // Names of targets and VMs are visible ASCII; a header with any other value is left out.
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(HeaderName::from_static(name), value);
     }
--- a/src/entry/response_body.rs
+++ b/src/entry/response_body.rs
@@ -1,4 +1,4 @@
-//! A target's answer on its way to the caller.
+//! Streaming of a target's response body to the caller.
 
 use std::{
     fmt,
@@ -17,10 +17,10 @@
 };
 use crate::{id::ServiceId, metrics, util::body::Cause, vm::recorder::Recorder};
 
-/// Passes a body on frame by frame, holding the target's slot until it ends.
+/// Streams a body frame by frame, and holds the target's slot until the body ends.
 ///
-/// When the body is cut, the deadline passes, or the right to send lapses, it ends in an error, which makes hyper break the
-/// caller's connection: an answer cut short never looks whole.
+/// If the body is truncated, the deadline passes, or the lease to send expires, it ends in an error.
+/// hyper then closes the caller's connection, so that a truncated response never looks complete.
 pub struct ResponseBody {
     body: Incoming,
     permit: Option<Permit>,
@@ -31,7 +31,7 @@
 }
 
 impl ResponseBody {
-    /// Takes over a body, with the slot that it holds and the duty to cancel it.
+    /// Takes over a body, its permit, and the guard that cancels the attempt.
     pub fn new(
         context: &Context,
         job: &Job,
@@ -97,7 +97,7 @@
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Ok(frame))) => {
-                // Of a body of known length hyper doesn't ask for the end.
+                // hyper doesn't poll a body of known length for its end.
                 if this.body.is_end_stream() {
                     this.cancel.disarm();
                     this.end(Report::Ended);
@@ -110,14 +110,13 @@
             }
             Poll::Pending if this.timer.as_mut().poll(context).is_ready() => {
                 this.end(Report::Lost);
-                Poll::Ready(Some(Err("the deadline passed, or the lease".into())))
+                Poll::Ready(Some(Err("the deadline passed or the lease expired".into())))
             }
             Poll::Pending => Poll::Pending,
         }
     }
 
-    // `is_end_stream` is left at its default, so that hyper asks for the end, and the slot is freed
-    // then.
+    // `is_end_stream` keeps its default, so that hyper polls for the end, which frees the slot.
 
     fn size_hint(&self) -> SizeHint {
         self.body.size_hint()
--- a/src/entry/router/admission.rs
+++ b/src/entry/router/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: where a request goes, when, and what it hears if it goes nowhere.
+//! Admission: decides to which target a request goes, and when, or why it is refused.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -19,23 +19,23 @@
     timeline::stamp,
 };
 
-/// The first pause of a request whose key has no owner that answers; it doubles.
+/// The first pause of a request whose key has no available owner; it doubles with each retry.
 const OWNER_RETRY_MIN: Duration = Duration::from_millis(10);
-/// The longest such pause.
+/// The longest pause of a request whose key has no available owner.
 const OWNER_RETRY_MAX: Duration = Duration::from_millis(80);
-/// The longest pause before a suspect that left the gate again is looked at anew.
+/// The longest pause before a suspect request that was admitted and had to wait again is retried.
 const SUSPECT_RETRY_MAX: Duration = Duration::from_millis(100);
-/// Deaths of a shared service's target within this span count as one: it has no start to name.
+/// Deaths of a shared service's target within this time count as one, as no boot id tells them apart.
 const DEATH_WINDOW: Duration = Duration::from_secs(10);
 
 impl Router {
-    /// Takes a request, or decides whether it may be tried again.
+    /// Admits a new request, or decides whether an earlier one may be retried.
     pub(super) fn admit(&mut self, request: Box<AdmissionRequest>, reply: Reply) {
         let Some(last) = request.history.last.clone() else {
             return self.route(request, reply);
         };
         if last.misdirected {
-            // The owner is changing; nothing ran, and the request waits for the new one.
+            // The owner is changing. Nothing ran, so the request waits for the new owner.
             return self.wait_for_owner(request, reply, Step::Grant, "the key's owner is changing");
         }
         let tried = FailedAttempt {
@@ -65,7 +65,7 @@
         self.retry_later(request, reply, pause);
     }
 
-    /// Finds a request's target, and asks its gate.
+    /// Chooses a request's target, checks the quarantine, and queues the request for the target.
     pub(super) fn route(&mut self, request: Box<AdmissionRequest>, reply: Reply) {
         if reply.is_canceled() {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Stands at the gate of the target.
+    /// Adds a request to the admission queue of its target.
     pub(super) fn enqueue(
         &mut self,
         now: Duration,
@@ -138,7 +138,7 @@
         self.on_queue_event(now, &name, event);
     }
 
-    /// Feeds a gate, and carries out what it decides.
+    /// Passes an event to a target's admission queue, and applies the queue's decisions.
     pub(super) fn on_queue_event(
         &mut self,
         now: Duration,
@@ -160,7 +160,9 @@
         }
     }
 
-    /// Gives a request its permit. One whose owner has changed while it waited looks again.
+    /// Sends a request its permit.
+    ///
+    /// A suspect that must not run now gives its slot back and retries.
     pub(super) fn issue_permit(&mut self, now: Duration, ticket: Ticket) {
         let Some(QueuedRequest {
             request,
@@ -170,7 +172,7 @@
         else {
             return;
         };
-        // Another suspect may have gone in while this one stood at the gate: it waits its turn.
+        // Another suspect may have been admitted while this one was queued, so it has to wait.
         let check = self
             .quarantine
             .check(stamp::wall(), request.fingerprint, &destination.target);
@@ -225,7 +227,7 @@
             owner,
             router,
         );
-        // A permit that nobody takes reports itself as abandoned.
+        // If the caller has disconnected, the dropped permit reports itself as abandoned.
         let _ = reply.send(Ok(permit));
     }
 
@@ -249,7 +251,9 @@
                 Step::Limit,
                 "the target is busy, and the wait would be too long",
             ),
-            RefusalReason::QueueTimeout => (503, Step::Queue, "the target stayed busy"),
+            RefusalReason::QueueTimeout => {
+                (503, Step::Queue, "the target had no free slot in time")
+            }
             RefusalReason::Unreachable => (503, Step::Connect, "the target can't be reached"),
             RefusalReason::Draining => (503, Step::Drain, "the target is leaving"),
         };
@@ -257,7 +261,7 @@
         let _ = reply.send(Err(verdict.retry_after(retry)));
     }
 
-    /// Finds where a request is to go.
+    /// Returns the destination of a request.
     pub(super) fn destination(
         &self,
         request: &AdmissionRequest,
@@ -279,13 +283,13 @@
         let owner = self.owner(document, request.point);
         let owner = owner.ok_or(RouteError::Retry(
             Step::Route,
-            "the key has no owner known here",
+            "this VM knows no owner of the key",
         ))?;
         if owner.fencing == Fencing::Unchecked {
             let until = self.lease_expiry(document, request.point, &owner);
             until.filter(|until| *until > now).ok_or(RouteError::Retry(
                 Step::Grant,
-                "no lease to send to the key's owner",
+                "this VM has no lease to send to the key's owner",
             ))?;
         }
         let target = document.targets.get(&owner.target);
@@ -308,10 +312,13 @@
     ) -> Result<Destination, RouteError> {
         let pool = self.pools.get(&request.service);
         let name = pool.and_then(|pool| pool.pick(now, self.next_random()));
-        let none = RouteError::Retry(Step::Route, "the service has no target that takes work");
+        let none = RouteError::Retry(Step::Route, "the service has no available target");
         let name = name.ok_or(none)?;
         let target = document.targets.get(&name);
-        let none = RouteError::Retry(Step::Route, "the document no longer names the target");
+        let none = RouteError::Retry(
+            Step::Route,
+            "the service's document no longer has the target",
+        );
         let target = target.ok_or(none)?;
         Ok(Destination {
             address: self.address(request, &target.address)?,
@@ -330,7 +337,7 @@
         text: &str,
     ) -> Result<SocketAddr, RouteError> {
         text.parse().map_err(|_| {
-            let reason = "the target's address is no address";
+            let reason = "the target's address is invalid";
             let vm = &self.parts.me.vm;
             RouteError::Refused(Box::new(Verdict::not_run(
                 &request.proof,
@@ -342,9 +349,9 @@
         })
     }
 
-    /// Lets a request wait for an owner that takes it, for as long as its class may queue.
+    /// Lets a request wait for an available owner, for as long as its class may queue.
     ///
-    /// Nothing reaches a target meanwhile, so this needs no part of the retry budget.
+    /// Nothing is sent to a target meanwhile, so this doesn't use the retry budget.
     pub(super) fn wait_for_owner(
         &mut self,
         request: Box<AdmissionRequest>,
@@ -365,7 +372,7 @@
             let _ = reply.send(Err(verdict.retry_after(DEFAULT_RETRY_AFTER)));
             return;
         }
-        // It waits about as long again as it has waited.
+        // A pause as long as the wait so far doubles the total wait.
         let pause = waited
             .clamp(OWNER_RETRY_MIN, OWNER_RETRY_MAX)
             .min(longest.saturating_sub(waited));
@@ -391,7 +398,10 @@
     pub(super) fn deadline_verdict(&self, request: &AdmissionRequest) -> Verdict {
         let (peer, reason) = match &request.history.last {
             Some(last) => (last.target.as_str(), last.reason.as_str()),
-            None => (self.parts.me.vm.as_str(), "no target took it in time"),
+            None => (
+                self.parts.me.vm.as_str(),
+                "no target accepted the request before its deadline",
+            ),
         };
         let verdict = Verdict::not_run(&request.proof, 503, Step::Deadline, peer, reason);
         verdict.retry_after(DEFAULT_RETRY_AFTER)
@@ -424,7 +434,7 @@
     }
 }
 
-/// Returns the start of a shared service's target: it tells none, so time stands in for it.
+/// Returns a boot id for a shared service's target, made from the time, as such targets report none.
 fn time_as_boot() -> BootId {
     let span = stamp::wall().as_secs() / DEATH_WINDOW.as_secs();
     format!("at-{span}")
--- a/src/entry/router/completion.rs
+++ b/src/entry/router/completion.rs
@@ -1,4 +1,4 @@
-//! Endings: what limits, retries, pools and the quarantine learn from an attempt.
+//! Completion of attempts: updates limits, retry budgets, pools and the quarantine.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes the end of an attempt: limits, budget, pool and quarantine learn from it.
+    /// Handles the end of an attempt: updates the target's limit, the budget, the pool and the quarantine.
     pub(super) fn on_done(&mut self, ticket: Ticket, report: &Report) {
         let Some(attempt) = self.in_flight.swap_remove(&ticket) else {
             return;
@@ -55,7 +55,7 @@
         let items = self.quarantine.on(stamp::wall(), event);
         self.publish_suspects(items);
         if matches!(report, Report::Unsent(true)) {
-            // Nobody listens there any more: whatever was in flight is suspect.
+            // The target refuses connections, so it has died, and its requests in flight are suspects.
             self.on_target_death(&attempt.name, attempt.boot);
         }
         self.on_queue_event(
@@ -81,7 +81,7 @@
         self.publish_suspects(items);
     }
 
-    /// Tells the fleet of suspects; a cleared one is a newer version of the same item.
+    /// Publishes suspects to all VMs; a cleared suspect is a newer version of the same item.
     pub(super) fn publish_suspects(&self, items: Vec<quarantine::Suspect>) {
         for item in items {
             let Ok(bytes) = peer::encode(&vec![item.clone()]) else {
@@ -109,7 +109,7 @@
 fn sample(report: &Report, taken: Duration) -> Sample {
     match report {
         Report::Answered(_) | Report::Ended => Sample::Answered(taken),
-        // Whoever doesn't own the key is not overloaded.
+        // A target that doesn't own the key isn't overloaded.
         Report::Refused(refusal) if refusal.is_misdirected() => Sample::Cancelled,
         Report::Refused(_) => Sample::Shed,
         Report::Unsent(_) => Sample::Unreachable,
--- a/src/entry/router/mod.rs
+++ b/src/entry/router/mod.rs
@@ -1,9 +1,9 @@
-//! The router's task: it owns documents, routes, limits, retries and the quarantine, and says where
-//! a request may go, and when.
+//! The router's task: owns documents, routes, limits, retries and the quarantine, and decides where a
+//! request may go, and when.
 //!
-//! - `state` is what it knows;
-//! - `admission` is a request's way to a target;
-//! - `completion` is what it learns from how an attempt ended.
+//! - `state` updates documents, routes, queues and pools;
+//! - `admission` chooses targets and issues permits;
+//! - `completion` handles the ends of attempts.
 
 mod admission;
 mod completion;
@@ -34,13 +34,13 @@
     vm::{Parts, ticks},
 };
 
-/// How often the task is woken.
+/// The interval of [`Message::Tick`].
 const TICK: Duration = Duration::from_millis(20);
 
-/// A target of a service.
+/// Identifies a target by its service and name.
 type TargetKey = (ServiceId, TargetId);
 
-/// Where a request is to go.
+/// The target that a request is sent to.
 struct Destination {
     target: TargetId,
     address: SocketAddr,
@@ -48,7 +48,7 @@
     slots: Slots,
 }
 
-/// A request that waits at a gate.
+/// A request in a target's admission queue.
 struct QueuedRequest {
     request: Box<AdmissionRequest>,
     reply: Reply,
@@ -63,11 +63,11 @@
     head: Option<(StatusCode, Duration)>,
 }
 
-/// Why a request gets no goal.
+/// Why a request has no destination.
 enum RouteError {
-    /// Ask again after a pause: this passes by itself.
+    /// The cause is temporary, so the request retries after a pause.
     Retry(Step, &'static str),
-    /// It is over.
+    /// The request is refused.
     Refused(Box<Verdict>),
 }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Serves messages until nobody can send any more.
+    /// Handles messages until all senders are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         ticks::start(&self.parts.clock, &self.parts.tasks.router, TICK, || {
             Message::Tick
--- a/src/entry/router/state.rs
+++ b/src/entry/router/state.rs
@@ -1,4 +1,4 @@
-//! What the router knows: documents, routes, and the gates and pools that follow from them.
+//! The router's state: documents, routes, and the admission queues and pools derived from them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -15,7 +15,7 @@
     vm::{notes, owners},
 };
 
-/// How often the grantors hear what is asked for.
+/// The interval at which the grantors receive the request rates.
 const DEMAND_PERIOD: Duration = Duration::from_secs(5);
 
 impl Router {
@@ -42,14 +42,14 @@
         let service = document.service.clone();
         let known = self.documents.insert(service.clone(), document.clone());
         if known.is_none_or(|known| known.classes != document.classes) {
-            // The gates divide by class: new classes, new gates.
+            // The queues divide capacity by class, so new classes need new queues.
             self.queues.retain(|(of, _), _| *of != service);
         }
         self.set_pool(document);
         self.update_slots();
     }
 
-    /// Tells the pool of a shared service which targets take work.
+    /// Updates the pool of a shared service with the targets that accept requests.
     pub(super) fn set_pool(&mut self, document: &Document) {
         if document.ownership == Ownership::Exclusive {
             return;
@@ -64,7 +64,7 @@
         pool.set_targets(names);
     }
 
-    /// Takes targets that leave out of the pools; an exclusive one is left to its grantors.
+    /// Removes leaving targets from the pools; targets of exclusive services are handled by their grantors.
     pub(super) fn on_leaving(&mut self, targets: Vec<TargetId>) {
         let known = self.leaving.len();
         self.leaving.extend(targets);
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Tells the gates how many slots there are for this VM.
+    /// Updates the slots of this VM in all admission queues.
     pub(super) fn update_slots(&mut self) {
         let now = self.parts.clock.now();
         let names: Vec<TargetKey> = self.queues.keys().cloned().collect();
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes a group's record; a target with another start than before has died.
+    /// Applies a group's record; a target whose boot id has changed has died.
     pub(super) fn on_record(&mut self, group: &GroupId, version: Version, record: Record) {
         let service = notes::service(group).to_owned();
         for (target, member) in &record.members {
@@ -107,7 +107,7 @@
         table.on_record(version, record);
     }
 
-    /// Tells the grantors what is asked for, from time to time.
+    /// Sends the request rates to the grantors, once per [`DEMAND_PERIOD`].
     pub(super) fn report_demand(&mut self, now: Duration) {
         if now < self.next_demand {
             return;
@@ -124,7 +124,7 @@
         self.tables.get(&group_of(document, point))?.owner(point)
     }
 
-    /// Returns until when this VM may send to an owner.
+    /// Returns when this VM's lease to send to an owner expires.
     pub(super) fn lease_expiry(
         &self,
         document: &Document,
@@ -137,7 +137,7 @@
     }
 }
 
-/// Returns the slots of a target that this VM may count on.
+/// Returns the slots of a target, and the number of VMs that share them.
 fn slots(document: &Document, target: &str, vms: u32) -> Option<Slots> {
     let slots = document.targets.get(target)?.slots;
     let vms = match document.ownership {
@@ -150,7 +150,7 @@
 /// Returns the group whose slice of the hash space holds a point.
 ///
 /// The slices are those of [`Range::split`](crate::range::Range::split); this finds one without
-/// making them all.
+/// computing all of them.
 pub(super) fn group_of(document: &Document, point: Point) -> GroupId {
     let groups = u128::from(document.groups.max(1));
     let index = ((u128::from(point) + 1) * groups - 1) >> Point::BITS;
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -1,4 +1,6 @@
-//! What a request and the router's task say to each other.
+//! The messages between a request and the router's task, and what they carry.
+//!
+//! A request asks for a [`Permit`] before each attempt, and the permit reports how the attempt ended.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,54 +23,54 @@
     vm::news::Fleet,
 };
 
-/// How long the word that an attempt is given up may take to a target.
+/// The time limit for sending the cancellation of an attempt to a target.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// The time to come back when nothing is known that would tell it better.
+/// The retry-after time for refusals that have no better estimate.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// The shortest pause between two looks at a lease.
+/// The shortest interval between two checks of a lease.
 const LEASE_POLL_MIN: Duration = Duration::from_millis(10);
 
-/// The number of an attempt, or of a request that waits for one.
+/// The number of an attempt, or of a request that is queued for one.
 pub type Ticket = u64;
 
-/// What the service's document says of a request.
+/// The rules of a service's document for one request.
 #[derive(Clone, Debug)]
 pub struct RequestPolicy {
     /// The document.
     pub document: Rc<Document>,
-    /// The class of work, by its place in the document.
+    /// The index of the request's class in the document.
     pub class: usize,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
     /// The longest deadline.
     pub max_deadline: Duration,
-    /// The longest wait for a slot, or for an owner.
+    /// The longest wait for a slot or for an owner of the key.
     pub max_wait: Duration,
-    /// The largest body.
+    /// The largest body, in bytes.
     pub body_limit: u64,
 }
 
-/// Why the last attempt ended, and the request may be tried again.
+/// A request's last attempt, which ended without a response for the caller.
 #[derive(Clone, Debug)]
 pub struct LastAttempt {
     /// The target.
     pub target: TargetId,
     /// The epoch under which it was sent.
     pub epoch: Option<Epoch>,
-    /// Why it ended, for the caller.
+    /// Why it ended, as a text for the caller.
     pub reason: String,
     /// Whether the target said that it doesn't own the key.
     pub misdirected: bool,
-    /// Whether it may have run.
+    /// Whether the request ran, as far as this attempt shows.
     pub outcome: Outcome,
-    /// How long the target asks to be left alone.
+    /// How long the target asked to wait before a retry.
     pub retry_after: Option<Duration>,
 }
 
-/// What became of a request's earlier attempts.
+/// The results of a request's earlier attempts.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// How many there were.
+    /// The number of earlier attempts.
     pub count: u32,
     /// The last of them.
     pub last: Option<LastAttempt>,
@@ -76,7 +78,7 @@
 }
 
 impl History {
-    /// Notes a target's refusal.
+    /// Records a target's refusal.
     pub fn refused(&mut self, permit: &Permit, refusal: &Refusal) {
         let reason = format!("the target refused with status {}", refusal.status());
         let last = self.record(permit, reason, Outcome::NotRun);
@@ -84,18 +86,18 @@
         last.retry_after = refusal.retry_after();
     }
 
-    /// Notes an attempt of which no byte left.
+    /// Records an attempt of which no byte was sent.
     pub fn unsent(&mut self, permit: &Permit, error: &client::Error) {
         self.record(permit, error.to_string(), Outcome::NotRun);
     }
 
-    /// Notes an attempt that ended without an answer.
+    /// Records an attempt that ended without a complete response.
     pub fn lost(&mut self, permit: &Permit, verdict: Verdict) {
         self.record(permit, verdict.reason.clone(), Outcome::Unknown);
         self.lost = Some(verdict);
     }
 
-    /// Returns the final word: `not-run` only if no attempt was lost.
+    /// Returns the verdict for the caller: `not-run` only if no attempt was lost.
     pub fn final_verdict(&self, verdict: Verdict) -> Verdict {
         match &self.lost {
             Some(lost) if verdict.outcome() == Outcome::NotRun => {
@@ -123,31 +125,33 @@
 /// How an attempt ended, for limits, retries and the quarantine.
 #[derive(Clone, Debug)]
 pub enum Report {
-    /// The whole answer came, with this status.
+    /// The complete response arrived, with this status.
     Answered(StatusCode),
-    /// The answer's body has ended; its head was told before.
+    /// The streaming body is complete; its head was reported before.
     Ended,
     /// The target refused it before it started.
     Refused(Refusal),
-    /// No byte of it left; whether nobody listens at the target's address.
+    /// No byte of it was sent; true if the target's address refused the connection.
     Unsent(bool),
-    /// It ended without a whole answer.
+    /// It ended without a complete response.
     Lost,
-    /// The caller went away.
+    /// The caller disconnected.
     Abandoned,
 }
 
-/// The right to send one attempt to a target.
+/// Allows sending one attempt to a target.
+///
+/// A permit that is dropped without a report reports [`Report::Abandoned`].
 #[derive(Debug)]
 pub struct Permit {
     /// The target.
     pub target: TargetId,
-    /// Where it is.
+    /// The target's address.
     pub address: SocketAddr,
     /// The epoch of the key's range; none for a shared service.
     pub epoch: Option<Epoch>,
-    /// The ownership that the right rests on, for a target that doesn't check grants; it must be
-    /// watched for as long as the attempt lasts.
+    /// For a target that doesn't check grants: the ownership that the permit depends on. Its lease
+    /// must be checked for as long as the attempt lasts.
     pub lease: Option<Owner>,
     ticket: Ticket,
     router: mpsc::UnboundedSender<Message>,
@@ -155,7 +159,7 @@
 }
 
 impl Permit {
-    /// Creates the right of an attempt, which reports to the router.
+    /// Creates the permit of an attempt, which reports to the router.
     pub fn new(
         ticket: Ticket,
         target: TargetId,
@@ -175,13 +179,13 @@
         }
     }
 
-    /// Tells that the head of the answer came.
+    /// Reports to the router that the head of the response arrived.
     pub fn report_head(&self, status: StatusCode) {
         let ticket = self.ticket;
         let _ = self.router.unbounded_send(Message::Head { ticket, status });
     }
 
-    /// Gives the right back.
+    /// Returns the permit and reports how the attempt ended.
     pub fn finish(mut self, report: Report) {
         self.report(report);
     }
@@ -190,7 +194,7 @@
         if !self.reported {
             self.reported = true;
             let ticket = self.ticket;
-            // The router ends after the last request.
+            // The router's task ends after the last request, so the message is received.
             let _ = self.router.unbounded_send(Message::Done { ticket, report });
         }
     }
@@ -202,87 +206,87 @@
     }
 }
 
-/// Where the answer to an [`Ask`] goes.
+/// Receives the decision on an [`AdmissionRequest`].
 pub type Reply = oneshot::Sender<Result<Permit, Verdict>>;
 
-/// What a request asks of the router.
+/// A request that asks the router for a permit.
 #[derive(Debug)]
 pub struct AdmissionRequest {
     /// The service.
     pub service: ServiceId,
-    /// The key's point.
+    /// The key's point in the hash space.
     pub point: Point,
-    /// What the document says of it.
+    /// The document's rules for it.
     pub policy: RequestPolicy,
-    /// What it asks for, by which it is known if a target dies of it.
+    /// The fingerprint by which the quarantine identifies it, if it kills a target.
     pub fingerprint: Fingerprint,
-    /// When it must have ended.
+    /// Its deadline.
     pub deadline: Deadline,
-    /// When it began to look for a target.
+    /// When it first asked for a permit, by the process's clock.
     pub since: Duration,
     /// Its earlier attempts.
     pub history: History,
-    /// That it has not run so far.
+    /// The proof that it has not run so far.
     pub proof: Proof,
 }
 
 /// A message to the router.
 #[derive(Debug)]
 pub enum Message {
-    /// Time has passed.
+    /// The periodic wake-up.
     Tick,
-    /// What does the document say of this request?
+    /// Asks for the document's rules for a request.
     Classify(
         Box<Call>,
         Proof,
         oneshot::Sender<Result<(Call, RequestPolicy), Verdict>>,
     ),
-    /// Where may it go?
+    /// Asks for a permit to send an attempt.
     Admit(Box<AdmissionRequest>, Reply),
-    /// It has paused before a further attempt.
+    /// Asks again for a permit, after a pause.
     Retry(Box<AdmissionRequest>, Reply),
-    /// The head of an attempt's answer came.
+    /// The head of an attempt's response arrived.
     Head {
         /// The attempt.
         ticket: Ticket,
-        /// The answer's status.
+        /// The response's status.
         status: StatusCode,
     },
     /// An attempt has ended.
     Done {
         /// The attempt.
         ticket: Ticket,
-        /// How.
+        /// How it ended.
         report: Report,
     },
-    /// Until when may this VM send to the owner of a point, who doesn't check grants?
+    /// Asks until when this VM may send to the owner of a point, which doesn't check grants.
     LeaseExpiry(
         ServiceId,
         Point,
         Box<Owner>,
         oneshot::Sender<Option<Duration>>,
     ),
-    /// A document is in force.
+    /// A document has come into force.
     Document(Rc<Document>),
-    /// A group's record is known.
+    /// A group's record was read or received.
     Record(GroupId, Version, Box<Record>),
-    /// A handover is known.
+    /// A handover was received.
     Handover(Handover),
-    /// A grantor leases ranges to this VM, counted from when it was asked.
+    /// A grantor leased ranges to this VM; the leases count from the time at which they were requested.
     Lease(GroupId, Duration, Vec<grantor::Leased>),
     /// The fleet has changed.
     Fleet(Fleet),
-    /// The platform's list says that the VMs of these targets are leaving.
+    /// The platform lists the VMs of these targets as leaving.
     Leaving(Vec<TargetId>),
-    /// Suspect requests were heard of.
+    /// Suspect requests were received from other VMs.
     Suspects(Vec<quarantine::Suspect>),
 }
 
-/// Asks what the document says of a request.
+/// Asks the router for the document's rules for a request.
 ///
 /// # Errors
 ///
-/// The service isn't known, or it has no class for the request.
+/// Returns a verdict if the service isn't known or has no class for the request.
 pub async fn classify(
     context: &Context,
     call: Call,
@@ -296,11 +300,11 @@
         .unwrap_or_else(|_| Err(stopping_verdict(proof)))
 }
 
-/// Asks for the right to send an attempt; waits for a slot where that is worth it.
+/// Asks the router for a permit to send an attempt; this may wait for a slot.
 ///
 /// # Errors
 ///
-/// The request is refused; the verdict says when to come back.
+/// Returns a verdict if the request is refused; it says when to retry.
 pub async fn admit(
     context: &Context,
     job: &Job,
@@ -323,15 +327,15 @@
     let _ = context
         .router
         .unbounded_send(Message::Admit(Box::new(request), reply));
-    // The router answers by the deadline at the latest.
+    // The router replies by the deadline at the latest.
     answer
         .await
         .unwrap_or_else(|_| Err(stopping_verdict(proof)))
 }
 
-/// Waits until the right to send to a target that doesn't check grants has lapsed.
+/// Waits until the lease to send to a target that doesn't check grants has expired.
 ///
-/// For a target that checks, and for a shared service, it waits for ever.
+/// For a target that checks grants, and for a shared service, it never returns.
 pub async fn lease_expired(
     context: Context,
     service: ServiceId,
@@ -350,7 +354,7 @@
         let Some(left) = left.filter(|left| !left.is_zero()) else {
             return;
         };
-        // Half of what is left: a lease is renewed well before it ends.
+        // Half of the remaining time, as a lease is renewed well before it expires.
         context
             .clock
             .sleep((left / 2).max(LEASE_POLL_MIN).min(left))
@@ -359,6 +363,6 @@
 }
 
 fn stopping_verdict(proof: Proof) -> Verdict {
-    Verdict::not_run(&proof, 503, Step::Drain, "self", "the process stops")
+    Verdict::not_run(&proof, 503, Step::Drain, "self", "this VM is stopping")
         .retry_after(DEFAULT_RETRY_AFTER)
 }
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! What a target says of its own answer.
+//! Parsing of a target's response: whether the target ran the request.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 use super::{OUTCOME, Outcome, RETRY_MS};
 
-/// A target's own word that it did not start a request.
+/// A target's statement that it did not start a request.
 ///
-/// Only [`read`] makes one, so a refusal is always something that a target said.
+/// Only [`read`] creates one, so a refusal always comes from a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     status: StatusCode,
@@ -16,7 +16,7 @@
 }
 
 impl Refusal {
-    /// Returns the status that the target gave.
+    /// Returns the status of the target's response.
     ///
     /// # Example
     ///
@@ -54,7 +54,7 @@
         self.status == StatusCode::MISDIRECTED_REQUEST
     }
 
-    /// Returns how long the target asks to be left alone, if it says so.
+    /// Returns how long the target asks to wait before a retry, if it says so.
     ///
     /// # Example
     ///
@@ -75,22 +75,22 @@
     }
 }
 
-/// What the head of a target's answer says.
+/// What the head of a target's response says about the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The target ran the request, well or not.
+    /// The target ran the request, with success or not.
     Ran,
-    /// The target refused it before it started.
+    /// The target refused the request before it started.
     Refused(Refusal),
-    /// The target itself doesn't know.
+    /// The target doesn't say, or doesn't know, whether it ran the request.
     Unknown,
 }
 
-/// Reads the head of a target's answer.
+/// Reads the head of a target's response.
 ///
-/// A refusal needs both a status of an error and the outcome `not-run`. An answer without an
-/// outcome ran. A word that contradicts itself (a success that did not run, several outcomes, an
-/// outcome that nobody knows) proves nothing.
+/// A refusal needs both an error status and the outcome `not-run`. A response without an outcome
+/// means that the request ran. A contradictory or invalid outcome (a success that did not run,
+/// several outcomes, an unknown value) proves nothing.
 ///
 /// # Example
 ///
@@ -124,7 +124,7 @@
     }
 }
 
-/// Reads how long the target asks to be left alone; the finer header goes first.
+/// Reads how long the target asks to wait; the header in milliseconds takes precedence over seconds.
 fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let number = |name| headers.get(name)?.to_str().ok()?.parse::<u32>().ok();
     let exact = number(RETRY_MS).map(|ms| Duration::from_millis(u64::from(ms)));
--- a/src/request/attempt.rs
+++ b/src/request/attempt.rs
@@ -1,43 +1,42 @@
 //! The life cycle of a request: received, admitted, started, finished.
 //!
-//! The compiler holds the rule that matters most: a [`Proof`] that a request did not run comes
-//! only from a state before [`Started`], or from a target's own [`Refusal`], which leads back to
-//! [`Admitted`].
+//! The types enforce the main rule: a [`Proof`] that a request did not run comes only from a state
+//! before [`Started`], or from a target's own [`Refusal`], which leads back to [`Admitted`].
 //!
 //! ```compile_fail
 //! use bramleypier::request::Attempt;
 //!
 //! let started = Attempt::new().admit().start("target-1");
-//! let proof = started.proof(); // no such method: a byte may have left
+//! let proof = started.proof(); // no such method: a byte may have been sent
 //! ```
 
 use super::{Outcome, answer::Refusal};
 use crate::util::client;
 
-/// The request was read; nothing was decided yet.
+/// State: the request was read, and nothing is decided yet.
 #[derive(Debug)]
 pub struct Received;
 
-/// The request may be sent, and nothing of it that a target would run has left.
+/// State: the request may be sent, and no target has received anything of it that it would run.
 #[derive(Debug)]
 pub struct Admitted {
     refused: bool,
 }
 
-/// A byte of the request may have left for the target.
+/// State: a byte of the request may have been sent to the target.
 #[derive(Debug)]
 pub struct Started {
     peer: String,
     refused: bool,
 }
 
-/// The request has ended.
+/// State: the request has ended.
 #[derive(Debug)]
 pub struct Finished {
     outcome: Outcome,
 }
 
-/// One request on its way, in the state `S`.
+/// One request in its life cycle, in the state `S`.
 ///
 /// # Example
 ///
@@ -53,7 +52,7 @@
     state: S,
 }
 
-/// Why it is certain that a request did not run.
+/// Proof that a request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Proof {
     kind: ProofKind,
@@ -64,9 +63,9 @@
 pub enum ProofKind {
     /// It was refused before it was admitted.
     NeverStarted,
-    /// It was admitted, and no byte left for a target.
+    /// It was admitted, and no byte was sent to a target.
     NothingSent,
-    /// Every target that it was sent to refused it before starting.
+    /// Every target that received it refused it before starting.
     TargetRefused,
 }
 
@@ -96,12 +95,15 @@
     /// let admitted = Attempt::new().admit();
     /// # let _ = admitted;
     /// ```
-    #[allow(clippy::new_without_default, reason = "a life cycle begins on purpose")]
+    #[allow(
+        clippy::new_without_default,
+        reason = "a life cycle should start explicitly"
+    )]
     pub fn new() -> Self {
         Self { state: Received }
     }
 
-    /// Proves that the request did not run, for it was never admitted.
+    /// Returns the proof that the request did not run, as it was never admitted.
     ///
     /// # Example
     ///
@@ -133,7 +135,7 @@
 }
 
 impl Attempt<Admitted> {
-    /// Proves that the request did not run: nothing was sent, or who got it refused it.
+    /// Returns the proof that the request did not run: nothing was sent, or every receiver refused it.
     ///
     /// # Example
     ///
@@ -151,7 +153,7 @@
         Proof { kind }
     }
 
-    /// Marks that the first byte is about to leave for the target `peer`.
+    /// Marks that the first byte is about to be sent to the target `peer`.
     ///
     /// # Example
     ///
@@ -184,7 +186,7 @@
         &self.state.peer
     }
 
-    /// Takes the target's refusal: the request may be tried again, or be given up as not run.
+    /// Applies the target's refusal: the request may be retried, or end as not run.
     ///
     /// # Example
     ///
@@ -206,11 +208,11 @@
         }
     }
 
-    /// Takes a failure to send: back to [`Admitted`] when no byte left, else ended as unknown.
+    /// Applies a failure to send: back to [`Admitted`] if no byte was sent, else ended as unknown.
     ///
     /// # Errors
     ///
-    /// Some of the request may have arrived; it has ended without an answer.
+    /// Returns the ended request if a part of it may have arrived at the target.
     ///
     /// # Example
     ///
@@ -232,7 +234,7 @@
         Err(self.lost())
     }
 
-    /// Ends the request with a whole answer of the target.
+    /// Ends the request with the target's response.
     ///
     /// # Example
     ///
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Ends the request without a whole answer: it may have run.
+    /// Ends the request without a complete response: it may have run.
     ///
     /// # Example
     ///
--- a/src/request/call.rs
+++ b/src/request/call.rs
@@ -1,4 +1,4 @@
-//! What a caller sent, read and checked.
+//! Parsing and validation of callers' requests.
 
 use std::time::Duration;
 
@@ -21,38 +21,38 @@
 /// The longest id of a request, in bytes.
 pub const ID_LIMIT: usize = 128;
 
-/// The peer that errors of input name.
+/// The peer that errors of the caller's input name.
 const CALLER: &str = "caller";
 
 quick_error! {
-    /// Why a request can't be accepted as it was sent.
+    /// Why a caller's request is invalid.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
         /// The path doesn't name a service and a key.
         Path(reason: &'static str) {
             display("parse: caller: path: {reason}")
         }
-        /// The key can't be used.
+        /// The key is invalid.
         Key(reason: &'static str) {
             display("parse: caller: key: {reason}")
         }
-        /// The id of the request can't be used.
+        /// The id of the request is invalid.
         Id(reason: &'static str) {
             display("parse: caller: Idempotency-Key: {reason}")
         }
-        /// The deadline can't be used.
+        /// The deadline is invalid.
         Deadline(reason: &'static str) {
             display("parse: caller: Bramleypier-Deadline: {reason}")
         }
-        /// No class of the service takes the request.
+        /// No class of the service matches the request.
         Class {
-            display("route: caller: no class of the service takes this method and path")
+            display("route: caller: no class of the service matches this method and path")
         }
     }
 }
 
 impl Error {
-    /// Returns the answer to the caller.
+    /// Returns the verdict for the caller.
     ///
     /// # Example
     ///
@@ -80,7 +80,7 @@
     pub service: ServiceId,
     /// The key, decoded.
     pub key: String,
-    /// The key's place in the hash space.
+    /// The key's point in the hash space.
     pub point: Point,
     /// The path after the key, decoded, without the slash before it.
     pub rest: String,
@@ -88,21 +88,21 @@
     pub uri: String,
     /// The caller's id of the request.
     pub id: Option<RequestId>,
-    /// How long the caller waits.
+    /// How long the caller waits for the response.
     pub timeout: Option<Duration>,
 }
 
 impl Call {
     /// Reads the head of a request.
     ///
-    /// The path is compared with classes after decoding, so that another spelling of the same path
-    /// can't turn non-idempotent work into work that may run twice. For the same reason spellings
-    /// that a target might read in another way are refused: empty and dot segments, encoded
-    /// slashes, control characters, and text that is not UTF-8.
+    /// The path is matched with classes after decoding, so that another encoding of the same path
+    /// can't turn non-idempotent work into work that may run twice. For the same reason paths that
+    /// a target might interpret differently are refused: empty and dot segments, encoded slashes,
+    /// control characters, and text that is not UTF-8.
     ///
     /// # Errors
     ///
-    /// Returns which part of the head can't be used, and why.
+    /// Returns which part of the head is invalid, and why.
     ///
     /// # Example
     ///
@@ -141,14 +141,14 @@
         })
     }
 
-    /// Returns the class of the service that takes this call, with its name.
+    /// Returns the first class of the service that matches this call, with its name.
     ///
-    /// Classes are tried in order. A class's path is matched by whole segments: `orders` takes
-    /// `orders` and `orders/7`, and not `orders-old`.
+    /// Classes are checked in the document's order. A class's path matches whole segments: `orders`
+    /// matches `orders` and `orders/7`, but not `orders-old`.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Class`] if no class takes it, and [`Error::Id`] if the class is not
+    /// Returns [`Error::Class`] if no class matches it, and [`Error::Id`] if the class is not
     /// idempotent and the call has no id.
     ///
     /// # Example
@@ -203,9 +203,9 @@
     }
 }
 
-/// Returns the time that a request's id carries, counted from the Unix epoch.
+/// Returns the creation time in a request's id, counted from the Unix epoch.
 ///
-/// Only a version 7 UUID carries one.
+/// Only a version 7 UUID contains one.
 ///
 /// # Example
 ///
@@ -253,7 +253,7 @@
 }
 
 fn read_rest(text: &str) -> Result<String, Error> {
-    // One slash at the end is common and means nothing.
+    // A trailing slash is common and doesn't change the meaning.
     let text = text.strip_suffix('/').unwrap_or(text);
     if text.is_empty() {
         return Ok(String::new());
@@ -283,7 +283,7 @@
     value.to_str().map(Some).map_err(|_| "is not ASCII")
 }
 
-/// Reads the id, in one spelling: without the quotes of a structured header, UUIDs in lower case.
+/// Reads the id in canonical form: without the quotes of a structured header, UUIDs in lower case.
 fn read_id(headers: &HeaderMap) -> Result<Option<RequestId>, Error> {
     let Some(text) = read_single(headers, IDEMPOTENCY_KEY).map_err(Error::Id)? else {
         return Ok(None);
--- a/src/request/deadline.rs
+++ b/src/request/deadline.rs
@@ -1,23 +1,23 @@
-//! Deadlines, which shrink as time is spent.
+//! Deadlines of requests, which are sent to the next hop as the remaining time.
 
 use std::time::Duration;
 
-/// The longest deadline that a header can ask for: a day.
+/// The longest time that a header can ask for.
 pub const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
-/// The reading of this process's clock at which a request's time ends.
+/// The time by this process's clock at which a request must have ended.
 ///
-/// It never travels: what travels is the time that is left.
+/// Clocks of processes differ, so only the remaining time is sent to other processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline {
-    /// The reading.
+    /// The time by this process's clock.
     pub at: Duration,
 }
 
 impl Deadline {
-    /// Creates the deadline of a request that came in now.
+    /// Creates the deadline of a request that arrived now.
     ///
-    /// The time is what the caller asked for, and never longer than the class allows.
+    /// The time is the one that the caller requested, limited to the maximum of the class.
     ///
     /// # Example
     ///
@@ -35,7 +35,7 @@
         Self { at: now + timeout }
     }
 
-    /// Returns the time that is left, or nothing once less than a millisecond is.
+    /// Returns the remaining time, or `None` if it is less than a millisecond.
     ///
     /// # Example
     ///
@@ -53,7 +53,7 @@
         (left >= Duration::from_millis(1)).then_some(left)
     }
 
-    /// Returns the header for the next hop: whole milliseconds, rounded down.
+    /// Returns the header value for the next hop: whole milliseconds, rounded down.
     ///
     /// # Example
     ///
--- a/src/request/mod.rs
+++ b/src/request/mod.rs
@@ -1,10 +1,10 @@
-//! Requests: what callers ask, how long it may take, and what is said of how it ended.
+//! Requests: parsing, deadlines, and the outcome that is reported to the caller.
 //!
-//! - [`call`] reads and checks what a caller sent;
-//! - [`deadline`] is the time that is left;
-//! - [`attempt`] is the life cycle of one request, which alone proves that it did not run;
-//! - [`verdict`] is the final word to the caller;
-//! - [`answer`] reads what a target says of its own answer.
+//! - [`call`] parses and validates callers' requests;
+//! - [`deadline`] computes the remaining time;
+//! - [`attempt`] is the life cycle of a request, the only source of proofs that it did not run;
+//! - [`verdict`] is the result that is reported to the caller;
+//! - [`answer`] reads from a target's response whether the request ran.
 
 pub mod answer;
 pub mod attempt;
@@ -29,23 +29,23 @@
 pub const STEP: &str = "bramleypier-step";
 /// Header: the VM or target at which the outcome arose.
 pub const PEER: &str = "bramleypier-peer";
-/// Header: how long to wait before trying again, in milliseconds.
+/// Header: how long to wait before a retry, in milliseconds.
 pub const RETRY_MS: &str = "bramleypier-retry-ms";
 /// Header: how long the caller waits, in milliseconds.
 pub const DEADLINE: &str = "bramleypier-deadline";
 /// Header: the caller's id of a request.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// A hash over what a request asks for.
+/// A hash of a request's method, URI and body.
 pub type Fingerprint = u128;
 
 /// Whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The target ran it and its answer is whole.
+    /// The target ran it, and its response arrived.
     Ran,
-    /// It is proved that no target ran it.
+    /// There is proof that no target ran it.
     NotRun,
     /// It may have run.
     Unknown,
@@ -76,7 +76,7 @@
     }
 }
 
-/// A step of a request's way.
+/// A step in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Step {
@@ -96,15 +96,15 @@
     Send,
     /// The target's answer.
     Answer,
-    /// The record of orders.
+    /// The lookup of the stored outcomes of orders.
     Order,
-    /// The check for requests that kill their target.
+    /// The check for requests that are suspected of killing their target.
     Quarantine,
-    /// The end of the time the caller gave.
+    /// The request's deadline.
     Deadline,
     /// A VM or target that is leaving.
     Drain,
-    /// The end of the retries.
+    /// The decision that no further retry is allowed.
     Retry,
 }
 
@@ -150,8 +150,8 @@
 /// ```
 /// use bramleypier::request;
 ///
-/// let print = request::fingerprint("POST", "/dispatch/k/orders", b"one");
-/// assert_ne!(print, request::fingerprint("POST", "/dispatch/k/orders", b"two"));
+/// let first = request::fingerprint("POST", "/dispatch/k/orders", b"one");
+/// assert_ne!(first, request::fingerprint("POST", "/dispatch/k/orders", b"two"));
 /// ```
 pub fn fingerprint(method: &str, uri: &str, body: &[u8]) -> Fingerprint {
     let mut hash = Xxh3::new();
--- a/src/request/verdict.rs
+++ b/src/request/verdict.rs
@@ -1,4 +1,4 @@
-//! The final word on a request.
+//! The result of a request, as it is reported to the caller.
 
 use std::time::Duration;
 
@@ -8,8 +8,7 @@
 
 /// How a request ended, where, and why.
 ///
-/// The outcome can't be set: it follows from how the verdict was made, and only a [`Proof`] makes
-/// one that says `not-run`.
+/// The outcome follows from the constructor, and a verdict of `not-run` requires a [`Proof`].
 ///
 /// # Example
 ///
@@ -32,15 +31,15 @@
     pub step: Step,
     /// The VM or target at which it ended.
     pub peer: String,
-    /// Why, in words for the caller.
+    /// Why, as a text for the caller.
     pub reason: String,
-    /// When to try again.
+    /// How long to wait before a retry.
     pub retry_after: Option<Duration>,
     /// The HTTP status.
     pub status: u16,
 }
 
-/// The body of an answer of our own.
+/// The JSON body of a local response.
 #[derive(Serialize)]
 struct Body<'a> {
     outcome: Outcome,
@@ -51,7 +50,7 @@
 }
 
 impl Verdict {
-    /// Creates the verdict that the request did not run, from the proof of it.
+    /// Creates the verdict that the request did not run, from the proof.
     ///
     /// # Example
     ///
@@ -83,7 +82,7 @@
         Self::new(Outcome::Unknown, status, step, peer, reason)
     }
 
-    /// Creates the verdict that the request ran and the target's whole answer follows.
+    /// Creates the verdict that the request ran and the target's complete response follows.
     ///
     /// # Example
     ///
@@ -96,14 +95,14 @@
         Self::new(Outcome::Ran, status, Step::Answer, peer, "answered")
     }
 
-    /// Returns the proof that the request did not run; only `not-run` has one.
+    /// Returns the proof that the request did not run; only `not-run` verdicts have one.
     ///
     /// # Example
     ///
     /// ```
     /// use bramleypier::request::{Step, Verdict};
     ///
-    /// let verdict = Verdict::unknown(504, Step::Answer, "target-1", "it went silent");
+    /// let verdict = Verdict::unknown(504, Step::Answer, "target-1", "it stopped responding");
     /// assert!(verdict.proof().is_none());
     /// ```
     pub fn proof(&self) -> Option<Proof> {
@@ -123,7 +122,7 @@
         self.outcome
     }
 
-    /// Sets when to try again.
+    /// Sets how long to wait before a retry.
     ///
     /// # Example
     ///
@@ -165,11 +164,11 @@
     /// assert_eq!(Verdict::ran(200, "target-1").retry_ms(), None);
     /// ```
     pub fn retry_ms(&self) -> Option<u64> {
-        let micros = self.retry_after?.as_micros().div_ceil(1_000);
-        Some(u64::try_from(micros).unwrap_or(u64::MAX))
+        let ms = self.retry_after?.as_micros().div_ceil(1_000);
+        Some(u64::try_from(ms).unwrap_or(u64::MAX))
     }
 
-    /// Returns the body of an answer of our own, as JSON.
+    /// Returns the body of the local response, as JSON.
     ///
     /// # Example
     ///
--- a/tests/request.rs
+++ b/tests/request.rs
@@ -1,4 +1,4 @@
-//! Requests as callers send them, and the words about how they ended.
+//! Tests of request parsing, targets' outcomes, deadlines and verdicts.
 
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn bad_heads_are_refused() {
+fn invalid_paths_are_refused() {
     let long = format!("/dispatch/{}", "k".repeat(513));
     let cases = [
         ("/", "path"),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn bad_headers_are_refused() {
+fn invalid_headers_are_refused() {
     let long = "i".repeat(129);
     let cases = [
         vec![("idempotency-key", "")],
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn one_id_has_one_spelling() {
+fn request_ids_are_normalised() {
     let plain = "017f22e2-79b0-7cc3-98c4-dc0c0c07398f";
     let spellings = [
         plain,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn spelling_does_not_change_the_class() {
+fn path_encoding_does_not_change_the_class() {
     let id = [("idempotency-key", "1")];
     let cases = [
         ("/dispatch/k/orders", "order"),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn orders_need_an_id_and_every_call_a_class() {
+fn orders_need_an_id_and_calls_a_matching_class() {
     let call = read("/dispatch/k/orders", &[]).unwrap();
     assert!(matches!(call.class(&document()), Err(Error::Id(_))));
     let (head, ()) = Request::delete("/dispatch/k/orders")
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn only_a_targets_clear_refusal_proves_anything() {
+fn only_an_unambiguous_refusal_proves_not_run() {
     let cases: [(u16, &[&str], &str); 8] = [
         (503, &["not-run"], "refused"),
         (421, &["not-run"], "refused"),
@@ -154,22 +154,22 @@
         (503, &["Not-Run"], "unknown"),
         (500, &["unknown"], "unknown"),
     ];
-    for (status, words, expected) in cases {
+    for (status, values, expected) in cases {
         let mut headers = HeaderMap::new();
-        for word in words {
-            headers.append("bramleypier-outcome", HeaderValue::from_static(word));
+        for value in values {
+            headers.append("bramleypier-outcome", HeaderValue::from_static(value));
         }
         let found = match answer::read(StatusCode::from_u16(status).unwrap(), &headers) {
             Answer::Ran => "ran",
             Answer::Refused(_) => "refused",
             Answer::Unknown => "unknown",
         };
-        assert_eq!(found, expected, "{status} {words:?}");
+        assert_eq!(found, expected, "{status} {values:?}");
     }
 }
 
 #[test]
-fn a_refused_attempt_may_start_again() {
+fn a_refused_attempt_may_be_retried() {
     let mut headers = HeaderMap::new();
     headers.insert("bramleypier-outcome", HeaderValue::from_static("not-run"));
     headers.insert("retry-after", HeaderValue::from_static("2"));
@@ -177,13 +177,13 @@
         panic!("a refusal");
     };
     assert_eq!(refusal.retry_after(), Some(Duration::from_secs(2)));
-    let again = Attempt::new().admit().start("a").refused(&refusal);
-    assert_eq!(again.proof().kind(), ProofKind::TargetRefused);
-    assert_eq!(again.start("b").lost().outcome(), Outcome::Unknown);
+    let admitted = Attempt::new().admit().start("a").refused(&refusal);
+    assert_eq!(admitted.proof().kind(), ProofKind::TargetRefused);
+    assert_eq!(admitted.start("b").lost().outcome(), Outcome::Unknown);
 }
 
 #[test]
-fn deadlines_shrink_and_are_capped() {
+fn remaining_time_is_capped_and_decreases() {
     let ms = Duration::from_millis;
     let deadline = Deadline::new(ms(100), Some(ms(50)), ms(30));
     assert_eq!(deadline.header(ms(100)).as_deref(), Some("30"));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn waits_are_rounded_up() {
+fn retry_times_are_rounded_up() {
     let verdict =
         Verdict::unknown(504, Step::Answer, "a", "").retry_after(Duration::from_micros(1));
     assert_eq!(
