--- a/src/entry/router/admission.rs
+++ b/src/entry/router/admission.rs
@@ -25,7 +25,7 @@
 const OWNER_RETRY_MAX: Duration = Duration::from_millis(80);
 /// The longest pause before a suspect request that was admitted and had to wait again is retried.
 const SUSPECT_RETRY_MAX: Duration = Duration::from_millis(100);
-/// Deaths of a shared service's target within this time count as one, as no boot id tells them apart.
+/// Deaths of a shared service's target within this time count as one, as such targets report no boot id.
 const DEATH_WINDOW: Duration = Duration::from_secs(10);
 
 impl Router {
@@ -38,7 +38,7 @@
             // The owner is changing. Nothing ran, so the request waits for the new owner.
             return self.wait_for_owner(request, reply, Step::Grant, "the key's owner is changing");
         }
-        let tried = FailedAttempt {
+        let failed = FailedAttempt {
             number: request.history.count,
             outcome: last.outcome,
             idempotent: request.policy.idempotent,
@@ -47,7 +47,7 @@
         let random = self.next_random();
         let now = self.parts.clock.now();
         let budget = self.budgets.entry(request.service.clone()).or_default();
-        let Some(pause) = budget.retry(now, &tried, request.deadline, random) else {
+        let Some(pause) = budget.retry(now, &failed, request.deadline, random) else {
             let step = if last.retry_after.is_some() {
                 Step::Limit
             } else {
@@ -231,6 +231,7 @@
         let _ = reply.send(Ok(permit));
     }
 
+    /// Refuses a queued request with the queue's reason.
     pub(super) fn refuse(&mut self, ticket: Ticket, why: RefusalReason, retry: Duration) {
         let Some(QueuedRequest {
             request,
@@ -274,6 +275,7 @@
         }
     }
 
+    /// Returns the owner of a request's key, if this VM may send to it.
     pub(super) fn exclusive_destination(
         &self,
         request: &AdmissionRequest,
@@ -286,11 +288,13 @@
             "this VM knows no owner of the key",
         ))?;
         if owner.fencing == Fencing::Unchecked {
-            let until = self.lease_expiry(document, request.point, &owner);
-            until.filter(|until| *until > now).ok_or(RouteError::Retry(
-                Step::Grant,
-                "this VM has no lease to send to the key's owner",
-            ))?;
+            let expiry = self.lease_expiry(document, request.point, &owner);
+            expiry
+                .filter(|expiry| *expiry > now)
+                .ok_or(RouteError::Retry(
+                    Step::Grant,
+                    "this VM has no lease to send to the key's owner",
+                ))?;
         }
         let target = document.targets.get(&owner.target);
         Ok(Destination {
@@ -304,6 +308,7 @@
         })
     }
 
+    /// Returns a target from the pool of a shared service.
     pub(super) fn shared_destination(
         &self,
         request: &AdmissionRequest,
@@ -331,6 +336,7 @@
         })
     }
 
+    /// Parses a target's address, or refuses the request.
     pub(super) fn address(
         &self,
         request: &AdmissionRequest,
@@ -380,6 +386,7 @@
         self.retry_later(request, reply, pause);
     }
 
+    /// Asks again for a permit after a pause.
     pub(super) fn retry_later(
         &self,
         request: Box<AdmissionRequest>,
@@ -395,6 +402,7 @@
         .detach();
     }
 
+    /// Returns the verdict of a request that was not sent before its deadline.
     pub(super) fn deadline_verdict(&self, request: &AdmissionRequest) -> Verdict {
         let (peer, reason) = match &request.history.last {
             Some(last) => (last.target.as_str(), last.reason.as_str()),
@@ -407,14 +415,15 @@
         verdict.retry_after(DEFAULT_RETRY_AFTER)
     }
 
+    /// Reports request rates, removes requests of disconnected callers, and wakes the queues.
     pub(super) fn tick(&mut self) {
         let now = self.parts.clock.now();
         self.report_demand(now);
-        let left = self
+        let cancelled = self
             .queued
             .iter()
             .filter(|(_, queued)| queued.reply.is_canceled());
-        let left: Vec<(Ticket, TargetKey)> = left
+        let cancelled: Vec<(Ticket, TargetKey)> = cancelled
             .map(|(ticket, it)| {
                 (
                     *ticket,
@@ -422,7 +431,7 @@
                 )
             })
             .collect();
-        for (ticket, name) in left {
+        for (ticket, name) in cancelled {
             self.queued.swap_remove(&ticket);
             self.on_queue_event(now, &name, admission::Event::Cancelled { ticket });
         }
--- a/src/entry/router/completion.rs
+++ b/src/entry/router/completion.rs
@@ -17,6 +17,7 @@
 };
 
 impl Router {
+    /// Records the status of a response, and the time until its head arrived.
     pub(super) fn on_head(&mut self, ticket: Ticket, status: StatusCode) {
         let now = self.parts.clock.now();
         if let Some(attempt) = self.in_flight.get_mut(&ticket) {
@@ -65,6 +66,7 @@
         );
     }
 
+    /// Marks the requests that were in flight at a dead target as suspects, and publishes them.
     pub(super) fn on_target_death(&mut self, name: &TargetKey, boot: BootId) {
         let target = name.1.clone();
         let death = Incarnation { target, boot };
@@ -100,6 +102,7 @@
         }
     }
 
+    /// Passes suspects from other VMs to the quarantine.
     pub(super) fn on_suspects(&mut self, items: Vec<quarantine::Suspect>) {
         let wall = stamp::wall();
         self.quarantine.on(wall, quarantine::Event::Received(items));
--- a/src/entry/router/mod.rs
+++ b/src/entry/router/mod.rs
@@ -60,6 +60,7 @@
     name: TargetKey,
     boot: BootId,
     sent: Duration,
+    /// The response's status, and the time from sending until its head arrived.
     head: Option<(StatusCode, Duration)>,
 }
 
--- a/src/entry/router/state.rs
+++ b/src/entry/router/state.rs
@@ -19,6 +19,7 @@
 const DEMAND_PERIOD: Duration = Duration::from_secs(5);
 
 impl Router {
+    /// Returns the rules of a service's document for a call.
     pub(super) fn classify(&self, call: &Call, proof: Proof) -> Result<RequestPolicy, Verdict> {
         let Some(document) = self.documents.get(&call.service) else {
             let reason = "no document in force names this service";
@@ -38,6 +39,7 @@
         })
     }
 
+    /// Applies a document that has come into force.
     pub(super) fn on_document(&mut self, document: &Rc<Document>) {
         let service = document.service.clone();
         let known = self.documents.insert(service.clone(), document.clone());
