--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -157,13 +157,13 @@
         let (held, _) = self.ledger.size();
         self.parts.recorder.set(&metrics::ORDERS_HELD, held as u64);
         // A caller that has disconnected needs no decision.
-        let left: Vec<u64> = self
+        let cancelled: Vec<u64> = self
             .pending
             .iter()
             .filter(|(_, reply)| reply.is_canceled())
             .map(|(token, _)| *token)
             .collect();
-        for token in left {
+        for token in cancelled {
             self.pending.swap_remove(&token);
             self.starter(starter::Event::Cancelled { token });
         }
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -72,7 +72,7 @@
 pub struct History {
     /// The number of earlier attempts.
     pub count: u32,
-    /// The last of them.
+    /// The last attempt.
     pub last: Option<LastAttempt>,
     lost: Option<Verdict>,
 }
@@ -194,7 +194,7 @@
         if !self.reported {
             self.reported = true;
             let ticket = self.ticket;
-            // The router's task ends after the last request, so the message is received.
+            // The router's task ends after the last request, so it receives the message.
             let _ = self.router.unbounded_send(Message::Done { ticket, report });
         }
     }
--- a/src/request/answer.rs
+++ b/src/request/answer.rs
@@ -82,7 +82,7 @@
     Ran,
     /// The target refused the request before it started.
     Refused(Refusal),
-    /// The target doesn't say, or doesn't know, whether it ran the request.
+    /// The target doesn't know whether it ran the request, or its outcome is invalid.
     Unknown,
 }
 
