--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -190,7 +190,7 @@
     let result = match future::select(sending, Box::pin(expired)).await {
         Either::Left((result, _)) => result,
         Either::Right(_) => {
-            let reason = "the lease to send to the target expired";
+            let reason = "the lease to send to the target lapsed";
             let verdict = Verdict::unknown(502, Step::Grant, &permit.target, reason);
             return AttemptResult::Lost(verdict, permit);
         }
@@ -242,7 +242,7 @@
             AttemptResult::Refused(admitted, refusal, permit)
         }
         Answer::Unknown => {
-            let reason = "the target doesn't know whether the request ran";
+            let reason = "the target doesn't know";
             let verdict = Verdict::unknown(502, Step::Answer, &permit.target, reason);
             AttemptResult::Lost(verdict, permit)
         }
@@ -303,8 +303,8 @@
     let limit = usize::try_from(BUFFERED_ANSWER_BYTES).unwrap_or(usize::MAX);
     match context.clock.timeout(left, body::read(body, limit)).await {
         Ok(Ok(bytes)) => Ok(bytes),
-        Ok(Err(_)) => Err("the response was truncated"),
-        Err(_) => Err("the response did not complete before the deadline"),
+        Ok(Err(_)) => Err("the answer was cut short"),
+        Err(_) => Err("the answer came too slowly"),
     }
 }
 
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -441,17 +441,17 @@
 
 fn unknown_verdict(why: UnknownReason) -> Verdict {
     let (status, reason) = match why {
-        UnknownReason::Lost => (502, "the order may have run before; its outcome is lost"),
-        UnknownReason::Running => (409, "the order is still running"),
+        UnknownReason::Lost => (502, "it may have run before; nobody knows any more"),
+        UnknownReason::Running => (409, "it is still running"),
         UnknownReason::NoReply => (
             503,
-            "the VM that stores its outcome did not answer; this attempt did not run",
+            "who remembers it did not answer; this attempt did not run",
         ),
         UnknownReason::MemoryFull => (
             503,
-            "the memory for outcomes of orders is full; this attempt did not run",
+            "there is no room to remember it; this attempt did not run",
         ),
-        UnknownReason::DatedAhead => (400, "the timestamp in its id is too far in the future"),
+        UnknownReason::DatedAhead => (400, "its id is dated too far ahead"),
     };
     let verdict = Verdict::unknown(status, Step::Order, ORDERS_PEER, reason);
     match why {
--- a/src/entry/payload.rs
+++ b/src/entry/payload.rs
@@ -113,8 +113,8 @@
         Ok(Err(cause)) if cause.is::<http_body_util::LengthLimitError>() => {
             Err(refuse(413, "the body is over the service's limit"))
         }
-        Ok(Err(_)) => Err(refuse(400, "the body was truncated")),
-        Err(_) => Err(refuse(408, "the body did not complete before the deadline")),
+        Ok(Err(_)) => Err(refuse(400, "the body was cut short")),
+        Err(_) => Err(refuse(408, "the body came too slowly")),
     }
 }
 
--- a/src/entry/response_body.rs
+++ b/src/entry/response_body.rs
@@ -110,7 +110,7 @@
             }
             Poll::Pending if this.timer.as_mut().poll(context).is_ready() => {
                 this.end(Report::Lost);
-                Poll::Ready(Some(Err("the deadline passed or the lease expired".into())))
+                Poll::Ready(Some(Err("the deadline passed, or the lease".into())))
             }
             Poll::Pending => Poll::Pending,
         }
--- a/src/entry/router/admission.rs
+++ b/src/entry/router/admission.rs
@@ -252,9 +252,7 @@
                 Step::Limit,
                 "the target is busy, and the wait would be too long",
             ),
-            RefusalReason::QueueTimeout => {
-                (503, Step::Queue, "the target had no free slot in time")
-            }
+            RefusalReason::QueueTimeout => (503, Step::Queue, "the target stayed busy"),
             RefusalReason::Unreachable => (503, Step::Connect, "the target can't be reached"),
             RefusalReason::Draining => (503, Step::Drain, "the target is leaving"),
         };
@@ -285,7 +283,7 @@
         let owner = self.owner(document, request.point);
         let owner = owner.ok_or(RouteError::Retry(
             Step::Route,
-            "this VM knows no owner of the key",
+            "the key has no owner known here",
         ))?;
         if owner.fencing == Fencing::Unchecked {
             let expiry = self.lease_expiry(document, request.point, &owner);
@@ -293,7 +291,7 @@
                 .filter(|expiry| *expiry > now)
                 .ok_or(RouteError::Retry(
                     Step::Grant,
-                    "this VM has no lease to send to the key's owner",
+                    "no lease to send to the key's owner",
                 ))?;
         }
         let target = document.targets.get(&owner.target);
@@ -317,13 +315,10 @@
     ) -> Result<Destination, RouteError> {
         let pool = self.pools.get(&request.service);
         let name = pool.and_then(|pool| pool.pick(now, self.next_random()));
-        let none = RouteError::Retry(Step::Route, "the service has no available target");
+        let none = RouteError::Retry(Step::Route, "the service has no target that takes work");
         let name = name.ok_or(none)?;
         let target = document.targets.get(&name);
-        let none = RouteError::Retry(
-            Step::Route,
-            "the service's document no longer has the target",
-        );
+        let none = RouteError::Retry(Step::Route, "the document no longer names the target");
         let target = target.ok_or(none)?;
         Ok(Destination {
             address: self.address(request, &target.address)?,
@@ -343,7 +338,7 @@
         text: &str,
     ) -> Result<SocketAddr, RouteError> {
         text.parse().map_err(|_| {
-            let reason = "the target's address is invalid";
+            let reason = "the target's address is no address";
             let vm = &self.parts.me.vm;
             RouteError::Refused(Box::new(Verdict::not_run(
                 &request.proof,
@@ -406,10 +401,7 @@
     pub(super) fn deadline_verdict(&self, request: &AdmissionRequest) -> Verdict {
         let (peer, reason) = match &request.history.last {
             Some(last) => (last.target.as_str(), last.reason.as_str()),
-            None => (
-                self.parts.me.vm.as_str(),
-                "no target accepted the request before its deadline",
-            ),
+            None => (self.parts.me.vm.as_str(), "no target took it in time"),
         };
         let verdict = Verdict::not_run(&request.proof, 503, Step::Deadline, peer, reason);
         verdict.retry_after(DEFAULT_RETRY_AFTER)
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -363,6 +363,6 @@
 }
 
 fn stopping_verdict(proof: Proof) -> Verdict {
-    Verdict::not_run(&proof, 503, Step::Drain, "self", "this VM is stopping")
+    Verdict::not_run(&proof, 503, Step::Drain, "self", "the process stops")
         .retry_after(DEFAULT_RETRY_AFTER)
 }
--- a/src/request/call.rs
+++ b/src/request/call.rs
@@ -46,7 +46,7 @@
         }
         /// No class of the service matches the request.
         Class {
-            display("route: caller: no class of the service matches this method and path")
+            display("route: caller: no class of the service takes this method and path")
         }
     }
 }
