--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,8 +1,9 @@
-//! Membership and spread on the same messages.
+//! Carries membership and the spread of items in the same messages.
 //!
-//! Every probe carries the hash of the items held, so that a process that missed news finds out;
-//! news goes to peers that membership chooses. The task that owns a [`Gossip`] makes its calls,
-//! takes others' calls in, and tells how each call ended.
+//! Every probe includes the hash of the sender's item versions, so that a process that missed an
+//! update detects it. New items are pushed to peers that membership chooses. The task that owns a
+//! [`Gossip`] sends the calls that it requests, passes it the calls of peers, and reports how each
+//! call ended.
 
 use std::time::Duration;
 
@@ -14,51 +15,51 @@
     spread::{self, Digest, Id, Item, Limits, Store},
 };
 
-/// Number of a call, unique at the process that numbers it.
+/// Call number, unique within the process that assigned it.
 pub type CallId = u64;
 
-/// Peers whose hash of items is remembered.
-const MOST_HEARD: usize = 64;
-/// How long a call about items may take.
+/// Peers whose item hash is kept; the least recently updated is dropped first.
+const MAX_PEER_DIGESTS: usize = 64;
+/// Timeout of a call that exchanges items.
 const ITEMS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A message of either part; a request, or the answer to one.
+/// A request or response of membership or of the item store, with the sender's address and hash.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Envelope {
-    /// Where the sender can be called.
+    /// `IP:port` at which peers call the sender.
     pub address: String,
-    /// Hash of the items that the sender holds.
+    /// Hash of the versions of all items that the sender holds.
     pub digest: Digest,
     /// The message.
     pub content: Content,
 }
 
-/// What an envelope holds.
+/// The message in an envelope.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// About members.
+    /// A membership message.
     Member(membership::Message),
-    /// About items.
+    /// A message of the item store.
     Spread(spread::Message),
 }
 
-/// What happens.
+/// An input of a [`Gossip`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; several times a period.
+    /// Time has passed; sent several times per probe period.
     Tick,
-    /// The platform's list was read.
+    /// The platform's list of VMs was read.
     List(Vec<Listed>),
-    /// Addresses from the settings.
+    /// Seed addresses from the settings.
     Seeds(Vec<String>),
-    /// This process has a new version of an item, from the platform or of its own.
+    /// This process obtained or produced a new version of an item.
     Put(Item),
-    /// Another process asks; its task numbered the call.
+    /// A request from another process.
     Asked {
-        /// The task's number of the call.
+        /// Call number, assigned by the task that owns the [`Gossip`].
         call: CallId,
-        /// What is asked.
+        /// The request.
         envelope: Envelope,
     },
     /// A call of [`Effect::Ask`] was answered.
@@ -73,67 +74,67 @@
         /// The number in the effect.
         call: CallId,
     },
-    /// This process begins to stop: it takes no new duty.
+    /// This process starts to drain and takes on no new role.
     Leave,
-    /// This process has handed its duties over and ends.
+    /// This process has handed over its roles and is about to exit.
     Stop,
 }
 
-/// What is to be done.
+/// An action that the owning task has to perform.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Call another process.
     Ask {
-        /// The number to answer with.
+        /// Call number; the result is reported under it.
         call: CallId,
         /// `IP:port`.
         address: String,
-        /// What to ask.
+        /// The request.
         envelope: Envelope,
-        /// How long the answer may take.
+        /// Timeout of the call.
         within: Duration,
     },
-    /// Answer a call of [`Event::Asked`].
+    /// Answer the request of an [`Event::Asked`].
     Answer {
         /// The number in the event.
         call: CallId,
         /// The answer.
         envelope: Envelope,
     },
-    /// A member's standing changed, for the log and the time line.
+    /// A member's standing changed; recorded in the log and the time line.
     Changed(Update),
-    /// A version of an item is in force here from now on.
+    /// This process now uses this version of an item.
     Accepted(Item),
-    /// An item has lasted its time.
+    /// An item expired.
     Expired(Id),
 }
 
-/// Whose call it was.
+/// The part that made a call.
 #[derive(Clone, Copy, Debug)]
-enum Part {
+enum Caller {
     Member(membership::CallId),
     Spread(spread::CallId),
     Push,
 }
 
-/// What a peer was last heard to hold.
+/// The item hash that a peer last sent.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerDigest {
     digest: Digest,
     at: Duration,
 }
 
-/// How many of the peers heard lately hold the very same versions as this process.
+/// How many of the recently seen peers hold the same item versions as this process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agreement {
-    /// Peers heard within the span.
+    /// Peers that sent their hash within the time span.
     pub heard: usize,
-    /// Addresses of those that hold other versions.
+    /// Addresses of the peers whose versions differ.
     pub differ: Vec<String>,
 }
 
-/// One process's membership and items.
+/// The membership and item store of one process.
 ///
 /// # Example
 ///
@@ -155,19 +156,19 @@
 pub struct Gossip {
     members: Membership,
     store: Store,
-    calls: IndexMap<CallId, Part>,
-    heard: IndexMap<String, Heard>,
+    calls: IndexMap<CallId, Caller>,
+    digests: IndexMap<String, PeerDigest>,
     next_call: CallId,
 }
 
 impl Gossip {
-    /// Creates the parts of a process that knows only itself and holds nothing.
+    /// Creates the state of a process that knows only itself and holds no items.
     pub fn new(me: Peer, timing: Timing, limits: Limits, seed: u64) -> Self {
         Self {
             members: Membership::new(me, timing, seed),
             store: Store::new(limits),
             calls: IndexMap::new(),
-            heard: IndexMap::new(),
+            digests: IndexMap::new(),
             next_call: 0,
         }
     }
@@ -177,17 +178,17 @@
         &self.members
     }
 
-    /// Returns the items.
+    /// Returns the item store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Returns the items, to say which are left out.
+    /// Returns the item store, for its configuration.
     pub fn store_mut(&mut self) -> &mut Store {
         &mut self.store
     }
 
-    /// Takes an event in and returns what is to be done, in order.
+    /// Processes an event and returns the actions to perform, in order.
     ///
     /// # Example
     ///
@@ -207,25 +208,29 @@
         let mut effects = Vec::new();
         match event {
             Event::Tick => {
-                self.member(now, membership::Event::Tick, &mut effects);
-                self.spread(now, spread::Event::Tick, &mut effects);
+                self.update_membership(now, membership::Event::Tick, &mut effects);
+                self.update_store(now, spread::Event::Tick, &mut effects);
             }
-            Event::List(list) => self.member(now, membership::Event::List(list), &mut effects),
-            Event::Seeds(seeds) => self.member(now, membership::Event::Seeds(seeds), &mut effects),
-            Event::Put(item) => self.spread(now, spread::Event::Put(item), &mut effects),
+            Event::List(list) => {
+                self.update_membership(now, membership::Event::List(list), &mut effects)
+            }
+            Event::Seeds(seeds) => {
+                self.update_membership(now, membership::Event::Seeds(seeds), &mut effects)
+            }
+            Event::Put(item) => self.update_store(now, spread::Event::Put(item), &mut effects),
             Event::Asked { call, envelope } => self.asked(now, call, envelope, &mut effects),
             Event::Answered { call, envelope } => self.answered(now, call, envelope, &mut effects),
             Event::Failed { call } => self.failed(now, call, &mut effects),
-            Event::Leave => self.member(now, membership::Event::Leave, &mut effects),
-            Event::Stop => self.member(now, membership::Event::Stop, &mut effects),
+            Event::Leave => self.update_membership(now, membership::Event::Leave, &mut effects),
+            Event::Stop => self.update_membership(now, membership::Event::Stop, &mut effects),
         }
         effects
     }
 
-    /// Returns how many of the peers heard within a span hold the same versions.
+    /// Compares this process's item versions with those of peers seen within a time span.
     ///
-    /// A peer is heard whenever it probes this process or answers its probe; the sample is of up to
-    /// 64 peers, the latest heard.
+    /// Each probe or probe response carries the peer's hash. The sample covers up to 64 peers, the
+    /// most recent ones.
     ///
     /// # Example
     ///
@@ -240,21 +245,26 @@
     pub fn agreement(&self, now: Duration, span: Duration) -> Agreement {
         let own = self.store.digest();
         let recent = || {
-            self.heard
+            self.digests
                 .iter()
-                .filter(move |(_, heard)| heard.at + span >= now)
+                .filter(move |(_, peer)| peer.at + span >= now)
         };
         Agreement {
             heard: recent().count(),
             differ: recent()
-                .filter(|(_, heard)| heard.digest != own)
+                .filter(|(_, peer)| peer.digest != own)
                 .map(|(address, _)| address.clone())
                 .collect(),
         }
     }
 
-    /// Hands an event to the membership.
-    fn member(&mut self, now: Duration, event: membership::Event, effects: &mut Vec<Effect>) {
+    /// Passes an event to the membership and collects its effects.
+    fn update_membership(
+        &mut self,
+        now: Duration,
+        event: membership::Event,
+        effects: &mut Vec<Effect>,
+    ) {
         for effect in self.members.on(now, event) {
             match effect {
                 membership::Effect::Ask {
@@ -264,7 +274,7 @@
                     within,
                 } => {
                     let content = Content::Member(message);
-                    self.ask(Part::Member(call), address, content, within, effects);
+                    self.ask(Caller::Member(call), address, content, within, effects);
                 }
                 membership::Effect::Answer { call, message } => {
                     let envelope = self.envelope(Content::Member(message));
@@ -275,8 +285,8 @@
         }
     }
 
-    /// Hands an event to the store.
-    fn spread(&mut self, now: Duration, event: spread::Event, effects: &mut Vec<Effect>) {
+    /// Passes an event to the item store and collects its effects.
+    fn update_store(&mut self, now: Duration, event: spread::Event, effects: &mut Vec<Effect>) {
         for effect in self.store.on(now, event) {
             match effect {
                 spread::Effect::Ask {
@@ -285,7 +295,13 @@
                     message,
                 } => {
                     let content = Content::Spread(message);
-                    self.ask(Part::Spread(call), address, content, ITEMS_TIMEOUT, effects);
+                    self.ask(
+                        Caller::Spread(call),
+                        address,
+                        content,
+                        ITEMS_TIMEOUT,
+                        effects,
+                    );
                 }
                 spread::Effect::Answer { call, message } => {
                     let envelope = self.envelope(Content::Spread(message));
@@ -298,15 +314,15 @@
         }
     }
 
-    /// Tells news to members chosen at random.
+    /// Sends a message to `count` members chosen at random.
     fn push(&mut self, count: usize, message: &spread::Message, effects: &mut Vec<Effect>) {
         for peer in self.members.sample(count) {
             let content = Content::Spread(message.clone());
-            self.ask(Part::Push, peer.address, content, ITEMS_TIMEOUT, effects);
+            self.ask(Caller::Push, peer.address, content, ITEMS_TIMEOUT, effects);
         }
     }
 
-    /// Takes another process's call in.
+    /// Processes a request from another process.
     fn asked(
         &mut self,
         now: Duration,
@@ -321,8 +337,8 @@
         } = envelope;
         match content {
             Content::Member(message) => {
-                self.member(now, membership::Event::Asked { call, message }, effects);
-                self.hear(now, address, digest, effects);
+                self.update_membership(now, membership::Event::Asked { call, message }, effects);
+                self.record_digest(now, address, digest, effects);
             }
             Content::Spread(message) => {
                 let event = spread::Event::Asked {
@@ -330,12 +346,12 @@
                     address,
                     message,
                 };
-                self.spread(now, event, effects);
+                self.update_store(now, event, effects);
             }
         }
     }
 
-    /// Takes the answer to a call in.
+    /// Processes the response to a call.
     fn answered(
         &mut self,
         now: Duration,
@@ -343,60 +359,68 @@
         envelope: Envelope,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(part) = self.calls.swap_remove(&call) else {
+        let Some(caller) = self.calls.swap_remove(&call) else {
             return;
         };
-        match (part, envelope.content) {
-            (Part::Member(call), Content::Member(message)) => {
-                self.member(now, membership::Event::Answered { call, message }, effects);
-                self.hear(now, envelope.address, envelope.digest, effects);
+        match (caller, envelope.content) {
+            (Caller::Member(call), Content::Member(message)) => {
+                self.update_membership(now, membership::Event::Answered { call, message }, effects);
+                self.record_digest(now, envelope.address, envelope.digest, effects);
             }
-            (Part::Spread(call), Content::Spread(message)) => {
-                self.spread(now, spread::Event::Answered { call, message }, effects);
+            (Caller::Spread(call), Content::Spread(message)) => {
+                self.update_store(now, spread::Event::Answered { call, message }, effects);
             }
-            (Part::Push, _) => {}
-            (part, _) => self.end(now, part, effects),
+            (Caller::Push, _) => {}
+            (caller, _) => self.fail_call(now, caller, effects),
         }
     }
 
-    /// Takes the failure of a call in.
+    /// Processes the failure of a call.
     fn failed(&mut self, now: Duration, call: CallId, effects: &mut Vec<Effect>) {
-        if let Some(part) = self.calls.swap_remove(&call) {
-            self.end(now, part, effects);
+        if let Some(caller) = self.calls.swap_remove(&call) {
+            self.fail_call(now, caller, effects);
         }
     }
 
-    /// Tells a part that its call failed.
-    fn end(&mut self, now: Duration, part: Part, effects: &mut Vec<Effect>) {
-        match part {
-            Part::Member(call) => self.member(now, membership::Event::Failed { call }, effects),
-            Part::Spread(call) => self.spread(now, spread::Event::Failed { call }, effects),
-            Part::Push => {}
+    /// Reports a failed call to the part that made it.
+    fn fail_call(&mut self, now: Duration, caller: Caller, effects: &mut Vec<Effect>) {
+        match caller {
+            Caller::Member(call) => {
+                self.update_membership(now, membership::Event::Failed { call }, effects)
+            }
+            Caller::Spread(call) => self.update_store(now, spread::Event::Failed { call }, effects),
+            Caller::Push => {}
         }
     }
 
-    /// Notes what a peer holds, and has the store compare.
-    fn hear(&mut self, now: Duration, address: String, digest: Digest, effects: &mut Vec<Effect>) {
-        self.heard.shift_remove(&address);
-        self.heard
-            .insert(address.clone(), Heard { digest, at: now });
-        if self.heard.len() > MOST_HEARD {
-            self.heard.shift_remove_index(0);
+    /// Records a peer's item hash and has the store compare it with its own.
+    fn record_digest(
+        &mut self,
+        now: Duration,
+        address: String,
+        digest: Digest,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.digests.shift_remove(&address);
+        self.digests
+            .insert(address.clone(), PeerDigest { digest, at: now });
+        if self.digests.len() > MAX_PEER_DIGESTS {
+            self.digests.shift_remove_index(0);
         }
-        self.spread(now, spread::Event::Digest { address, digest }, effects);
+        self.update_store(now, spread::Event::Digest { address, digest }, effects);
     }
 
-    /// Makes a call.
+    /// Records a call and requests that it is sent.
     fn ask(
         &mut self,
-        part: Part,
+        caller: Caller,
         address: String,
         content: Content,
         within: Duration,
         effects: &mut Vec<Effect>,
     ) {
         self.next_call += 1;
-        self.calls.insert(self.next_call, part);
+        self.calls.insert(self.next_call, caller);
         let envelope = self.envelope(content);
         effects.push(Effect::Ask {
             call: self.next_call,
@@ -406,7 +430,7 @@
         });
     }
 
-    /// Wraps a message.
+    /// Adds this process's address and item hash to a message.
     fn envelope(&self, content: Content) -> Envelope {
         Envelope {
             address: self.members.me().address.clone(),
--- a/src/membership/calls.rs
+++ b/src/membership/calls.rs
@@ -1,4 +1,5 @@
-//! The calls a process makes of itself: rounds of probes, attempts to reach, comparisons.
+//! The calls that a process starts: probe rounds, attempts to reach unknown or lost processes, and
+//! comparisons of views.
 
 use std::time::Duration;
 
@@ -10,96 +11,99 @@
 };
 use crate::{id::VmId, key};
 
-/// A process that has not run for so many periods was paused.
-const PAUSED: u32 = 4;
-/// Addresses kept to be tried.
-const MOST_CONTACTS: usize = 64;
-/// Attempts at once while no other member is known.
-const FIRST_CONTACTS: usize = 3;
-/// VMs of the fleet that try an address every [`Timing::retry`](super::Timing::retry).
-const CONTACTING: usize = 64;
-/// News waits in a queue of at most this length.
-const MOST_NEWS: usize = 1024;
-/// How often an update of a duty member is sent, for each doubling of the fleet.
-const SENDS: u32 = 2;
-/// How often an update of a further member is sent.
-const FEW_SENDS: usize = 3;
+/// Without a tick for more than this many periods, the process counts as paused.
+const PAUSE_PERIODS: u32 = 4;
+/// Maximum number of addresses kept to contact.
+const MAX_CONTACTS: usize = 64;
+/// Addresses contacted at once while no other live member is known.
+const INITIAL_CONTACTS: usize = 3;
+/// Number of VMs in the whole fleet that contact an address in each
+/// [`Timing::retry`](super::Timing::retry).
+const CONTACTING_VMS: usize = 64;
+/// Maximum length of the update queue.
+const MAX_QUEUED_UPDATES: usize = 1024;
+/// How often an update of an eligible member is sent, per doubling of the fleet's size.
+const SENDS_PER_DOUBLING: u32 = 2;
+/// How often an update of another member is sent.
+const OTHER_SENDS: usize = 3;
 
 /// Why a call was made.
 #[derive(Clone, Debug)]
 pub(super) enum Call {
-    /// To see whether a member is there.
+    /// Probes a member.
     Probe(VmId),
-    /// To reach a process that is not a live member.
+    /// Tries to reach a process that is not a live member.
     Contact(String),
-    /// To have a member probed by another.
+    /// Asks another member to probe this one.
     Relay(VmId),
-    /// To probe a member for another, who numbered its call so.
-    Behalf(CallId),
-    /// To compare or mend views, or to say a word.
+    /// Probes a member for another process; holds the number of that process's request.
+    OnBehalf(CallId),
+    /// Compares or repairs views, or announces that this process stops.
     Other,
 }
 
-/// An address to be tried.
+/// An address to contact.
 #[derive(Clone, Debug)]
 pub(super) struct Contact {
     /// `IP:port`.
     pub(super) address: String,
-    /// Whether it came from the settings; these stay.
+    /// Whether it came from the settings; these are never replaced by the platform's list.
     seed: bool,
     /// Whether it has answered.
     answered: bool,
 }
 
 impl Membership {
-    /// Runs what is due.
+    /// Sends the probes that are due and declares losses.
     pub(super) fn tick(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        self.notice_pause(now);
+        self.handle_pause(now);
         self.declare_losses(now, effects);
         if now < self.next_round {
             return;
         }
-        self.forget(now);
+        self.clean_up(now);
         self.next_round = now + self.timing.period;
         for _ in 0..self.timing.probes {
             self.probe_next(effects);
         }
-        self.try_contacts(now, effects);
+        self.contact_unreached(now, effects);
     }
 
-    /// Drops old losses and too much news.
-    fn forget(&mut self, now: Duration) {
-        if now < self.next_forget {
+    /// Drops old lost members and limits the update queue.
+    fn clean_up(&mut self, now: Duration) {
+        if now < self.next_cleanup {
             return;
         }
-        self.next_forget = now + self.timing.compare;
-        self.view.forget(now, self.timing.forget);
-        self.queue.bound(MOST_NEWS);
+        self.next_cleanup = now + self.timing.compare;
+        self.view.drop_lost(now, self.timing.forget);
+        self.queue.truncate(MAX_QUEUED_UPDATES);
     }
 
-    /// After a pause, forgets calls and suspicions that ran out meanwhile: the fault was here.
-    fn notice_pause(&mut self, now: Duration) {
+    /// After a pause of this process, forgets pending calls and extends suspicions: calls timed out
+    /// because this process was paused, not because its peers failed.
+    fn handle_pause(&mut self, now: Duration) {
         let last = self.last_tick.replace(now).unwrap_or(now);
         let gap = now.saturating_sub(last);
-        if gap <= self.timing.period * PAUSED {
+        if gap <= self.timing.period * PAUSE_PERIODS {
             return;
         }
-        self.calls.retain(|_, call| matches!(call, Call::Behalf(_)));
-        self.inquiries.clear();
-        self.view.postpone(gap);
+        self.calls
+            .retain(|_, call| matches!(call, Call::OnBehalf(_)));
+        self.relayed_probes.clear();
+        self.view.extend_suspicions(gap);
     }
 
-    /// Turns suspicions that stood long enough into losses.
+    /// Declares members lost that have been suspected long enough.
     fn declare_losses(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         let doublings = self.view.fleet_size().max(16).ilog2();
-        let patience = self.timing.suspicion * doublings / 4;
-        for mut update in self.view.overdue(now, patience) {
+        let timeout = self.timing.suspicion * doublings / 4;
+        for mut update in self.view.suspected_for(now, timeout) {
             update.standing = Standing::Gone;
             self.learn(now, &update, effects);
         }
     }
 
-    /// Probes the next member of a shuffled round.
+    /// Probes the next member in the shuffled order.
     fn probe_next(&mut self, effects: &mut Vec<Effect>) {
         let Some(peer) = self.next_target() else {
             return;
@@ -109,20 +113,20 @@
         self.ask(call, &peer.address, message, self.timing.direct, effects);
     }
 
-    /// Chooses whom to probe, so that each VM of the fleet is probed equally often.
+    /// Chooses the next member to probe, so that each VM of the fleet is probed equally often.
     ///
-    /// All know the duty members, few know each of the others: a duty member is passed over as
-    /// often as it would be probed too much.
+    /// Every VM knows the eligible members, but only a few know each of the others. Eligible members
+    /// are therefore skipped with the probability that evens this out.
     fn next_target(&mut self) -> Option<Peer> {
         for _ in 0..self.view.len() {
-            let Some(vm) = self.order.pop() else {
+            let Some(vm) = self.probe_order.pop() else {
                 self.shuffle();
                 continue;
             };
             let Some(member) = self.view.get(&vm).filter(|it| it.is_present()) else {
                 continue;
             };
-            if member.is_duty && self.passes_over() {
+            if member.is_eligible && self.skips_eligible() {
                 continue;
             }
             return self.view.get(&vm).map(|it| it.peer.clone());
@@ -130,36 +134,36 @@
         None
     }
 
-    /// Decides at random whether a duty member is passed over.
-    pub(super) fn passes_over(&mut self) -> bool {
-        if self.is_whole() {
+    /// Decides at random whether to skip an eligible member.
+    pub(super) fn skips_eligible(&mut self) -> bool {
+        if self.is_complete() {
             return false;
         }
         self.random.random_range(0..self.view.fleet_size()) >= self.timing.others.max(1)
     }
 
-    /// Starts a new round over all present members.
+    /// Starts a new shuffled order of all present members.
     fn shuffle(&mut self) {
         let me = &self.view.me().vm;
-        self.order = self
+        self.probe_order = self
             .view
             .members()
             .filter(|it| it.is_present() && it.peer.vm != *me)
             .map(|it| it.peer.vm.clone())
             .collect();
-        self.order.shuffle(&mut self.random);
+        self.probe_order.shuffle(&mut self.random);
     }
 
-    /// Tries addresses of the list, the settings and of lost members.
-    fn try_contacts(&mut self, now: Duration, effects: &mut Vec<Effect>) {
+    /// Contacts addresses from the platform's list, the settings and lost members.
+    fn contact_unreached(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if now < self.next_retry {
             return;
         }
-        let alone = self.view.live_count() < 2;
-        self.next_retry = now + self.retry(alone);
+        let is_alone = self.view.live_count() < 2;
+        self.next_retry = now + self.retry_interval(is_alone);
         let mut addresses = self.unreached();
         addresses.shuffle(&mut self.random);
-        let count = if alone { FIRST_CONTACTS } else { 1 };
+        let count = if is_alone { INITIAL_CONTACTS } else { 1 };
         for address in addresses.into_iter().take(count) {
             let message = self.message(Body::Probe);
             let call = Call::Contact(address.clone());
@@ -167,18 +171,19 @@
         }
     }
 
-    /// Returns the wait between two attempts; the fleet's attempts together stay few.
-    fn retry(&self, alone: bool) -> Duration {
-        if alone {
+    /// Returns the interval between two attempts, which grows with the fleet so that its total rate
+    /// of attempts stays low.
+    fn retry_interval(&self, is_alone: bool) -> Duration {
+        if is_alone {
             return self.timing.period;
         }
-        let share = (self.view.fleet_size() / CONTACTING).max(1);
+        let share = (self.view.fleet_size() / CONTACTING_VMS).max(1);
         self.timing.retry * u32::try_from(share).unwrap_or(u32::MAX)
     }
 
-    /// Returns the addresses to try: those that never answered, and those of lost members.
+    /// Returns the addresses to contact: those that never answered, and those of lost members.
     ///
-    /// A process that hears of few others tries those again that have answered before.
+    /// A process with few live members also contacts addresses that have answered before.
     fn unreached(&self) -> Vec<String> {
         let present: IndexSet<&str> = self
             .view
@@ -191,11 +196,11 @@
             .members()
             .filter(|it| it.standing == Standing::Gone)
             .map(|it| it.peer.address.clone());
-        let cut_off = self.view.live_count() < 2 || self.view.is_minority();
+        let is_cut_off = self.view.live_count() < 2 || self.view.is_minority();
         let mut addresses: IndexSet<String> = self
             .contacts
             .iter()
-            .filter(|contact| cut_off || !contact.answered)
+            .filter(|contact| is_cut_off || !contact.answered)
             .map(|contact| contact.address.clone())
             .chain(lost)
             .collect();
@@ -203,7 +208,8 @@
         addresses.into_iter().collect()
     }
 
-    /// Notes that an address answered; a lost member that stood there was replaced for good.
+    /// Records that an address answered; lost members at this address were replaced by another start
+    /// and are marked as stopped.
     pub(super) fn reached(
         &mut self,
         now: Duration,
@@ -227,7 +233,7 @@
         }
     }
 
-    /// Takes the platform's list in: addresses to try, and who is leaving.
+    /// Takes addresses to contact and draining VMs from the platform's list.
     pub(super) fn list(&mut self, now: Duration, list: &[Listed], effects: &mut Vec<Effect>) {
         let me = self.view.me().vm.clone();
         let mut listed: Vec<&Listed> = list.iter().filter(|it| !it.leaving).collect();
@@ -239,8 +245,8 @@
             .map(|contact| contact.address.clone())
             .collect();
         self.contacts.retain(|contact| contact.seed);
-        let room = MOST_CONTACTS.saturating_sub(self.contacts.len());
-        let contacts = listed.into_iter().take(room).map(|it| Contact {
+        let free = MAX_CONTACTS.saturating_sub(self.contacts.len());
+        let contacts = listed.into_iter().take(free).map(|it| Contact {
             address: it.address.clone(),
             seed: false,
             answered: answered.contains(&it.address),
@@ -249,7 +255,7 @@
         self.mark_leaving(now, list, effects);
     }
 
-    /// Says of members that the list newly shows as leaving that they are.
+    /// Marks live members as leaving whose VMs became leaving in the platform's list.
     fn mark_leaving(&mut self, now: Duration, list: &[Listed], effects: &mut Vec<Effect>) {
         let leaving: IndexSet<String> = list
             .iter()
@@ -271,7 +277,7 @@
         }
     }
 
-    /// Takes addresses from the settings in.
+    /// Adds seed addresses from the settings.
     pub(super) fn seeds(&mut self, seeds: Vec<String>) {
         let me = self.view.me().address.clone();
         let seeds = seeds.into_iter().filter(|seed| *seed != me);
@@ -280,10 +286,10 @@
             seed: true,
             answered: false,
         }));
-        self.contacts.truncate(MOST_CONTACTS);
+        self.contacts.truncate(MAX_CONTACTS);
     }
 
-    /// Says of this process that it is leaving or has left.
+    /// Announces that this process is leaving or has stopped.
     pub(super) fn announce(
         &mut self,
         now: Duration,
@@ -295,7 +301,7 @@
         self.learn(now, &own, effects);
     }
 
-    /// Says that this process ends, to a few members at once: it sends no more probes.
+    /// Tells a few members directly that this process stops, since it sends no more probes.
     pub(super) fn stop(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         self.announce(now, Standing::Left, effects);
         for peer in self.others(self.timing.helpers * 2) {
@@ -310,7 +316,7 @@
         }
     }
 
-    /// Compares views with a peer whose hash differs, if that is due.
+    /// Compares views with a peer whose hash differs, unless the last comparison was too recent.
     pub(super) fn compare(&mut self, now: Duration, peer: &Peer, effects: &mut Vec<Effect>) {
         if now < self.next_compare {
             return;
@@ -326,7 +332,7 @@
         );
     }
 
-    /// Returns up to `count` present members at random.
+    /// Returns up to `count` random members that are live or leaving, this process excluded.
     pub(super) fn others(&mut self, count: usize) -> Vec<Peer> {
         let me = &self.view.me().vm;
         let mut others: Vec<Peer> = self
@@ -340,12 +346,12 @@
         others
     }
 
-    /// Takes one piece of news in, and passes it on if it changed anything.
+    /// Applies an update and passes it on if it changed the view.
     pub(super) fn learn(&mut self, now: Duration, update: &Update, effects: &mut Vec<Effect>) {
         self.learn_all(now, std::slice::from_ref(update), effects);
     }
 
-    /// Takes news in, and passes on what changed anything.
+    /// Applies updates and passes on those that changed the view.
     pub(super) fn learn_all(
         &mut self,
         now: Duration,
@@ -359,23 +365,24 @@
         }
     }
 
-    /// Returns how often an update is to be sent: to all where all hold the member, else to a few.
+    /// Returns how often to send an update: enough to reach every VM if all keep the member, else a
+    /// few times.
     fn sends(&self, update: &Update) -> usize {
         let doublings = (self.view.fleet_size() + 1).ilog2() + 1;
-        let is_for_all = self.is_whole() || self.view.is_duty(&update.peer.vm);
-        if is_for_all || update.standing > Standing::Suspect {
-            (doublings * SENDS) as usize
+        let is_known_to_all = self.is_complete() || self.view.is_eligible(&update.peer.vm);
+        if is_known_to_all || update.standing > Standing::Suspect {
+            (doublings * SENDS_PER_DOUBLING) as usize
         } else {
-            FEW_SENDS
+            OTHER_SENDS
         }
     }
 
-    /// Returns whether the view holds about the whole fleet.
-    fn is_whole(&self) -> bool {
+    /// Returns whether the view contains nearly the whole fleet.
+    fn is_complete(&self) -> bool {
         self.view.fleet_size() <= self.view.live_count() * 5 / 4
     }
 
-    /// Makes a message with the news that is due.
+    /// Builds a message with queued updates.
     pub(super) fn message(&mut self, body: Body) -> Message {
         Message {
             sender: self.view.own(),
@@ -385,27 +392,29 @@
         }
     }
 
-    /// Makes a message that also tells the receiver what is held against it.
+    /// Builds a message that also tells the receiver if it is suspected or declared lost here, so that
+    /// it can refute that.
     pub(super) fn message_to(&mut self, peer: &Peer, body: Body) -> Message {
         let mut message = self.message(body);
-        let held = self.view.get(&peer.vm).map(Member::update);
+        let known = self.view.get(&peer.vm).map(Member::update);
         message
             .updates
-            .extend(held.filter(|update| update.standing > Standing::Leaving));
+            .extend(known.filter(|update| update.standing > Standing::Leaving));
         message
     }
 
-    /// Adds a further member to an answer where views are not whole, so that all hear of others.
-    pub(super) fn introduce(&mut self, message: &mut Message) {
-        if self.is_whole() || message.updates.len() >= self.timing.updates {
+    /// Adds another member to a response if the view is incomplete, so that processes learn of
+    /// members that they don't keep.
+    pub(super) fn add_other(&mut self, message: &mut Message) {
+        if self.is_complete() || message.updates.len() >= self.timing.updates {
             return;
         }
         let start = self.random.random_range(0..self.view.len());
-        let chosen = self.view.further_from(start);
+        let chosen = self.view.other_from(start);
         message.updates.extend(chosen);
     }
 
-    /// Makes a call.
+    /// Records a call and requests that it is sent.
     pub(super) fn ask(
         &mut self,
         call: Call,
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,4 +1,4 @@
-//! What other processes ask, and how calls end.
+//! Handling of requests from other processes and of the results of calls.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 
 impl Membership {
-    /// Answers another process.
+    /// Processes a request from another process and responds to it.
     pub(super) fn asked(
         &mut self,
         now: Duration,
@@ -18,29 +18,35 @@
         effects: &mut Vec<Effect>,
     ) {
         let sender = message.sender.peer.clone();
-        self.hear(now, &message, effects);
+        self.apply_message(now, &message, effects);
         let body = match message.body {
             Body::Relay(peer) => return self.probe_for(call, &peer, effects),
             Body::Compare(hashes) => Body::Members(self.view.differing(&hashes)),
             Body::Members(members) => {
-                self.take(now, &members, effects);
+                self.apply(now, &members, effects);
                 Body::Answer
             }
             Body::Probe | Body::Answer | Body::Relayed(_) => Body::Answer,
         };
         let mut message = self.message_to(&sender, body);
-        self.introduce(&mut message);
+        self.add_other(&mut message);
         effects.push(Effect::Answer { call, message });
     }
 
-    /// Probes a member for another process, which gets its answer later.
+    /// Probes a member on on_behalf of another process, which gets its response afterwards.
     fn probe_for(&mut self, call: CallId, peer: &Peer, effects: &mut Vec<Effect>) {
         let message = self.message_to(peer, Body::Probe);
-        let behalf = Call::Behalf(call);
-        self.ask(behalf, &peer.address, message, self.timing.direct, effects);
+        let on_behalf = Call::OnBehalf(call);
+        self.ask(
+            on_behalf,
+            &peer.address,
+            message,
+            self.timing.direct,
+            effects,
+        );
     }
 
-    /// Takes the answer to a call in.
+    /// Processes the response to a call.
     pub(super) fn answered(
         &mut self,
         now: Duration,
@@ -52,16 +58,16 @@
             return;
         };
         let sender = message.sender.peer.clone();
-        self.hear(now, &message, effects);
+        self.apply_message(now, &message, effects);
         match (call, message.body) {
-            (Call::Probe(vm), _) if vm != sender.vm => self.replaced(now, &vm, effects),
+            (Call::Probe(vm), _) if vm != sender.vm => self.declare_replaced(now, &vm, effects),
             (Call::Relay(vm), Body::Relayed(true)) => {
-                self.inquiries.swap_remove(&vm);
+                self.relayed_probes.swap_remove(&vm);
             }
-            (Call::Relay(vm), _) => self.unheard(now, &vm, effects),
-            (Call::Behalf(asker), _) => self.report(asker, true, effects),
+            (Call::Relay(vm), _) => self.helper_failed(now, &vm, effects),
+            (Call::OnBehalf(asker), _) => self.report_probe(asker, true, effects),
             (Call::Contact(address), _) => self.reached(now, &address, &sender.vm, effects),
-            (_, Body::Members(members)) => self.mend(now, &sender, &members, effects),
+            (_, Body::Members(members)) => self.repair(now, &sender, &members, effects),
             _ => {}
         }
         if message.view != self.view.hash() {
@@ -69,18 +75,18 @@
         }
     }
 
-    /// Takes the failure of a call in.
+    /// Processes the failure of a call.
     pub(super) fn failed(&mut self, now: Duration, call: CallId, effects: &mut Vec<Effect>) {
         match self.calls.swap_remove(&call) {
-            Some(Call::Probe(vm)) => self.inquire(now, &vm, effects),
-            Some(Call::Relay(vm)) => self.unheard(now, &vm, effects),
-            Some(Call::Behalf(asker)) => self.report(asker, false, effects),
+            Some(Call::Probe(vm)) => self.probe_through_others(now, &vm, effects),
+            Some(Call::Relay(vm)) => self.helper_failed(now, &vm, effects),
+            Some(Call::OnBehalf(asker)) => self.report_probe(asker, false, effects),
             Some(Call::Contact(_) | Call::Other) | None => {}
         }
     }
 
-    /// Has a member that failed to answer probed by others.
-    fn inquire(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
+    /// Asks other members to probe a member that did not answer.
+    fn probe_through_others(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
         let Some(member) = self
             .view
             .get(vm)
@@ -89,7 +95,7 @@
             return;
         };
         let peer = member.peer.clone();
-        if self.inquiries.contains_key(vm) {
+        if self.relayed_probes.contains_key(vm) {
             return;
         }
         let mut helpers = self.others(self.timing.helpers + 1);
@@ -98,7 +104,7 @@
         if helpers.is_empty() {
             return self.suspect(now, vm, effects);
         }
-        self.inquiries.insert(vm.to_owned(), helpers.len());
+        self.relayed_probes.insert(vm.to_owned(), helpers.len());
         for helper in helpers {
             let message = self.message_to(&helper, Body::Relay(peer.clone()));
             let call = Call::Relay(vm.to_owned());
@@ -112,19 +118,19 @@
         }
     }
 
-    /// Counts a helper that could not reach a member either.
-    fn unheard(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
-        let Some(left) = self.inquiries.get_mut(vm) else {
+    /// Counts a helper that could not reach the member; suspects it once no helper is left.
+    fn helper_failed(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
+        let Some(remaining) = self.relayed_probes.get_mut(vm) else {
             return;
         };
-        *left = left.saturating_sub(1);
-        if *left == 0 {
-            self.inquiries.swap_remove(vm);
+        *remaining = remaining.saturating_sub(1);
+        if *remaining == 0 {
+            self.relayed_probes.swap_remove(vm);
             self.suspect(now, vm, effects);
         }
     }
 
-    /// Suspects a member.
+    /// Marks a present member as suspected.
     fn suspect(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
         let Some(member) = self.view.get(vm).filter(|it| it.is_present()) else {
             return;
@@ -134,8 +140,8 @@
         self.learn(now, &update, effects);
     }
 
-    /// Declares a member lost because another start answers at its address.
-    fn replaced(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
+    /// Declares a member lost because a process with another identity answers at its address.
+    fn declare_replaced(&mut self, now: Duration, vm: &str, effects: &mut Vec<Effect>) {
         let Some(member) = self.view.get(vm).filter(|it| it.is_present()) else {
             return;
         };
@@ -144,8 +150,8 @@
         self.learn(now, &update, effects);
     }
 
-    /// Answers one that asked for a probe.
-    fn report(&mut self, asker: CallId, answered: bool, effects: &mut Vec<Effect>) {
+    /// Reports the result of a probe to the process that asked for it.
+    fn report_probe(&mut self, asker: CallId, answered: bool, effects: &mut Vec<Effect>) {
         let message = self.message(Body::Relayed(answered));
         effects.push(Effect::Answer {
             call: asker,
@@ -153,14 +159,20 @@
         });
     }
 
-    /// Takes a peer's members in and returns to it what it lacks.
-    fn mend(&mut self, now: Duration, peer: &Peer, members: &[Update], effects: &mut Vec<Effect>) {
-        self.take(now, members, effects);
-        let news: Vec<Update> = self.newer_than(members);
-        if news.is_empty() {
+    /// Applies a peer's members and sends it those that are newer here.
+    fn repair(
+        &mut self,
+        now: Duration,
+        peer: &Peer,
+        members: &[Update],
+        effects: &mut Vec<Effect>,
+    ) {
+        self.apply(now, members, effects);
+        let newer: Vec<Update> = self.newer_than(members);
+        if newer.is_empty() {
             return;
         }
-        let message = self.message_to(peer, Body::Members(news));
+        let message = self.message_to(peer, Body::Members(newer));
         self.ask(
             Call::Other,
             &peer.address,
@@ -170,7 +182,7 @@
         );
     }
 
-    /// Returns what is held of the failure domains of `members` beyond what they say.
+    /// Returns the eligible and lost members in the failure domains of `members` that are newer here.
     fn newer_than(&self, members: &[Update]) -> Vec<Update> {
         let domains: IndexSet<&str> = members.iter().map(|it| it.peer.domain.as_str()).collect();
         let theirs: IndexMap<&str, &Update> = members
@@ -185,21 +197,21 @@
         self.view
             .members()
             .filter(|it| domains.contains(it.peer.domain.as_str()))
-            .filter(|it| !it.is_present() || it.is_duty)
+            .filter(|it| !it.is_present() || it.is_eligible)
             .map(Member::update)
             .filter(is_newer)
             .collect()
     }
 
-    /// Takes a message's news in.
-    fn hear(&mut self, now: Duration, message: &Message, effects: &mut Vec<Effect>) {
-        self.settle_start(now, &message.sender, effects);
-        self.take(now, std::slice::from_ref(&message.sender), effects);
-        self.take(now, &message.updates, effects);
+    /// Applies the updates in a message.
+    fn apply_message(&mut self, now: Duration, message: &Message, effects: &mut Vec<Effect>) {
+        self.replace_older_starts(now, &message.sender, effects);
+        self.apply(now, std::slice::from_ref(&message.sender), effects);
+        self.apply(now, &message.updates, effects);
     }
 
-    /// Declares older starts at the sender's address lost.
-    fn settle_start(&mut self, now: Duration, sender: &Update, effects: &mut Vec<Effect>) {
+    /// Declares older starts at the sender's address lost, if the sender is new.
+    fn replace_older_starts(&mut self, now: Duration, sender: &Update, effects: &mut Vec<Effect>) {
         if self.view.get(&sender.peer.vm).is_some() {
             return;
         }
@@ -210,21 +222,21 @@
             .map(|it| it.peer.vm.clone())
             .collect();
         for vm in older {
-            self.replaced(now, &vm, effects);
+            self.declare_replaced(now, &vm, effects);
         }
     }
 
-    /// Takes news from others in; news against this process is refuted.
-    fn take(&mut self, now: Duration, updates: &[Update], effects: &mut Vec<Effect>) {
+    /// Applies updates from a peer and refutes wrong ones about this process.
+    fn apply(&mut self, now: Duration, updates: &[Update], effects: &mut Vec<Effect>) {
         let me = self.view.me().vm.clone();
-        self.learn_others(now, updates, &me, effects);
+        self.learn_all_but(now, updates, &me, effects);
         for update in updates.iter().filter(|it| it.peer.vm == me) {
             self.refute(now, update, effects);
         }
     }
 
-    /// Takes news in, but for what is said of this process.
-    fn learn_others(
+    /// Applies updates except those about this process.
+    fn learn_all_but(
         &mut self,
         now: Duration,
         updates: &[Update],
@@ -239,14 +251,14 @@
         self.learn_all(now, &others, effects);
     }
 
-    /// Answers news about this process with a higher incarnation where it is wrong.
+    /// Refutes a wrong update about this process with a higher incarnation.
     fn refute(&mut self, now: Duration, update: &Update, effects: &mut Vec<Effect>) {
         let mut own = self.view.own();
         if own.standing == Standing::Left || update.incarnation < own.incarnation {
             return;
         }
-        let fresh = self.started.is_some_and(|at| now < at + self.timing.lag);
-        if update.standing == Standing::Leaving && !fresh {
+        let is_starting = self.started.is_some_and(|at| now < at + self.timing.lag);
+        if update.standing == Standing::Leaving && !is_starting {
             return self.learn(now, update, effects);
         }
         if update.standing <= own.standing && update.incarnation == own.incarnation {
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! A member of the view, and the duty members of one failure domain.
+//! A member of the view, and the members of one failure domain that are eligible for roles.
 
 use std::time::Duration;
 
@@ -14,32 +14,32 @@
     pub(super) peer: Peer,
     pub(super) incarnation: Incarnation,
     pub(super) standing: Standing,
-    /// When the standing was taken up.
+    /// When the member took this standing, on this process's clock.
     pub(super) since: Duration,
-    /// How often it came back after a loss.
+    /// How often it returned after it was declared lost.
     pub(super) returns: u32,
-    /// It is no candidate before this.
-    pub(super) held_until: Duration,
-    /// Place among the members of its failure domain; the highest are duty members.
+    /// It is not a candidate for roles before this time.
+    pub(super) barred_until: Duration,
+    /// Rank hash within its failure domain; the members with the highest are eligible for roles.
     pub(super) rank: u64,
-    /// Place among the further members at this process.
+    /// Hash that decides, differently at each process, which other members are kept.
     pub(super) affinity: u64,
-    /// Whether it is one of its failure domain's duty members.
-    pub(super) is_duty: bool,
+    /// Whether it is eligible for roles in its failure domain.
+    pub(super) is_eligible: bool,
 }
 
 impl Member {
-    /// Returns whether it is thought to run.
+    /// Returns whether it probably runs: neither lost nor stopped.
     pub(super) fn is_present(&self) -> bool {
         self.standing <= Standing::Suspect
     }
 
-    /// Returns whether it counts as live: it runs and is not leaving.
+    /// Returns whether it counts as live: it probably runs and is not draining.
     pub(super) fn is_live(&self) -> bool {
         matches!(self.standing, Standing::Live | Standing::Suspect)
     }
 
-    /// Returns it as news.
+    /// Returns its state as an update to send.
     pub(super) fn update(&self) -> Update {
         Update {
             peer: self.peer.clone(),
@@ -49,46 +49,47 @@
     }
 }
 
-/// Duty members of one failure domain, the highest rank first.
+/// Eligible members of one failure domain, the highest rank first.
 #[derive(Debug, Default)]
 pub(super) struct Domain {
-    pub(super) duty: IndexSet<VmId>,
+    pub(super) eligible: IndexSet<VmId>,
     pub(super) hash: u64,
-    pub(super) lowest: u64,
+    pub(super) lowest_rank: u64,
     pub(super) size: usize,
 }
 
 impl Domain {
-    /// Adds the member that ranks next.
-    pub(super) fn add(&mut self, member: &Member, full: usize) {
-        self.duty.insert(member.peer.vm.clone());
-        self.hash ^= statement_hash(member);
-        self.lowest = member.rank;
-        self.size = estimate(self.duty.len(), full, member.rank);
+    /// Adds the member with the next lower rank.
+    pub(super) fn add(&mut self, member: &Member, limit: usize) {
+        self.eligible.insert(member.peer.vm.clone());
+        self.hash ^= state_hash(member);
+        self.lowest_rank = member.rank;
+        self.size = estimate(self.eligible.len(), limit, member.rank);
     }
 }
 
-/// Returns the hash of what is held of a present member, suspicions apart: they pass.
-fn statement_hash(member: &Member) -> u64 {
+/// Hashes the state of a present member; suspicions are left out because they are temporary.
+fn state_hash(member: &Member) -> u64 {
     let leaving = u64::from(member.standing == Standing::Leaving);
     let seed = member.incarnation * 2 + leaving;
     xxh3::xxh3_64_with_seed(member.peer.vm.as_bytes(), seed)
 }
 
-/// Estimates how many members have a rank, from the lowest rank among the `count` highest.
+/// Estimates how many members a failure domain has, from the lowest of its `count` highest ranks.
 ///
-/// Ranks are uniform: `count` of them in the top part `p` of the space speak for `count / p`.
+/// Ranks are uniform hashes: if `count` of them fall in the top fraction `p` of the range, there
+/// are about `count / p` in all.
 #[allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "an estimate of a small positive number"
 )]
-fn estimate(count: usize, full: usize, lowest: u64) -> usize {
-    if count < full {
+fn estimate(count: usize, limit: usize, lowest_rank: u64) -> usize {
+    if count < limit {
         return count;
     }
-    let part = 1.0 - lowest as f64 / u64::MAX as f64;
-    let others = (count as f64 - 1.0) / part.max(f64::EPSILON);
+    let fraction = 1.0 - lowest_rank as f64 / u64::MAX as f64;
+    let others = (count as f64 - 1.0) / fraction.max(f64::EPSILON);
     others.round().max(count as f64) as usize
 }
--- a/src/membership/message.rs
+++ b/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What a membership is told, what it wants done, and what its messages hold.
+//! The events, effects and messages of the membership protocol.
 
 use std::time::Duration;
 
@@ -7,38 +7,38 @@
 
 use crate::id::{DomainId, VmId};
 
-/// Number of a call, unique at the process that numbers it.
+/// Call number, unique within the process that assigned it.
 pub type CallId = u64;
-/// Number of a VM's statements about itself; the higher refutes the lower.
+/// Number that a VM raises to refute a wrong update about itself; the higher number wins.
 pub type Incarnation = u64;
 
 /// A process of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
-    /// Its identity, new on each start: `name#start`.
+    /// Identity, new at each start: `name#start`.
     pub vm: VmId,
     /// `IP:port` at which peers call it.
     pub address: String,
-    /// The failure domain it stands in.
+    /// Its failure domain.
     pub domain: DomainId,
 }
 
-/// A VM of the platform's list.
+/// An entry of the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listed {
-    /// Its name, without a start.
+    /// Name, without a start.
     pub name: String,
     /// `IP:port` at which peers call it.
     pub address: String,
-    /// The failure domain it stands in.
+    /// Its failure domain.
     pub domain: DomainId,
-    /// Whether the platform is about to take it away.
+    /// Whether the platform is about to remove it.
     pub leaving: bool,
 }
 
-/// What is held of a member; at one incarnation the later in this order wins.
+/// State of a member. At equal incarnations the later variant in this order wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -47,17 +47,18 @@
     /// It answers.
     #[default]
     Live,
-    /// It answers and takes no new duty.
+    /// It answers but takes on no new role.
     Leaving,
-    /// It has answered nobody lately.
+    /// It answered neither a direct probe nor one through other members.
     Suspect,
-    /// The suspicion was not refuted, or another start answered in its place.
+    /// It was declared lost: the suspicion was not refuted in time, or another start answered at its
+    /// address.
     Gone,
-    /// It said that it stopped.
+    /// It announced that it stopped, or another start is known to have replaced it.
     Left,
 }
 
-/// News of a member.
+/// An update about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Update {
@@ -65,55 +66,55 @@
     pub peer: Peer,
     /// The incarnation that the standing refers to.
     pub incarnation: Incarnation,
-    /// What is said of it.
+    /// The state of the member.
     pub standing: Standing,
 }
 
-/// A message between two processes; a request, or the answer to one.
+/// A request or a response between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Message {
-    /// The sender's word on itself.
+    /// The sender's update about itself.
     pub sender: Update,
-    /// Hash of the sender's view of the duty members.
+    /// Hash of the eligible members in the sender's view.
     pub view: u64,
-    /// What it asks or answers.
+    /// The request or response.
     pub body: Body,
-    /// News that travels along.
+    /// Updates sent along with it.
     pub updates: Vec<Update>,
 }
 
-/// What a message asks or answers.
+/// The request or response in a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether the receiver is there.
+    /// Asks the receiver to respond.
     Probe,
-    /// Answers a probe.
+    /// Responds to a probe or to [`Body::Members`].
     Answer,
-    /// Asks the receiver to probe another.
+    /// Asks the receiver to probe another process.
     Relay(Peer),
-    /// Answers [`Body::Relay`]: whether the other answered.
+    /// Responds to [`Body::Relay`]: whether the other process answered.
     Relayed(bool),
-    /// Compares views: the sender's hash of each failure domain.
+    /// Asks for a comparison of views; holds the sender's hash of each failure domain.
     Compare(IndexMap<DomainId, u64>),
-    /// Members of the failure domains that differ.
+    /// Eligible and lost members of the failure domains whose hashes differ.
     Members(Vec<Update>),
 }
 
-/// What happens to a membership.
+/// An input of a [`Membership`](super::Membership).
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed; several times a period.
+    /// Time has passed; sent several times per probe period.
     Tick,
-    /// The platform's list was read.
+    /// The platform's list of VMs was read.
     List(Vec<Listed>),
-    /// Addresses from the settings.
+    /// Seed addresses from the settings.
     Seeds(Vec<String>),
-    /// Another process asks; its task numbered the call.
+    /// A request from another process.
     Asked {
-        /// The task's number of the call.
+        /// Call number, assigned by the task that owns the membership.
         call: CallId,
-        /// What is asked.
+        /// The request.
         message: Message,
     },
     /// A call of [`Effect::Ask`] was answered.
@@ -128,33 +129,33 @@
         /// The number in the effect.
         call: CallId,
     },
-    /// This process begins to stop: it takes no new duty.
+    /// This process starts to drain and takes on no new role.
     Leave,
-    /// This process has handed its duties over and ends.
+    /// This process has handed over its roles and is about to exit.
     Stop,
 }
 
-/// What a membership wants done.
+/// An action that the owning task has to perform.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Call another process.
     Ask {
-        /// The number to answer with.
+        /// Call number; the result is reported under it.
         call: CallId,
         /// `IP:port`.
         address: String,
-        /// What to ask.
+        /// The request.
         message: Message,
-        /// How long the answer may take.
+        /// Timeout of the call.
         within: Duration,
     },
-    /// Answer a call of [`Event::Asked`].
+    /// Answer the request of an [`Event::Asked`].
     Answer {
         /// The number in the event.
         call: CallId,
         /// The answer.
         message: Message,
     },
-    /// A member's standing changed, for the log and the time line.
+    /// A member's standing changed; recorded in the log and the time line.
     Changed(Update),
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,20 +1,22 @@
-//! Who is there: membership of the fleet by probes between peers.
+//! Membership of the fleet: which VMs run, found out by probes between peers.
 //!
-//! The platform's list says who *may* be there, and lags; seeds from the settings say whom to ask
-//! when the platform is down; probes say who *is* there. Each period a VM probes a few members. One
-//! that fails to answer is probed through others; one that answers nobody is suspected, and the
-//! suspicion travels on the probes, so that its subject can refute it with a higher incarnation. A
-//! suspicion that stands is a loss. A start is a new identity (`name#start`), so the answer of
-//! another start at the same address settles the old one's loss at once.
+//! The platform's list names the VMs that *may* run, and lags. Seed addresses from the settings are
+//! contacted when the platform is down. Probes tell which VMs *do* run. Each period a VM probes a
+//! few members. A member that doesn't answer is probed through others. If none of them reaches it,
+//! it is suspected; the suspicion is sent along with probes, so that the member can refute it with a
+//! higher incarnation. A member that doesn't refute it in time is declared lost. Each start is a new
+//! identity (`name#start`), so an answer from another start at the same address shows at once that
+//! the older one is lost.
 //!
-//! The view is bounded. Of each failure domain a VM keeps the [`Timing::duty`] members that rank
-//! first by a hash of their names: all VMs agree on these, and duties are given to them alone. Of
-//! the rest it keeps [`Timing::others`], different ones at each VM, for the probes. Below their sum
-//! the view is whole. How many VMs there are is estimated from the density of the ranks.
+//! The view is bounded. In each failure domain a VM keeps the [`Timing::duty`] members that rank
+//! first by a hash of their names. All VMs agree on these, and only they are eligible for roles. Of
+//! the other members each VM keeps [`Timing::others`], a different selection at each VM, to probe.
+//! A fleet that fits within these limits is known completely; the size of a larger one is estimated
+//! from the density of the ranks.
 //!
-//! Membership advises: it says who probably lives. It gives no authority. On the smaller side of a
-//! partition it shows the larger side as lost and offers candidates for every duty; a duty that
-//! must be held by one VM is held by a lease or by a compare-and-swap, never by this module's word.
+//! Membership is advisory: it tells which VMs probably run and grants no authority. On the smaller
+//! side of a partition it shows the larger side as lost and offers candidates for every role. A role
+//! that only one VM may hold therefore needs a lease or a compare-and-swap.
 
 mod calls;
 mod exchange;
@@ -35,7 +37,7 @@
     timing::Timing,
 };
 
-/// One process's view of the fleet.
+/// The view that one process has of the fleet.
 ///
 /// # Example
 ///
@@ -62,8 +64,8 @@
     view: view::View,
     queue: queue::Queue,
     calls: IndexMap<CallId, calls::Call>,
-    inquiries: IndexMap<VmId, usize>,
-    order: Vec<VmId>,
+    relayed_probes: IndexMap<VmId, usize>,
+    probe_order: Vec<VmId>,
     contacts: Vec<calls::Contact>,
     leaving: IndexSet<String>,
     random: StdRng,
@@ -71,13 +73,13 @@
     next_round: Duration,
     next_retry: Duration,
     next_compare: Duration,
-    next_forget: Duration,
+    next_cleanup: Duration,
     last_tick: Option<Duration>,
     started: Option<Duration>,
 }
 
 impl Membership {
-    /// Creates the view of a process that knows only itself.
+    /// Creates the membership of a process that knows only itself.
     ///
     /// # Example
     ///
@@ -94,8 +96,8 @@
             view,
             queue: queue::Queue::default(),
             calls: IndexMap::new(),
-            inquiries: IndexMap::new(),
-            order: Vec::new(),
+            relayed_probes: IndexMap::new(),
+            probe_order: Vec::new(),
             contacts: Vec::new(),
             leaving: IndexSet::new(),
             random: StdRng::seed_from_u64(seed),
@@ -103,13 +105,13 @@
             next_round: Duration::ZERO,
             next_retry: Duration::ZERO,
             next_compare: Duration::ZERO,
-            next_forget: Duration::ZERO,
+            next_cleanup: Duration::ZERO,
             last_tick: None,
             started: None,
         }
     }
 
-    /// Takes an event in and returns what is to be done, in order.
+    /// Processes an event and returns the actions to perform, in order.
     ///
     /// # Example
     ///
@@ -142,7 +144,7 @@
         self.view.me()
     }
 
-    /// Returns the members that probably live, this process and leaving ones among them.
+    /// Returns the members that probably run, including this process and draining ones.
     ///
     /// # Example
     ///
@@ -156,7 +158,7 @@
         self.view.present().cloned().collect()
     }
 
-    /// Returns whether a member probably lives, leaving or not.
+    /// Returns whether a member probably runs, draining or not.
     ///
     /// # Example
     ///
@@ -170,7 +172,7 @@
         self.view.get(vm).is_some_and(member::Member::is_present)
     }
 
-    /// Returns what is held of a member, if it is in the view.
+    /// Returns the standing of a member, if it is in the view.
     ///
     /// # Example
     ///
@@ -184,7 +186,7 @@
         self.view.get(vm).map(|member| member.standing)
     }
 
-    /// Returns every member of the view with what is held of it.
+    /// Returns all members of the view with their incarnation and standing.
     pub fn members(&self) -> Vec<Update> {
         self.view.updates().collect()
     }
@@ -203,10 +205,11 @@
         self.view.domains()
     }
 
-    /// Returns up to `count` duty members for a subject, the best first, by rendezvous hashing.
+    /// Returns up to `count` eligible members for a subject, the best first, by rendezvous hashing.
     ///
-    /// They stand in different failure domains while there are such. Members of `outside` are
-    /// passed over, as are leaving ones and those that came back within [`Timing::hold`].
+    /// They are in different failure domains as far as there are enough. Members of the failure
+    /// domain `outside` are skipped, as are draining ones and those that recently returned after a
+    /// loss (see [`Timing::hold`]).
     ///
     /// # Example
     ///
@@ -228,7 +231,7 @@
         self.view.candidates(now, subject, count, outside)
     }
 
-    /// Returns up to `count` duty members of one failure domain for a subject, the best first.
+    /// Returns up to `count` eligible members of one failure domain for a subject, the best first.
     ///
     /// # Example
     ///
@@ -250,17 +253,18 @@
         self.view.candidates_in(now, subject, count, domain)
     }
 
-    /// Returns up to `count` members at random, for news.
+    /// Returns up to `count` random members to send new items to.
     ///
-    /// Each VM of the fleet is chosen about equally often, though few know each of the others.
+    /// Each VM of the fleet is chosen about equally often, although only a few VMs know each of the
+    /// members that are not eligible.
     pub fn sample(&mut self, count: usize) -> Vec<Peer> {
         let mut peers = self.others(usize::MAX);
-        peers.retain(|peer| !self.view.is_duty(&peer.vm) || !self.passes_over());
+        peers.retain(|peer| !self.view.is_eligible(&peer.vm) || !self.skips_eligible());
         peers.truncate(count);
         peers
     }
 
-    /// Returns how many live VMs the fleet has, estimated where the view is not whole.
+    /// Returns the number of live VMs in the fleet, estimated if the view is incomplete.
     ///
     /// # Example
     ///
@@ -273,10 +277,10 @@
         self.view.fleet_size()
     }
 
-    /// Returns whether fewer than half of the members that were known lately live.
+    /// Returns whether fewer than half of the recently known members are present.
     ///
-    /// A hint that this process may stand on the smaller side of a partition; no authority follows
-    /// from it, or from its absence.
+    /// This hints that the process may be on the smaller side of a partition. Neither value grants
+    /// any authority.
     ///
     /// # Example
     ///
@@ -289,12 +293,12 @@
         self.view.is_minority()
     }
 
-    /// Returns how many members the view holds, lost ones included.
+    /// Returns the number of members in the view, lost ones included.
     pub fn member_count(&self) -> usize {
         self.view.len()
     }
 
-    /// Returns the hash of the view of the duty members; equal views have equal hashes.
+    /// Returns the hash of the eligible members; equal views have equal hashes.
     pub fn digest(&self) -> u64 {
         self.view.hash()
     }
--- a/src/membership/queue.rs
+++ b/src/membership/queue.rs
@@ -1,52 +1,52 @@
-//! News that waits to travel on messages.
+//! Updates queued to be sent with later messages.
 
 use indexmap::IndexMap;
 
 use super::Update;
 use crate::id::VmId;
 
-/// Updates with how often each is still to be sent; the least sent go first.
+/// Queued updates; those sent least often go first.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    waiting: IndexMap<VmId, Waiting>,
+    updates: IndexMap<VmId, QueuedUpdate>,
 }
 
-/// One update that waits.
+/// A queued update and how often it has been and is still to be sent.
 #[derive(Debug)]
-struct Waiting {
+struct QueuedUpdate {
     update: Update,
     sent: usize,
-    left: usize,
+    remaining: usize,
 }
 
 impl Queue {
-    /// Adds news, in place of older news of the same member.
+    /// Adds an update, replacing an older one of the same member.
     pub(super) fn push(&mut self, update: Update, times: usize) {
-        let waiting = Waiting {
+        let queued = QueuedUpdate {
             update,
             sent: 0,
-            left: times,
+            remaining: times,
         };
-        self.waiting.insert(waiting.update.peer.vm.clone(), waiting);
+        self.updates.insert(queued.update.peer.vm.clone(), queued);
     }
 
-    /// Takes up to `count` updates for one message.
+    /// Returns up to `count` updates for one message and counts them as sent.
     pub(super) fn take(&mut self, count: usize) -> Vec<Update> {
-        self.waiting.sort_by_key(|_, waiting| waiting.sent);
+        self.updates.sort_by_key(|_, queued| queued.sent);
         let mut updates = Vec::new();
-        for waiting in self.waiting.values_mut().take(count) {
-            waiting.sent += 1;
-            waiting.left = waiting.left.saturating_sub(1);
-            updates.push(waiting.update.clone());
+        for queued in self.updates.values_mut().take(count) {
+            queued.sent += 1;
+            queued.remaining = queued.remaining.saturating_sub(1);
+            updates.push(queued.update.clone());
         }
-        self.waiting.retain(|_, waiting| waiting.left > 0);
+        self.updates.retain(|_, queued| queued.remaining > 0);
         updates
     }
 
-    /// Drops the oldest news beyond a bound.
-    pub(super) fn bound(&mut self, most: usize) {
-        while self.waiting.len() > most {
-            self.waiting.pop();
+    /// Drops updates from the end of the queue until at max `max` remain.
+    pub(super) fn truncate(&mut self, max: usize) {
+        while self.updates.len() > max {
+            self.updates.pop();
         }
     }
 }
--- a/src/membership/timing.rs
+++ b/src/membership/timing.rs
@@ -1,40 +1,41 @@
-//! The times and bounds of a membership.
+//! Intervals, timeouts and limits of the membership protocol.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The times and bounds of a membership.
+/// Intervals, timeouts and limits of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Between two rounds of probes.
+    /// Interval between two probe rounds.
     pub period: Duration,
-    /// Probes in a round.
+    /// Probes per round.
     pub probes: usize,
-    /// How long a probe may take.
+    /// Timeout of a direct probe.
     pub direct: Duration,
-    /// How long a probe through another may take.
+    /// Timeout of a probe through another member.
     pub indirect: Duration,
-    /// How many others are asked to probe.
+    /// Members asked to probe one that did not answer.
     pub helpers: usize,
-    /// How long a suspicion stands before it is a loss, in a fleet of up to 16.
+    /// Time after which a suspected member is declared lost, in a fleet of up to 16 VMs; a larger
+    /// fleet waits longer.
     pub suspicion: Duration,
-    /// Between two attempts to reach a process that is not a live member.
+    /// Interval between attempts to reach a process that is not a live member.
     pub retry: Duration,
-    /// Between two comparisons of views.
+    /// Minimum interval between two comparisons of views.
     pub compare: Duration,
-    /// How long a member that came back is no candidate; doubles at each return.
+    /// How long a member that returned after a loss is not a candidate; doubles at each return.
     pub hold: Duration,
-    /// How long a loss is remembered.
+    /// How long a lost member stays in the view.
     pub forget: Duration,
-    /// How far the platform's list may lag.
+    /// How far the platform's list of VMs may lag behind.
     pub lag: Duration,
-    /// Duty members kept of each failure domain.
+    /// Members kept per failure domain that are eligible for roles.
     pub duty: usize,
-    /// Further members kept.
+    /// Other members kept.
     pub others: usize,
-    /// Updates in one message.
+    /// Maximum number of queued updates per message.
     pub updates: usize,
 }
 
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! The bounded view: members by rank within their failure domains.
+//! The bounded view: which members are kept, and which of them are eligible for roles.
 
 use std::time::Duration;
 
@@ -15,53 +15,53 @@
     key,
 };
 
-/// Subject of the rank that makes duty members.
-const DUTY: &str = "duty";
-/// A hold is doubled at most so many times.
-const MOST_DOUBLINGS: u32 = 4;
+/// Subject of the rank hash that makes members eligible for roles.
+const RANK_SUBJECT: &str = "duty";
+/// Maximum number of times that [`Timing::hold`](super::Timing::hold) is doubled.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// How far news reaches into the view.
+/// Which part of the view an update affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Reach {
-    /// It is old, or has no place.
-    Nothing,
-    /// It concerns a further member.
+enum Affected {
+    /// None: the update is outdated or the member isn't kept.
+    None,
+    /// The members that are not eligible.
     Others,
-    /// It may concern the duty members.
-    Duty,
+    /// Possibly the eligible members.
+    Eligible,
 }
 
-/// Members, and what is derived of them.
+/// The members, and counts and hashes derived from them.
 #[derive(Debug)]
 pub(super) struct View {
     me: Peer,
-    duty: usize,
-    others: usize,
+    max_eligible: usize,
+    max_others: usize,
     members: IndexMap<VmId, Member>,
     domains: IndexMap<DomainId, Domain>,
     hash: u64,
     live: usize,
     suspects: usize,
     size: usize,
-    others_count: usize,
-    least_affinity: u64,
+    other_count: usize,
+    lowest_affinity: u64,
 }
 
 impl View {
-    /// Creates a view that holds only its own process.
-    pub(super) fn new(me: Peer, duty: usize, others: usize) -> Self {
+    /// Creates a view that contains only this process.
+    pub(super) fn new(me: Peer, eligible: usize, others: usize) -> Self {
         let mut view = Self {
             me: me.clone(),
-            duty: duty.max(1),
-            others,
+            max_eligible: eligible.max(1),
+            max_others: others,
             members: IndexMap::new(),
             domains: IndexMap::new(),
             hash: 0,
             live: 0,
             suspects: 0,
             size: 0,
-            others_count: 0,
-            least_affinity: 0,
+            other_count: 0,
+            lowest_affinity: 0,
         };
         let update = Update {
             peer: me,
@@ -79,7 +79,7 @@
         &self.me
     }
 
-    /// Returns this process's word on itself.
+    /// Returns what this process states about itself.
     pub(super) fn own(&self) -> Update {
         self.members[&self.me.vm].update()
     }
@@ -89,33 +89,33 @@
         self.members.get(vm)
     }
 
-    /// Returns how many members are held.
+    /// Returns the number of members in the view, lost ones included.
     pub(super) fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Returns the members, this process among them.
+    /// Returns all members, this process included.
     pub(super) fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Returns the members as news.
+    /// Returns all members as updates.
     pub(super) fn updates(&self) -> impl Iterator<Item = Update> {
         self.members.values().map(Member::update)
     }
 
-    /// Returns the next live member after an index that is no duty member.
-    pub(super) fn further_from(&self, start: usize) -> Option<Update> {
+    /// Returns the first live member at or after an index, cyclically, that is not eligible for roles.
+    pub(super) fn other_from(&self, start: usize) -> Option<Update> {
         let (before, after) = (0..start, start..self.members.len());
         after
             .chain(before)
             .filter_map(|index| self.members.get_index(index))
             .map(|(_, member)| member)
-            .find(|it| it.standing == Standing::Live && !it.is_duty)
+            .find(|it| it.standing == Standing::Live && !it.is_eligible)
             .map(Member::update)
     }
 
-    /// Returns the members that are thought to run.
+    /// Returns the members that probably run.
     pub(super) fn present(&self) -> impl Iterator<Item = &Peer> {
         self.members
             .values()
@@ -123,7 +123,7 @@
             .map(|member| &member.peer)
     }
 
-    /// Returns the live members.
+    /// Returns the members that probably run and are not draining.
     pub(super) fn live(&self) -> impl Iterator<Item = &Peer> {
         self.members
             .values()
@@ -138,17 +138,17 @@
         domains.into_iter().collect()
     }
 
-    /// Returns whether a member is one of the duty members.
-    pub(super) fn is_duty(&self, vm: &str) -> bool {
-        self.get(vm).is_some_and(|member| member.is_duty)
+    /// Returns whether a member is eligible for roles.
+    pub(super) fn is_eligible(&self, vm: &str) -> bool {
+        self.get(vm).is_some_and(|member| member.is_eligible)
     }
 
-    /// Returns the hash of the duty members.
+    /// Returns the hash of all eligible members.
     pub(super) fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// Returns the hash of each failure domain's duty members.
+    /// Returns the hash of the eligible members of each failure domain.
     pub(super) fn hashes(&self) -> IndexMap<DomainId, u64> {
         self.domains
             .iter()
@@ -156,29 +156,29 @@
             .collect()
     }
 
-    /// Returns the members of the failure domains whose hashes differ: duty members and losses.
+    /// Returns the eligible and the lost members of the failure domains whose hashes differ.
     pub(super) fn differing(&self, hashes: &IndexMap<DomainId, u64>) -> Vec<Update> {
         let differs =
             |id: &DomainId| self.domains.get(id).map(|it| it.hash) != hashes.get(id).copied();
         self.members
             .values()
             .filter(|member| differs(&member.peer.domain))
-            .filter(|member| !member.is_present() || member.is_duty)
+            .filter(|member| !member.is_present() || member.is_eligible)
             .map(Member::update)
             .collect()
     }
 
-    /// Returns how many VMs are live in the fleet.
+    /// Returns the number of live VMs in the fleet, estimated if the view is incomplete.
     pub(super) fn fleet_size(&self) -> usize {
         self.size
     }
 
-    /// Returns how many live members are held.
+    /// Returns the number of live members in the view.
     pub(super) fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Returns whether fewer than half of the remembered members are present.
+    /// Returns whether fewer than half of the members in the view, stopped ones aside, are present.
     pub(super) fn is_minority(&self) -> bool {
         let counted = |standing| standing != Standing::Left;
         let known = self
@@ -190,7 +190,7 @@
         present * 2 < known
     }
 
-    /// Takes news in and returns what of it changed anything.
+    /// Applies updates and returns those that changed the view.
     pub(super) fn merge(
         &mut self,
         now: Duration,
@@ -198,102 +198,103 @@
         updates: &[Update],
     ) -> Vec<Update> {
         let mut changed: Vec<Update> = Vec::new();
-        let mut reach = Reach::Nothing;
+        let mut affected = Affected::None;
         for update in updates {
-            let one = self.merge_one(now, hold, update);
-            if one > Reach::Nothing {
+            let part = self.merge_one(now, hold, update);
+            if part > Affected::None {
                 changed.push(update.clone());
             }
-            reach = reach.max(one);
+            affected = affected.max(part);
         }
-        if reach == Reach::Duty {
+        if affected == Affected::Eligible {
             self.rank_domains();
         }
-        if reach > Reach::Nothing {
+        if affected > Affected::None {
             self.trim();
             changed.retain(|update| self.members.contains_key(&update.peer.vm));
         }
         changed
     }
 
-    /// Takes one piece of news in; the caller ranks and trims as far as it reaches.
-    fn merge_one(&mut self, now: Duration, hold: Duration, update: &Update) -> Reach {
+    /// Applies one update; the caller then ranks and trims the part of the view that it affects.
+    fn merge_one(&mut self, now: Duration, hold: Duration, update: &Update) -> Affected {
         let Some(member) = self.members.get_mut(&update.peer.vm) else {
-            if !self.admits(update) {
-                return Reach::Nothing;
+            if !self.should_add(update) {
+                return Affected::None;
             }
             self.insert(now, update.clone());
-            return self.reach(update);
+            return self.affected(update);
         };
         let known = (member.incarnation, member.standing);
         if (update.incarnation, update.standing) <= known || member.standing == Standing::Left {
-            return Reach::Nothing;
+            return Affected::None;
         }
         let was_present = member.is_present();
-        let was_duty = member.is_duty;
+        let was_eligible = member.is_eligible;
         member.incarnation = update.incarnation;
         if member.standing != update.standing {
             member.standing = update.standing;
             member.since = now;
         }
         if !was_present && member.is_present() {
-            let doublings = member.returns.min(MOST_DOUBLINGS);
-            member.held_until = now + hold * 2_u32.pow(doublings);
+            let doublings = member.returns.min(MAX_DOUBLINGS);
+            member.barred_until = now + hold * 2_u32.pow(doublings);
             member.returns += 1;
         }
-        if was_duty {
-            return Reach::Duty;
+        if was_eligible {
+            return Affected::Eligible;
         }
-        self.reach(update)
+        self.affected(update)
     }
 
-    /// Returns whether a member that is not a duty member may become one by its standing.
-    fn reach(&self, update: &Update) -> Reach {
+    /// Returns which part is affected by an update of a member that is not eligible so far.
+    fn affected(&self, update: &Update) -> Affected {
         let is_present = update.standing <= Standing::Suspect;
-        if is_present && self.ranks(update) {
-            Reach::Duty
+        if is_present && self.is_rank_eligible(update) {
+            Affected::Eligible
         } else {
-            Reach::Others
+            Affected::Others
         }
     }
 
-    /// Returns whether a present member ranks among its failure domain's duty members.
-    fn ranks(&self, update: &Update) -> bool {
-        let rank = key::weight(DUTY, name(&update.peer.vm));
+    /// Returns whether a member's rank is high enough to be eligible in its failure domain.
+    fn is_rank_eligible(&self, update: &Update) -> bool {
+        let rank = key::weight(RANK_SUBJECT, name(&update.peer.vm));
         let domain = self.domains.get(&update.peer.domain);
-        domain.is_none_or(|it| it.duty.len() < self.duty || rank > it.lowest)
+        domain.is_none_or(|it| it.eligible.len() < self.max_eligible || rank > it.lowest_rank)
     }
 
-    /// Returns whether a member that is not held has a place in the view.
-    fn admits(&self, update: &Update) -> bool {
-        if update.standing > Standing::Suspect || self.others_count < self.others {
+    /// Returns whether a member that is not in the view is to be added.
+    fn should_add(&self, update: &Update) -> bool {
+        if update.standing > Standing::Suspect || self.other_count < self.max_others {
             return true;
         }
-        self.ranks(update) || key::weight(&self.me.vm, &update.peer.vm) > self.least_affinity
+        self.is_rank_eligible(update)
+            || key::weight(&self.me.vm, &update.peer.vm) > self.lowest_affinity
     }
 
-    /// Returns the members suspected for at least `patience`.
-    pub(super) fn overdue(&self, now: Duration, patience: Duration) -> Vec<Update> {
+    /// Returns the members that have been suspected for at least `timeout`.
+    pub(super) fn suspected_for(&self, now: Duration, timeout: Duration) -> Vec<Update> {
         if self.suspects == 0 {
             return Vec::new();
         }
         self.members
             .values()
-            .filter(|it| it.standing == Standing::Suspect && now >= it.since + patience)
+            .filter(|it| it.standing == Standing::Suspect && now >= it.since + timeout)
             .map(Member::update)
             .collect()
     }
 
-    /// Moves the times of the suspicions by a pause of this process.
-    pub(super) fn postpone(&mut self, by: Duration) {
+    /// Extends all suspicions by the length of a pause of this process.
+    pub(super) fn extend_suspicions(&mut self, by: Duration) {
         let suspects = |it: &&mut Member| it.standing == Standing::Suspect;
         for member in self.members.values_mut().filter(suspects) {
             member.since += by;
         }
     }
 
-    /// Drops losses that are older than `age`.
-    pub(super) fn forget(&mut self, now: Duration, age: Duration) {
+    /// Drops members that were lost or stopped at least `age` ago.
+    pub(super) fn drop_lost(&mut self, now: Duration, age: Duration) {
         let before = self.members.len();
         self.members
             .retain(|_, it| it.is_present() || now < it.since + age || it.peer == self.me);
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Returns up to `count` candidates in different failure domains where there are enough.
+    /// Returns up to `count` candidates, in different failure domains as far as there are enough.
     pub(super) fn candidates(
         &self,
         now: Duration,
@@ -318,7 +319,7 @@
         first.into_iter().chain(rest).take(count).cloned().collect()
     }
 
-    /// Returns up to `count` candidates of one failure domain.
+    /// Returns up to `count` candidates in one failure domain.
     pub(super) fn candidates_in(
         &self,
         now: Duration,
@@ -330,17 +331,17 @@
         ranked.into_iter().take(count).cloned().collect()
     }
 
-    /// Returns the candidates that pass, the highest weight for the subject first.
-    fn ranked<F>(&self, now: Duration, subject: &str, passes: F) -> Vec<&Peer>
+    /// Returns the candidates that match a filter, the highest weight for the subject first.
+    fn ranked<F>(&self, now: Duration, subject: &str, filter: F) -> Vec<&Peer>
     where
         F: Fn(&Peer) -> bool,
     {
         let mut ranked: Vec<&Peer> = self
             .domains
             .values()
-            .flat_map(|domain| &domain.duty)
+            .flat_map(|domain| &domain.eligible)
             .filter_map(|vm| self.get(vm))
-            .filter(|member| member.is_live() && member.held_until <= now && passes(&member.peer))
+            .filter(|member| member.is_live() && member.barred_until <= now && filter(&member.peer))
             .map(|member| &member.peer)
             .collect();
         ranked.sort_by_cached_key(|peer| {
@@ -350,23 +351,23 @@
         ranked
     }
 
-    /// Adds a member; the caller refreshes.
+    /// Adds a member; the caller then updates the ranks and counts.
     fn insert(&mut self, now: Duration, update: Update) {
         let member = Member {
-            rank: key::weight(DUTY, name(&update.peer.vm)),
+            rank: key::weight(RANK_SUBJECT, name(&update.peer.vm)),
             affinity: key::weight(&self.me.vm, &update.peer.vm),
-            is_duty: false,
+            is_eligible: false,
             peer: update.peer,
             incarnation: update.incarnation,
             standing: update.standing,
             since: now,
             returns: 0,
-            held_until: Duration::ZERO,
+            barred_until: Duration::ZERO,
         };
         self.members.insert(member.peer.vm.clone(), member);
     }
 
-    /// Drops members beyond the bounds, and counts the rest.
+    /// Drops members beyond the limits and updates the counts.
     fn trim(&mut self) {
         self.trim_others();
         self.trim_lost();
@@ -377,20 +378,20 @@
         self.size = self.live.max(estimate).max(1);
     }
 
-    /// Chooses each failure domain's duty members.
+    /// Chooses the eligible members of each failure domain.
     fn rank_domains(&mut self) {
         let mut present: Vec<&mut Member> = self.members.values_mut().collect();
         present.sort_by(|a, b| (b.rank, &b.peer.vm).cmp(&(a.rank, &a.peer.vm)));
         self.domains = IndexMap::new();
         for member in present {
-            member.is_duty = false;
+            member.is_eligible = false;
             if !member.is_present() {
                 continue;
             }
             let domain = self.domains.entry(member.peer.domain.clone()).or_default();
-            if domain.duty.len() < self.duty {
-                member.is_duty = true;
-                domain.add(member, self.duty);
+            if domain.eligible.len() < self.max_eligible {
+                member.is_eligible = true;
+                domain.add(member, self.max_eligible);
             }
         }
         self.hash = 0;
@@ -399,25 +400,25 @@
         }
     }
 
-    /// Drops the further members that suit this process least.
+    /// Drops the other members with the lowest_rank affinity to this process, beyond the limit.
     fn trim_others(&mut self) {
         let mut others: Vec<(u64, VmId)> = self
             .members
             .values()
-            .filter(|it| it.is_present() && it.peer != self.me && !it.is_duty)
+            .filter(|it| it.is_present() && it.peer != self.me && !it.is_eligible)
             .map(|it| (it.affinity, it.peer.vm.clone()))
             .collect();
         others.sort_by(|a, b| b.cmp(a));
-        for (_, vm) in others.drain(self.others.min(others.len())..) {
+        for (_, vm) in others.drain(self.max_others.min(others.len())..) {
             self.members.swap_remove(&vm);
         }
-        self.others_count = others.len();
-        self.least_affinity = others.last().map_or(0, |(affinity, _)| *affinity);
+        self.other_count = others.len();
+        self.lowest_affinity = others.last().map_or(0, |(affinity, _)| *affinity);
     }
 
-    /// Drops the oldest losses beyond the bound.
+    /// Drops the oldest lost members beyond the limit.
     fn trim_lost(&mut self) {
-        let bound = self.duty * self.domains.len().max(3) + self.others;
+        let limit = self.max_eligible * self.domains.len().max(3) + self.max_others;
         let mut lost: Vec<(Duration, VmId)> = self
             .members
             .values()
@@ -425,7 +426,7 @@
             .map(|member| (member.since, member.peer.vm.clone()))
             .collect();
         lost.sort_by(|a, b| b.cmp(a));
-        for (_, vm) in lost.into_iter().skip(bound) {
+        for (_, vm) in lost.into_iter().skip(limit) {
             self.members.swap_remove(&vm);
         }
     }
