--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -111,7 +111,7 @@
 
 /// The part that made a call.
 #[derive(Clone, Copy, Debug)]
-enum Caller {
+enum Origin {
     Member(membership::CallId),
     Spread(spread::CallId),
     Push,
@@ -156,7 +156,7 @@
 pub struct Gossip {
     members: Membership,
     store: Store,
-    calls: IndexMap<CallId, Caller>,
+    calls: IndexMap<CallId, Origin>,
     digests: IndexMap<String, PeerDigest>,
     next_call: CallId,
 }
@@ -274,7 +274,7 @@
                     within,
                 } => {
                     let content = Content::Member(message);
-                    self.ask(Caller::Member(call), address, content, within, effects);
+                    self.ask(Origin::Member(call), address, content, within, effects);
                 }
                 membership::Effect::Answer { call, message } => {
                     let envelope = self.envelope(Content::Member(message));
@@ -296,7 +296,7 @@
                 } => {
                     let content = Content::Spread(message);
                     self.ask(
-                        Caller::Spread(call),
+                        Origin::Spread(call),
                         address,
                         content,
                         ITEMS_TIMEOUT,
@@ -318,7 +318,7 @@
     fn push(&mut self, count: usize, message: &spread::Message, effects: &mut Vec<Effect>) {
         for peer in self.members.sample(count) {
             let content = Content::Spread(message.clone());
-            self.ask(Caller::Push, peer.address, content, ITEMS_TIMEOUT, effects);
+            self.ask(Origin::Push, peer.address, content, ITEMS_TIMEOUT, effects);
         }
     }
 
@@ -359,37 +359,37 @@
         envelope: Envelope,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(caller) = self.calls.swap_remove(&call) else {
+        let Some(origin) = self.calls.swap_remove(&call) else {
             return;
         };
-        match (caller, envelope.content) {
-            (Caller::Member(call), Content::Member(message)) => {
+        match (origin, envelope.content) {
+            (Origin::Member(call), Content::Member(message)) => {
                 self.update_membership(now, membership::Event::Answered { call, message }, effects);
                 self.record_digest(now, envelope.address, envelope.digest, effects);
             }
-            (Caller::Spread(call), Content::Spread(message)) => {
+            (Origin::Spread(call), Content::Spread(message)) => {
                 self.update_store(now, spread::Event::Answered { call, message }, effects);
             }
-            (Caller::Push, _) => {}
-            (caller, _) => self.fail_call(now, caller, effects),
+            (Origin::Push, _) => {}
+            (origin, _) => self.fail_call(now, origin, effects),
         }
     }
 
     /// Processes the failure of a call.
     fn failed(&mut self, now: Duration, call: CallId, effects: &mut Vec<Effect>) {
-        if let Some(caller) = self.calls.swap_remove(&call) {
-            self.fail_call(now, caller, effects);
+        if let Some(origin) = self.calls.swap_remove(&call) {
+            self.fail_call(now, origin, effects);
         }
     }
 
     /// Reports a failed call to the part that made it.
-    fn fail_call(&mut self, now: Duration, caller: Caller, effects: &mut Vec<Effect>) {
-        match caller {
-            Caller::Member(call) => {
+    fn fail_call(&mut self, now: Duration, origin: Origin, effects: &mut Vec<Effect>) {
+        match origin {
+            Origin::Member(call) => {
                 self.update_membership(now, membership::Event::Failed { call }, effects)
             }
-            Caller::Spread(call) => self.update_store(now, spread::Event::Failed { call }, effects),
-            Caller::Push => {}
+            Origin::Spread(call) => self.update_store(now, spread::Event::Failed { call }, effects),
+            Origin::Push => {}
         }
     }
 
@@ -413,14 +413,14 @@
     /// Records a call and requests that it is sent.
     fn ask(
         &mut self,
-        caller: Caller,
+        origin: Origin,
         address: String,
         content: Content,
         within: Duration,
         effects: &mut Vec<Effect>,
     ) {
         self.next_call += 1;
-        self.calls.insert(self.next_call, caller);
+        self.calls.insert(self.next_call, origin);
         let envelope = self.envelope(content);
         effects.push(Effect::Ask {
             call: self.next_call,
--- a/src/spread/buckets.rs
+++ b/src/spread/buckets.rs
@@ -1,4 +1,4 @@
-//! Hashes of versions, by kind and bucket, kept up to date at each change.
+//! Hashes of item versions by kind and bucket, updated with each change.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3;
@@ -6,18 +6,18 @@
 use super::{Digest, Id, Kind};
 use crate::id::Version;
 
-/// Buckets of a kind; a difference is searched in one of them alone.
+/// Buckets per kind; only the versions in buckets that differ are compared.
 pub(super) const BUCKETS: usize = 16;
 
-/// The hashes; each is the exclusive or of its versions' hashes.
+/// Hashes of item versions; each is the exclusive or of the hashes of its versions.
 #[derive(Debug, Default)]
 pub(super) struct Buckets {
     kinds: IndexMap<Kind, Vec<u64>>,
-    whole: Digest,
+    total: Digest,
 }
 
 impl Buckets {
-    /// Adds a version, or takes it away if it was added before.
+    /// Adds a version, or removes it if it was added before.
     pub(super) fn toggle(&mut self, id: &Id, version: Version) {
         let hash = xxh3::xxh3_64_with_seed(id.name.as_bytes(), version);
         let hash = hash.rotate_left(id.kind as u32);
@@ -26,12 +26,12 @@
             .entry(id.kind)
             .or_insert_with(|| vec![0; BUCKETS]);
         buckets[bucket(id)] ^= hash;
-        self.whole ^= hash;
+        self.total ^= hash;
     }
 
     /// Returns the hash of all versions.
-    pub(super) fn whole(&self) -> Digest {
-        self.whole
+    pub(super) fn total(&self) -> Digest {
+        self.total
     }
 
     /// Returns the hashes by kind and bucket.
@@ -39,16 +39,16 @@
         self.kinds.clone()
     }
 
-    /// Returns whether another's hashes differ in the bucket of an item.
-    pub(super) fn differ(&self, others: &IndexMap<Kind, Vec<u64>>, id: &Id) -> bool {
-        let at = |kinds: &IndexMap<Kind, Vec<u64>>| {
+    /// Returns whether a peer's hashes differ in the bucket of an item.
+    pub(super) fn differ(&self, peer: &IndexMap<Kind, Vec<u64>>, id: &Id) -> bool {
+        let bucket_hash = |kinds: &IndexMap<Kind, Vec<u64>>| {
             kinds
                 .get(&id.kind)
                 .and_then(|buckets| buckets.get(bucket(id)))
                 .copied()
                 .unwrap_or(0)
         };
-        at(&self.kinds) != at(others)
+        bucket_hash(&self.kinds) != bucket_hash(peer)
     }
 }
 
--- a/src/spread/call.rs
+++ b/src/spread/call.rs
@@ -1,8 +1,8 @@
-//! A call to another store, while its answer is awaited.
+//! A call to another process whose response is pending.
 
 use super::Id;
 
-/// A call under way.
+/// A pending call.
 #[derive(Clone, Debug)]
 pub(super) enum Call {
     Compare { address: String },
--- a/src/spread/exchange.rs
+++ b/src/spread/exchange.rs
@@ -1,4 +1,4 @@
-//! What stores ask of each other: comparisons, and items fetched.
+//! The exchange between stores: comparing versions and fetching items.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use super::{
     CallId, Digest, Effect, Id, Item, ItemVersion, Kind, Message,
     call::Call,
-    store::{Held, Store, size},
+    store::{Store, StoredItem, size},
 };
 
-/// Others remembered to have had nothing newer.
-const MOST_AGREED: usize = 8;
+/// Maximum number of peers recorded as having had nothing newer.
+const MAX_SYNCED: usize = 8;
 
 impl Store {
-    /// Fetches items that are not being fetched already.
+    /// Fetches items, except those that are already being fetched.
     pub(super) fn fetch(&mut self, address: &str, mut ids: Vec<Id>, effects: &mut Vec<Effect>) {
         ids.retain(|id| !self.fetching.contains(id));
         ids.truncate(self.limits.list);
@@ -26,7 +26,7 @@
         self.ask(Call::Fetch { ids }, address, message, effects);
     }
 
-    /// Compares with another whose hash differs, if that is due.
+    /// Compares versions with a peer whose hash differs, unless the last comparison was too recent.
     pub(super) fn compare(
         &mut self,
         now: Duration,
@@ -35,7 +35,7 @@
         effects: &mut Vec<Effect>,
     ) {
         if digest == self.digest() {
-            self.agree(address);
+            self.record_synced(address);
             return;
         }
         if now < self.next_compare {
@@ -47,14 +47,15 @@
         self.ask(Call::Compare { address }, &target, message, effects);
     }
 
-    /// Notes that another process had nothing newer; one that has nothing at all says nothing.
-    fn agree(&mut self, address: String) {
-        if self.digest() != 0 && self.agreed.len() < MOST_AGREED {
-            self.agreed.insert(address);
+    /// Records that a peer had nothing newer, unless this process holds no items: it can't conclude
+    /// anything from that.
+    fn record_synced(&mut self, address: String) {
+        if self.digest() != 0 && self.synced.len() < MAX_SYNCED {
+            self.synced.insert(address);
         }
     }
 
-    /// Answers another process.
+    /// Processes a request from another process and responds to it.
     pub(super) fn asked(
         &mut self,
         now: Duration,
@@ -65,10 +66,10 @@
     ) {
         let answer = match message {
             Message::News(items) => {
-                self.take(now, items, Some(address), effects);
+                self.apply(now, items, Some(address), effects);
                 Message::Done
             }
-            Message::Fetch(ids) => Message::News(self.give(now, &ids)),
+            Message::Fetch(ids) => Message::News(self.items_for(now, &ids)),
             Message::Compare(hashes) => Message::Versions(self.differing(now, &hashes)),
             Message::Versions(_) | Message::Done => Message::Done,
         };
@@ -78,7 +79,7 @@
         });
     }
 
-    /// Takes the answer to a call in.
+    /// Processes the response to a call.
     pub(super) fn answered(
         &mut self,
         now: Duration,
@@ -92,35 +93,35 @@
         match (call, message) {
             (Call::Fetch { ids }, Message::News(items)) => {
                 self.end_fetch(&ids);
-                self.take(now, items, None, effects);
+                self.apply(now, items, None, effects);
             }
             (Call::Fetch { ids }, _) => self.end_fetch(&ids),
             (Call::Compare { address }, Message::Versions(theirs)) => {
-                self.settle(now, &address, &theirs, effects);
+                self.apply_versions(now, &address, &theirs, effects);
             }
             (Call::Compare { .. }, _) => {}
         }
     }
 
-    /// Fetches what another has newer, and tells it what it lacks.
-    fn settle(
+    /// Fetches the items that are newer at a peer and sends it those that are newer here.
+    fn apply_versions(
         &mut self,
         now: Duration,
         address: &str,
         theirs: &[ItemVersion],
         effects: &mut Vec<Effect>,
     ) {
-        let lacks = |known: &&ItemVersion| {
+        let is_newer = |known: &&ItemVersion| {
             self.version(&known.id)
                 .is_none_or(|own| own < known.version)
         };
         let wanted: Vec<Id> = theirs
             .iter()
-            .filter(lacks)
+            .filter(is_newer)
             .map(|known| known.id.clone())
             .collect();
         if wanted.is_empty() && theirs.len() < self.limits.list {
-            self.agree(address.to_owned());
+            self.record_synced(address.to_owned());
         }
         self.fetch(address, wanted, effects);
         let newer: Vec<Id> = theirs
@@ -129,7 +130,7 @@
             .map(|known| known.id.clone())
             .collect();
         let items: Vec<Item> = self
-            .give(now, &newer)
+            .items_for(now, &newer)
             .iter()
             .map(|item| self.announcement(item))
             .collect();
@@ -140,26 +141,26 @@
         self.ask(call, address, Message::News(items), effects);
     }
 
-    /// Forgets a call that failed; the next comparison finds what it was for.
+    /// Drops a failed call; the next comparison finds the same differences again.
     pub(super) fn failed(&mut self, call: CallId) {
         if let Some(Call::Fetch { ids }) = self.calls.swap_remove(&call) {
             self.end_fetch(&ids);
         }
     }
 
-    /// Notes that items are no longer being fetched.
+    /// Records that items are no longer being fetched.
     fn end_fetch(&mut self, ids: &[Id]) {
         for id in ids {
             self.fetching.swap_remove(id);
         }
     }
 
-    /// Returns items up to the bound of an answer.
-    fn give(&self, now: Duration, ids: &[Id]) -> Vec<Item> {
+    /// Returns the requested items, up to the size limit of a response.
+    fn items_for(&self, now: Duration, ids: &[Id]) -> Vec<Item> {
         let mut items = Vec::new();
         let mut total = 0;
         for id in ids {
-            let Some(item) = self.offer(now, id) else {
+            let Some(item) = self.item_for(now, id) else {
                 continue;
             };
             total += size(&item.content);
@@ -171,45 +172,49 @@
         items
     }
 
-    /// Returns an item for another, unless it is about to end.
-    fn offer(&self, now: Duration, id: &Id) -> Option<Item> {
-        let held = self.items.get(id)?;
-        let left = held.expires.map(|at| at.saturating_sub(now));
+    /// Returns an item to send to a peer, unless it is about to expire.
+    fn item_for(&self, now: Duration, id: &Id) -> Option<Item> {
+        let stored = self.items.get(id)?;
+        let left = stored.expires.map(|at| at.saturating_sub(now));
         if left.is_some_and(|left| left < self.limits.fading) {
             return None;
         }
         Some(Item {
             id: id.clone(),
-            version: held.version,
-            content: held.content.clone(),
+            version: stored.version,
+            content: stored.content.clone(),
             left,
         })
     }
 
-    /// Returns the versions in the buckets where another's hashes differ.
+    /// Returns the versions in the buckets where a peer's hashes differ.
     ///
-    /// Where they are more than a message holds, each answer goes on where the last one ended.
+    /// If they exceed the limit of a message, each response starts where the last one ended.
     fn differing(&mut self, now: Duration, hashes: &IndexMap<Kind, Vec<u64>>) -> Vec<ItemVersion> {
-        let fades = |held: &Held| held.expires.is_some_and(|at| at < now + self.limits.fading);
+        let expires_soon = |stored: &StoredItem| {
+            stored
+                .expires
+                .is_some_and(|at| at < now + self.limits.fading)
+        };
         let mut versions: Vec<ItemVersion> = self
             .items
             .iter()
-            .filter(|(id, held)| self.buckets.differ(hashes, id) && !fades(held))
-            .map(|(id, held)| ItemVersion {
+            .filter(|(id, stored)| self.buckets.differ(hashes, id) && !expires_soon(stored))
+            .map(|(id, stored)| ItemVersion {
                 id: id.clone(),
-                version: held.version,
+                version: stored.version,
             })
             .collect();
         if versions.len() > self.limits.list {
-            let start = self.turn % versions.len();
+            let start = self.list_offset % versions.len();
             versions.rotate_left(start);
             versions.truncate(self.limits.list);
-            self.turn = self.turn.wrapping_add(self.limits.list);
+            self.list_offset = self.list_offset.wrapping_add(self.limits.list);
         }
         versions
     }
 
-    /// Makes a call.
+    /// Records a call and requests that it is sent.
     fn ask(&mut self, call: Call, address: &str, message: Message, effects: &mut Vec<Effect>) {
         self.next_call += 1;
         self.calls.insert(self.next_call, call);
--- a/src/spread/mod.rs
+++ b/src/spread/mod.rs
@@ -1,18 +1,18 @@
-//! How news reaches every process: versioned items, pushed at once and compared on every probe.
+//! Distribution of versioned items to all processes, by push and by comparison on every probe.
 //!
-//! An item is a document, a group's record, a handover, a suspect request or a view of orders. Of
-//! two versions of an item the higher wins, at every process and for ever: a version in force never
-//! goes back, whoever offers the older one.
+//! An item is a document, a group's record, a handover, a suspect request, a view of orders or a
+//! watcher's heartbeat. Of two versions of an item the higher always wins, at every process: a
+//! process never returns to a lower version, whichever peer sends it.
 //!
-//! An item that is new to a process goes at once to [`Limits::fanout`] others, chosen by
-//! membership; they pass it on once. That reaches nearly all. Whoever was missed finds out on its
-//! next probe, since each carries the hash of all versions held: where the hashes differ, the two
-//! compare hashes by kind and bucket, then versions, then fetch what is newer. A big item is
-//! announced by its version and size and fetched by those that want it, so that it crosses to each
-//! of them once.
+//! A process that obtains a new item sends it at once to [`Limits::fanout`] peers, chosen by
+//! membership, and each of them passes it on once. This reaches nearly all processes. Any other
+//! detects the difference on its next probe, since each probe carries the hash of all item versions:
+//! if the hashes differ, the two processes compare hashes by kind and bucket, then versions, and
+//! then fetch what is newer. A large value is only announced, by its version and size, and fetched
+//! by the processes that need it, so that it is sent to each of them once.
 //!
-//! Items that are of use for a time carry how long they last, and removed ones leave a tombstone
-//! that lasts; memory stays bounded.
+//! To bound memory, items of temporary use have a time to live, and removed items leave a tombstone
+//! that expires.
 
 mod buckets;
 mod call;
@@ -27,12 +27,12 @@
 use crate::id::Version;
 pub use crate::spread::store::Store;
 
-/// Number of a call, unique at the process that numbers it.
+/// Call number, unique within the process that assigned it.
 pub type CallId = u64;
-/// Hash of all versions that a process holds.
+/// Hash of the versions of all items that a process holds.
 pub type Digest = u64;
 
-/// What an item is.
+/// Kind of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -42,31 +42,31 @@
     Record,
     /// A range's handover.
     Handover,
-    /// A request suspected of stopping targets.
+    /// A request that is suspected of crashing targets.
     Suspect,
-    /// Who remembers the orders.
+    /// The view of an order shard: which VMs store its orders.
     View,
-    /// When a failure domain's watchers last heard from the platform.
+    /// Heartbeat of a failure domain's watchers, sent while the platform answers.
     Watch,
 }
 
-/// The name of an item.
+/// Identity of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Id {
-    /// What it is.
+    /// Kind of the item.
     pub kind: Kind,
-    /// Which one.
+    /// Name, unique within the kind.
     pub name: String,
 }
 
-/// An item's version, without what it holds.
+/// The version of an item, without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ItemVersion {
     /// The item.
     pub id: Id,
-    /// Its version.
+    /// The version.
     pub version: Version,
 }
 
@@ -76,54 +76,54 @@
 pub struct Item {
     /// The item.
     pub id: Id,
-    /// Its version; it only grows.
+    /// Its version; newer versions are higher.
     pub version: Version,
-    /// What it holds.
+    /// Its content.
     pub content: Content,
-    /// How long it still lasts; without it, until a higher version comes.
+    /// Remaining time to live; without one, the item stays until a higher version replaces it.
     pub left: Option<Duration>,
 }
 
-/// What an item holds.
+/// Content of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// The value.
     Value(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// A value of this size, to be fetched by those that want it.
+    /// The size in bytes of a value that is to be fetched if needed.
     Announced(usize),
-    /// Nothing: it was removed.
+    /// No value: the item was removed.
     Removed,
 }
 
-/// A message between two processes; a request, or the answer to one.
+/// A request or a response between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// Items that are new to the sender.
     News(Vec<Item>),
     /// Asks for items.
     Fetch(Vec<Id>),
-    /// Asks for the versions in the buckets whose hashes differ.
+    /// Asks for the versions in the buckets whose hashes differ from these.
     Compare(IndexMap<Kind, Vec<u64>>),
-    /// Answers [`Message::Compare`].
+    /// Responds to [`Message::Compare`].
     Versions(Vec<ItemVersion>),
-    /// Answers [`Message::News`].
+    /// Responds to [`Message::News`].
     Done,
 }
 
-/// What happens to a store.
+/// An input of a [`Store`].
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// This process has a new version of an item, from the platform or of its own.
+    /// This process obtained or produced a new version of an item.
     Put(Item),
-    /// Another process asks; its task numbered the call.
+    /// A request from another process.
     Asked {
-        /// The task's number of the call.
+        /// Call number, assigned by the task that owns the store.
         call: CallId,
-        /// Where the other can be asked.
+        /// `IP:port` at which peers call the sender.
         address: String,
-        /// What is asked.
+        /// The request.
         message: Message,
     },
     /// A call of [`Effect::Ask`] was answered.
@@ -138,66 +138,66 @@
         /// The number in the effect.
         call: CallId,
     },
-    /// Another process told the hash of what it holds.
+    /// Another process sent the hash of its item versions.
     Digest {
-        /// Where it can be asked.
+        /// `IP:port` at which peers call it.
         address: String,
         /// The hash.
         digest: Digest,
     },
 }
 
-/// What a store wants done.
+/// An action that the owning task has to perform.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Call another process.
     Ask {
-        /// The number to answer with.
+        /// Call number; the result is reported under it.
         call: CallId,
         /// `IP:port`.
         address: String,
-        /// What to ask.
+        /// The request.
         message: Message,
     },
-    /// Answer a call of [`Event::Asked`].
+    /// Answer the request of an [`Event::Asked`].
     Answer {
         /// The number in the event.
         call: CallId,
         /// The answer.
         message: Message,
     },
-    /// Tell so many others, chosen by membership; what they answer doesn't matter.
+    /// Send a message to peers chosen by membership; their responses are ignored.
     Push {
-        /// How many.
+        /// Number of peers.
         count: usize,
-        /// What to tell.
+        /// The message.
         message: Message,
     },
-    /// A version is in force here from now on.
+    /// This process now uses this version of an item.
     Accepted(Item),
-    /// An item has lasted its time and is no longer held.
+    /// An item expired, or was dropped at [`Limits::lasting`], and is no longer stored.
     Expired(Id),
 }
 
-/// The bounds of a store.
+/// Limits and intervals of a store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// How many others a new item goes to at once.
+    /// Number of peers that a new item is sent to at once.
     pub fanout: usize,
-    /// A larger value is announced rather than sent, in bytes.
+    /// Largest value that is sent without being announced first, in bytes.
     pub inline: usize,
-    /// The values of one answer together, in bytes; one larger value is sent alone.
+    /// Maximum total size of the values in one response, in bytes; a larger value is sent alone.
     pub answer: usize,
-    /// Versions or items in one message.
+    /// Maximum number of versions or items in one message.
     pub list: usize,
-    /// Items held that last for a time; beyond it, those that end first are dropped.
+    /// Maximum number of stored items that expire; beyond it, those that expire first are dropped.
     pub lasting: usize,
-    /// How long a tombstone lasts.
+    /// Time to live of a tombstone.
     pub tombstone: Duration,
-    /// Between two comparisons.
+    /// Minimum interval between two comparisons.
     pub compare: Duration,
-    /// An item that ends sooner is no longer offered to others.
+    /// An item with less remaining time to live is no longer sent to peers.
     pub fading: Duration,
 }
 
@@ -217,7 +217,7 @@
 }
 
 impl Id {
-    /// Creates the name of an item.
+    /// Creates the identity of an item.
     ///
     /// # Example
     ///
@@ -238,7 +238,7 @@
 }
 
 impl Item {
-    /// Creates an item that stays until a higher version comes.
+    /// Creates an item that stays until a higher version replaces it.
     ///
     /// # Example
     ///
@@ -257,7 +257,7 @@
         }
     }
 
-    /// Creates a tombstone, which lasts as long as the store's limits say.
+    /// Creates a tombstone; it expires after [`Limits::tombstone`].
     ///
     /// # Example
     ///
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Limits how long the item lasts.
+    /// Sets the time to live of the item.
     ///
     /// # Example
     ///
--- a/src/spread/store.rs
+++ b/src/spread/store.rs
@@ -1,4 +1,4 @@
-//! The items that a process holds, and what it exchanges with others about them.
+//! The store of the items that a process holds.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 };
 use crate::id::Version;
 
-/// An item in force here.
+/// The current version of an item.
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct StoredItem {
     pub(super) version: Version,
     pub(super) content: Content,
     pub(super) expires: Option<Duration>,
 }
 
-/// The items of one process.
+/// The item store of one process.
 ///
 /// # Example
 ///
@@ -38,16 +38,16 @@
 #[derive(Debug)]
 pub struct Store {
     pub(super) limits: Limits,
-    pub(super) items: IndexMap<Id, Held>,
+    pub(super) items: IndexMap<Id, StoredItem>,
     pub(super) buckets: Buckets,
-    pub(super) unwanted: IndexSet<Kind>,
+    pub(super) skipped: IndexSet<Kind>,
     pub(super) calls: IndexMap<CallId, Call>,
     pub(super) fetching: IndexSet<Id>,
     pub(super) next_call: CallId,
     pub(super) next_compare: Duration,
     next_expiry: Option<Duration>,
-    pub(super) agreed: IndexSet<String>,
-    pub(super) turn: usize,
+    pub(super) synced: IndexSet<String>,
+    pub(super) list_offset: usize,
 }
 
 impl Store {
@@ -65,18 +65,18 @@
             limits,
             items: IndexMap::new(),
             buckets: Buckets::default(),
-            unwanted: IndexSet::new(),
+            skipped: IndexSet::new(),
             calls: IndexMap::new(),
             fetching: IndexSet::new(),
             next_call: 0,
             next_compare: Duration::ZERO,
             next_expiry: None,
-            agreed: IndexSet::new(),
-            turn: 0,
+            synced: IndexSet::new(),
+            list_offset: 0,
         }
     }
 
-    /// Has announced values of a kind not fetched; their versions are held all the same.
+    /// Doesn't fetch announced values of a kind; their versions are stored nevertheless.
     ///
     /// # Example
     ///
@@ -87,10 +87,10 @@
     /// store.skip_values(Kind::Record);
     /// ```
     pub fn skip_values(&mut self, kind: Kind) {
-        self.unwanted.insert(kind);
+        self.skipped.insert(kind);
     }
 
-    /// Takes an event in and returns what is to be done, in order.
+    /// Processes an event and returns the actions to perform, in order.
     ///
     /// # Example
     ///
@@ -106,7 +106,7 @@
         let mut effects = Vec::new();
         match event {
             Event::Tick => self.expire(now, &mut effects),
-            Event::Put(item) => self.take(now, vec![item], None, &mut effects),
+            Event::Put(item) => self.apply(now, vec![item], None, &mut effects),
             Event::Asked {
                 call,
                 address,
@@ -121,7 +121,7 @@
         effects
     }
 
-    /// Returns the hash of all versions held; it travels on every probe.
+    /// Returns the hash of the versions of all items; every probe carries it.
     ///
     /// # Example
     ///
@@ -131,10 +131,10 @@
     /// assert_eq!(Store::new(Limits::default()).digest(), 0);
     /// ```
     pub fn digest(&self) -> Digest {
-        self.buckets.whole()
+        self.buckets.total()
     }
 
-    /// Returns the version of an item that is in force here.
+    /// Returns the current version of an item.
     ///
     /// # Example
     ///
@@ -145,10 +145,10 @@
     /// assert_eq!(store.version(&Id::new(Kind::Document, "tracking")), None);
     /// ```
     pub fn version(&self, id: &Id) -> Option<Version> {
-        self.items.get(id).map(|held| held.version)
+        self.items.get(id).map(|stored| stored.version)
     }
 
-    /// Returns the value of an item that is in force here.
+    /// Returns the current value of an item, if it is stored.
     pub fn value(&self, id: &Id) -> Option<&[u8]> {
         match &self.items.get(id)?.content {
             Content::Value(bytes) => Some(bytes),
@@ -156,32 +156,35 @@
         }
     }
 
-    /// Returns what is in force here.
+    /// Returns the current versions of all items, tombstones included.
     pub fn in_force(&self) -> Vec<ItemVersion> {
         self.items
             .iter()
-            .map(|(id, held)| ItemVersion {
+            .map(|(id, stored)| ItemVersion {
                 id: id.clone(),
-                version: held.version,
+                version: stored.version,
             })
             .collect()
     }
 
-    /// Returns how many others, up to 8, were found to have nothing newer since the start.
+    /// Returns how many peers, up to 8, were found to have nothing newer since the start.
     ///
-    /// A process that has just started may lack everything while this is 0. While this process
-    /// holds nothing it stays 0: two that have both just started know nothing by agreeing.
+    /// While this is 0, a process that has just started may lack all items. It stays 0 while this
+    /// process holds no items: two processes that have both just started learn nothing by agreeing.
     pub fn synced_peers(&self) -> usize {
-        self.agreed.len()
+        self.synced.len()
     }
 
-    /// Returns how many bytes of values are held.
+    /// Returns the total size of the stored values, in bytes.
     pub fn bytes(&self) -> usize {
-        self.items.values().map(|held| size(&held.content)).sum()
+        self.items
+            .values()
+            .map(|stored| size(&stored.content))
+            .sum()
     }
 
-    /// Takes items in; what is new is in force, and goes to others.
-    pub(super) fn take(
+    /// Stores items that are newer and passes them on; fetches values that were only announced.
+    pub(super) fn apply(
         &mut self,
         now: Duration,
         items: Vec<Item>,
@@ -194,7 +197,7 @@
             if !self.is_newer(&item) {
                 continue;
             }
-            if self.has_to_fetch(&item) {
+            if self.must_fetch(&item) {
                 wanted.push(item.id);
                 continue;
             }
@@ -212,50 +215,50 @@
             });
         }
         if !news.is_empty() {
-            self.bound(effects);
+            self.limit_expiring(effects);
         }
     }
 
-    /// Returns whether an item is to take the place of what is held.
+    /// Returns whether an item replaces the stored one.
     fn is_newer(&self, item: &Item) -> bool {
         if item.left.is_some_and(|left| left.is_zero()) {
             return false;
         }
         match self.items.get(&item.id) {
             None => true,
-            Some(held) if held.version != item.version => item.version > held.version,
-            Some(held) => {
-                matches!(held.content, Content::Announced(_))
+            Some(stored) if stored.version != item.version => item.version > stored.version,
+            Some(stored) => {
+                matches!(stored.content, Content::Announced(_))
                     && matches!(item.content, Content::Value(_))
             }
         }
     }
 
-    /// Returns whether an item was only announced and is wanted.
-    fn has_to_fetch(&self, item: &Item) -> bool {
+    /// Returns whether an item was only announced and its value is needed here.
+    fn must_fetch(&self, item: &Item) -> bool {
         let announced = matches!(item.content, Content::Announced(_));
-        announced && !self.unwanted.contains(&item.id.kind)
+        announced && !self.skipped.contains(&item.id.kind)
     }
 
-    /// Puts an item in force.
+    /// Stores an item and updates the hashes.
     fn accept(&mut self, now: Duration, item: &Item) {
         let tombstone = match item.content {
             Content::Removed => Some(self.limits.tombstone),
             Content::Value(_) | Content::Announced(_) => None,
         };
-        let held = Held {
+        let stored = StoredItem {
             version: item.version,
             content: item.content.clone(),
             expires: item.left.or(tombstone).map(|left| now + left),
         };
-        self.next_expiry = self.next_expiry.into_iter().chain(held.expires).min();
-        if let Some(old) = self.items.insert(item.id.clone(), held) {
+        self.next_expiry = self.next_expiry.into_iter().chain(stored.expires).min();
+        if let Some(old) = self.items.insert(item.id.clone(), stored) {
             self.buckets.toggle(&item.id, old.version);
         }
         self.buckets.toggle(&item.id, item.version);
     }
 
-    /// Returns an item as it is told to others: big values are announced.
+    /// Returns an item as it is sent to peers: a large value is only announced.
     pub(super) fn announcement(&self, item: &Item) -> Item {
         let mut item = item.clone();
         let size = size(&item.content);
@@ -265,50 +268,54 @@
         item
     }
 
-    /// Drops what has lasted its time.
+    /// Drops expired items.
     fn expire(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         if self.next_expiry.is_none_or(|at| now < at) {
             return;
         }
-        let ended: Vec<Id> = self
+        let expired: Vec<Id> = self
             .items
             .iter()
-            .filter(|(_, held)| held.expires.is_some_and(|at| at <= now))
+            .filter(|(_, stored)| stored.expires.is_some_and(|at| at <= now))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in ended {
+        for id in expired {
             self.drop_item(id, effects);
         }
-        self.next_expiry = self.items.values().filter_map(|held| held.expires).min();
+        self.next_expiry = self
+            .items
+            .values()
+            .filter_map(|stored| stored.expires)
+            .min();
     }
 
-    /// Drops the lasting items that end first, beyond the bound.
-    fn bound(&mut self, effects: &mut Vec<Effect>) {
-        let mut lasting: Vec<(Duration, Id)> = self
+    /// Drops the items that expire first, beyond the limit for items that expire.
+    fn limit_expiring(&mut self, effects: &mut Vec<Effect>) {
+        let mut expiring: Vec<(Duration, Id)> = self
             .items
             .iter()
-            .filter_map(|(id, held)| held.expires.map(|at| (at, id.clone())))
+            .filter_map(|(id, stored)| stored.expires.map(|at| (at, id.clone())))
             .collect();
-        if lasting.len() <= self.limits.lasting {
+        if expiring.len() <= self.limits.lasting {
             return;
         }
-        lasting.sort();
-        let excess = lasting.len() - self.limits.lasting;
-        for (_, id) in lasting.into_iter().take(excess) {
+        expiring.sort();
+        let excess = expiring.len() - self.limits.lasting;
+        for (_, id) in expiring.into_iter().take(excess) {
             self.drop_item(id, effects);
         }
     }
 
-    /// Stops holding an item.
+    /// Removes an item and reports it as expired.
     fn drop_item(&mut self, id: Id, effects: &mut Vec<Effect>) {
-        if let Some(held) = self.items.swap_remove(&id) {
-            self.buckets.toggle(&id, held.version);
+        if let Some(stored) = self.items.swap_remove(&id) {
+            self.buckets.toggle(&id, stored.version);
             effects.push(Effect::Expired(id));
         }
     }
 }
 
-/// Returns the bytes of a value, here or announced.
+/// Returns the size of a stored value in bytes; 0 if it is only announced or removed.
 pub(super) fn size(content: &Content) -> usize {
     match content {
         Content::Value(bytes) => bytes.len(),
--- a/src/watcher/message.rs
+++ b/src/watcher/message.rs
@@ -1,4 +1,4 @@
-//! What a watcher is told, what it wants done, and its times and bounds.
+//! The events, effects and limits of a watcher.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::id::Version;
 
-/// A key and the version of its value; 0 when it was deleted.
+/// A key and the version of its value; 0 if it was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
@@ -16,7 +16,7 @@
     pub version: Version,
 }
 
-/// Keys as of a revision of the store.
+/// The listed or changed keys as of a revision of the platform's store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listing {
@@ -26,17 +26,17 @@
     pub keys: Vec<Change>,
 }
 
-/// What happens to a watcher.
+/// An input of a [`Watcher`](super::Watcher).
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// This VM's place among the watchers of its failure domain, from 0, or none; and the size of
-    /// the fleet, as membership estimates it.
+    /// Membership changed: this VM's rank among the candidates of its failure domain, and the size
+    /// of the fleet.
     Role {
-        /// The place.
+        /// Rank from 0, or none if this VM is not a candidate.
         rank: Option<usize>,
-        /// The size.
+        /// Estimated number of live VMs.
         fleet_size: usize,
     },
     /// [`Effect::List`] was answered.
@@ -47,62 +47,62 @@
     Read(Change),
     /// A list, watch or read failed.
     Failed(Call),
-    /// This version of a key of the platform is held, from whatever source.
+    /// This VM stores this version of a key of the platform, from any source.
     Stored(Change),
-    /// A watcher of some failure domain, this one too, said that it hears from the platform.
+    /// A watcher of any failure domain sent the heartbeat that the platform answers.
     Heartbeat {
-        /// Whether it is of this VM's own failure domain.
+        /// Whether it is in this VM's failure domain.
         own: bool,
     },
 }
 
-/// What was asked of the platform.
+/// A call to the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// The keys.
+    /// Lists the keys.
     List,
-    /// The changes.
+    /// Waits for changes.
     Watch,
-    /// The value of a key.
+    /// Reads the value of a key.
     Read(String),
 }
 
-/// What a watcher wants done.
+/// An action that the owning task has to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// List the keys.
     List,
     /// Wait for changes after a revision.
     Watch(Version),
-    /// Read a key's value, expected at this version or a higher one, and put it into the store.
+    /// Read a key's value, expected at this version or a higher one, and put it into the item store.
     Read(Change),
-    /// The key was deleted at a revision: put a tombstone into the store.
+    /// The key was deleted at a revision: put a tombstone into the item store.
     Removed(Change),
-    /// Say that this failure domain's watchers hear from the platform.
+    /// Send the heartbeat that the platform answers this failure domain's watchers.
     Heartbeat,
-    /// The platform began to answer (`true`) or to fail (`false`), for the log.
+    /// The platform started to answer (`true`) or to fail (`false`); recorded in the log.
     Reachable(bool),
 }
 
-/// The times and bounds of a watcher.
+/// Intervals and limits of a watcher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Timing {
-    /// Watchers of a failure domain.
+    /// Watchers per failure domain.
     pub count: usize,
-    /// The first wait after a failure; it doubles.
+    /// Initial back-off after a failure; doubles with each further one.
     pub first: Duration,
-    /// The longest wait after a failure.
+    /// Maximum back-off after a failure.
     pub longest: Duration,
-    /// How much later each further watcher reads.
+    /// Additional delay of reads for each further watcher.
     pub stagger: Duration,
-    /// Between two marks of a failure domain.
+    /// Interval between two heartbeats of a failure domain.
     pub mark: Duration,
-    /// Without any mark for so long, a VM asks itself.
+    /// Time without any heartbeat after which a VM lists the keys itself.
     pub silence: Duration,
-    /// The whole fleet's calls a second without marks.
+    /// Calls per second of the whole fleet while there are no heartbeats.
     pub fallback: u32,
-    /// Reads under way at once.
+    /// Maximum number of concurrent reads.
     pub reads: usize,
 }
 
@@ -121,7 +121,7 @@
     }
 }
 
-/// What was asked of the platform so far.
+/// Numbers of calls to the platform since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Counts {
--- a/src/watcher/mod.rs
+++ b/src/watcher/mod.rs
@@ -1,15 +1,16 @@
-//! The duty to watch the platform's service, and what is asked of it.
+//! The watcher role: which VMs watch the platform's service, and the calls that they make.
 //!
-//! In each failure domain the first [`Timing::count`] duty members by rendezvous hashing hold a
-//! watch each; everyone else learns from them by spread, so the service's load grows with the
-//! failure domains and not with the fleet. A watcher lists the keys when it takes the duty up and
-//! after every outage, reads the values that are newer than those held, and then waits in a watch.
-//! The second and third watcher read later than the first, and only what spread has not brought
-//! by then. While the service is down a watcher backs off, with jitter.
+//! In each failure domain the first [`Timing::count`] eligible members by rendezvous hashing hold a
+//! watch each. All other VMs receive the changes from them by [`spread`](crate::spread), so the
+//! load on the service grows with the number of failure domains and not with the fleet. A watcher
+//! lists the keys when it takes on the role and after every outage, reads the values that are newer
+//! than the stored ones, and then waits in a watch. Each further watcher reads later than the one
+//! before it, and only what it has not received by then. While the service is down a watcher backs
+//! off, with jitter.
 //!
-//! A watcher that hears from the platform says so from time to time, by an item of its failure
-//! domain. A VM that has heard of no such item for a while lists the keys itself, at a rate that
-//! the whole fleet shares.
+//! While the platform answers, a watcher sends a regular heartbeat, an item of its failure domain.
+//! A VM that has received no heartbeat for a while lists the keys itself, at a rate that is limited
+//! for the whole fleet.
 
 mod message;
 
@@ -20,33 +21,33 @@
 use indexmap::{IndexMap, IndexSet};
 use rand::{Rng, SeedableRng, rngs::StdRng};
 
-/// Subject of the rendezvous hash that chooses watchers.
+/// Subject of the rendezvous hash that selects the watchers.
 pub const SUBJECT: &str = "watch";
-/// Doublings of the back-off at most.
-const MOST_DOUBLINGS: u32 = 16;
+/// Maximum number of doublings of the back-off.
+const MAX_DOUBLINGS: u32 = 16;
 
-/// What the watcher is at.
+/// What the watcher currently does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It has no duty and waits for news by spread.
+    /// It has no call pending and receives changes from other VMs.
     Idle,
     /// It lists the keys.
     Listing,
     /// It waits for changes.
     Watching,
-    /// It waits after a failure.
+    /// It waits until this time to list the keys, after a failure or without heartbeats.
     Waiting(Duration),
 }
 
-/// A read to be made.
+/// A planned or running read.
 #[derive(Clone, Copy, Debug)]
-struct Due {
+struct PlannedRead {
     version: Version,
     at: Duration,
     running: bool,
 }
 
-/// One process's part in the duty.
+/// The state of one process's watcher role.
 ///
 /// # Example
 ///
@@ -56,28 +57,28 @@
 /// use bramleypier::watcher::{Effect, Event, Timing, Watcher};
 ///
 /// let mut watcher = Watcher::new(Timing::default(), 7);
-/// let duty = Event::Role { rank: Some(0), fleet_size: 3 };
-/// assert_eq!(watcher.on(Duration::ZERO, duty), [Effect::List]);
+/// let role = Event::Role { rank: Some(0), fleet_size: 3 };
+/// assert_eq!(watcher.on(Duration::ZERO, role), [Effect::List]);
 /// ```
 #[derive(Debug)]
 pub struct Watcher {
     timing: Timing,
     random: StdRng,
-    place: Option<usize>,
-    size: usize,
+    rank: Option<usize>,
+    fleet_size: usize,
     phase: Phase,
     failures: u32,
-    reached: Option<bool>,
+    reachable: Option<bool>,
     revision: Version,
-    held: IndexMap<String, Version>,
-    due: IndexMap<String, Due>,
-    marked: Duration,
-    heard: Duration,
+    stored: IndexMap<String, Version>,
+    planned: IndexMap<String, PlannedRead>,
+    own_heartbeat: Duration,
+    last_contact: Duration,
     counts: Counts,
 }
 
 impl Watcher {
-    /// Creates a watcher without a duty.
+    /// Creates a watcher that doesn't have the role.
     ///
     /// # Example
     ///
@@ -90,21 +91,21 @@
         Self {
             timing,
             random: StdRng::seed_from_u64(seed),
-            place: None,
-            size: 1,
+            rank: None,
+            fleet_size: 1,
             phase: Phase::Idle,
             failures: 0,
-            reached: None,
+            reachable: None,
             revision: 0,
-            held: IndexMap::new(),
-            due: IndexMap::new(),
-            marked: Duration::ZERO,
-            heard: Duration::ZERO,
+            stored: IndexMap::new(),
+            planned: IndexMap::new(),
+            own_heartbeat: Duration::ZERO,
+            last_contact: Duration::ZERO,
             counts: Counts::default(),
         }
     }
 
-    /// Takes an event in and returns what is to be done, in order.
+    /// Processes an event and returns the actions to perform, in order.
     ///
     /// # Example
     ///
@@ -120,28 +121,28 @@
         let mut effects = Vec::new();
         match event {
             Event::Tick => self.tick(now, &mut effects),
-            Event::Role { rank, fleet_size } => self.duty(now, rank, fleet_size, &mut effects),
+            Event::Role { rank, fleet_size } => self.set_role(now, rank, fleet_size, &mut effects),
             Event::Listed(listing) => self.listed(now, listing, &mut effects),
             Event::Watched(listing) => self.watched(now, listing, &mut effects),
             Event::Read(change) => self.read(now, &change, &mut effects),
-            Event::Failed(asked) => self.failed(now, &asked, &mut effects),
-            Event::Stored(change) => self.note(change),
-            Event::Heartbeat { own } => self.mark(now, own),
+            Event::Failed(call) => self.failed(now, &call, &mut effects),
+            Event::Stored(change) => self.record_stored(change),
+            Event::Heartbeat { own } => self.record_heartbeat(now, own),
         }
         effects
     }
 
     /// Returns whether this VM watches for its failure domain.
     pub fn is_active(&self) -> bool {
-        self.place.is_some()
+        self.rank.is_some()
     }
 
     /// Returns whether the platform answered the last call; `None` before the first.
     pub fn is_reachable(&self) -> Option<bool> {
-        self.reached
+        self.reachable
     }
 
-    /// Returns what was asked of the platform so far.
+    /// Returns the numbers of calls to the platform since the start.
     ///
     /// # Example
     ///
@@ -154,66 +155,66 @@
         self.counts
     }
 
-    /// Takes the duty up or lays it down.
-    fn duty(
+    /// Takes on or gives up the role, depending on the rank.
+    fn set_role(
         &mut self,
         now: Duration,
-        place: Option<usize>,
-        size: usize,
+        rank: Option<usize>,
+        fleet_size: usize,
         effects: &mut Vec<Effect>,
     ) {
-        self.size = size.max(1);
-        let place = place.filter(|place| *place < self.timing.count);
-        let took_up = place.is_some() && self.place.is_none();
-        self.place = place;
-        let is_free = matches!(self.phase, Phase::Idle | Phase::Waiting(_)) && self.failures == 0;
-        if took_up && is_free {
+        self.fleet_size = fleet_size.max(1);
+        let rank = rank.filter(|rank| *rank < self.timing.count);
+        let took_on = rank.is_some() && self.rank.is_none();
+        self.rank = rank;
+        let can_list = matches!(self.phase, Phase::Idle | Phase::Waiting(_)) && self.failures == 0;
+        if took_on && can_list {
             self.list(effects);
         }
-        if self.heard.is_zero() {
-            self.heard = now;
+        if self.last_contact.is_zero() {
+            self.last_contact = now;
         }
     }
 
-    /// Runs what is due.
+    /// Makes the calls that are due and sends a heartbeat if one is.
     fn tick(&mut self, now: Duration, effects: &mut Vec<Effect>) {
         match self.phase {
             Phase::Waiting(until) if now >= until => self.list(effects),
-            Phase::Idle if self.is_silent(now) => self.fall_back(now),
+            Phase::Idle if self.is_contact_lost(now) => self.fall_back(now),
             _ => {}
         }
         self.read_due(now, effects);
-        let hears = self.place.is_some() && self.reached == Some(true);
-        if hears && now >= self.marked + self.timing.mark {
-            self.mark(now, true);
+        let is_watching = self.rank.is_some() && self.reachable == Some(true);
+        if is_watching && now >= self.own_heartbeat + self.timing.mark {
+            self.record_heartbeat(now, true);
             effects.push(Effect::Heartbeat);
         }
     }
 
-    /// Returns whether no watcher was heard of for long.
-    fn is_silent(&self, now: Duration) -> bool {
-        now >= self.heard + self.timing.silence
+    /// Returns whether neither a heartbeat nor a response of the platform came for too long.
+    fn is_contact_lost(&self, now: Duration) -> bool {
+        now >= self.last_contact + self.timing.silence
     }
 
-    /// Plans a list of this VM's own, so late that the fleet together keeps to its rate.
+    /// Plans a list by this VM, after a random delay that keeps the whole fleet within its rate.
     fn fall_back(&mut self, now: Duration) {
-        let share = Duration::from_secs(1) * u32::try_from(self.size).unwrap_or(u32::MAX)
+        let interval = Duration::from_secs(1) * u32::try_from(self.fleet_size).unwrap_or(u32::MAX)
             / self.timing.fallback.max(1);
-        self.phase = Phase::Waiting(now + share.mul_f64(self.random.random_range(0.5..1.5)));
+        self.phase = Phase::Waiting(now + interval.mul_f64(self.random.random_range(0.5..1.5)));
     }
 
-    /// Asks for the keys.
+    /// Requests a list of the keys.
     fn list(&mut self, effects: &mut Vec<Effect>) {
         self.phase = Phase::Listing;
         self.counts.lists += 1;
         effects.push(Effect::List);
     }
 
-    /// Takes the keys in, and watches for what comes after.
+    /// Processes a list: detects deleted keys, plans reads and watches for later changes.
     fn listed(&mut self, now: Duration, listing: Listing, effects: &mut Vec<Effect>) {
         let listed: IndexSet<&str> = listing.keys.iter().map(|it| it.key.as_str()).collect();
         let removed: Vec<String> = self
-            .held
+            .stored
             .iter()
             .filter(|(_, version)| **version <= listing.revision)
             .filter(|(key, _)| !listed.contains(key.as_str()))
@@ -222,18 +223,18 @@
         let removed = removed.into_iter().map(|key| Change { key, version: 0 });
         let keys = listing.keys.into_iter().chain(removed).collect();
         self.changed(now, listing.revision, keys, effects);
-        self.go_on(effects);
+        self.watch_next(effects);
     }
 
-    /// Takes changes in, and watches on.
+    /// Processes the changes of a watch and watches for later ones.
     fn watched(&mut self, now: Duration, listing: Listing, effects: &mut Vec<Effect>) {
         self.changed(now, listing.revision, listing.keys, effects);
-        self.go_on(effects);
+        self.watch_next(effects);
     }
 
-    /// Watches on while on duty.
-    fn go_on(&mut self, effects: &mut Vec<Effect>) {
-        if self.place.is_none() {
+    /// Starts the next watch, if this VM is a watcher.
+    fn watch_next(&mut self, effects: &mut Vec<Effect>) {
+        if self.rank.is_none() {
             self.phase = Phase::Idle;
             return;
         }
@@ -242,7 +243,7 @@
         effects.push(Effect::Watch(self.revision));
     }
 
-    /// Plans the reads of what is newer than what is held.
+    /// Plans reads of the values that are newer than the stored ones, and passes on deletions.
     fn changed(
         &mut self,
         now: Duration,
@@ -250,17 +251,17 @@
         keys: Vec<Change>,
         effects: &mut Vec<Effect>,
     ) {
-        self.reach(true, effects);
+        self.set_reachable(true, effects);
         self.failures = 0;
-        self.heard = now;
+        self.last_contact = now;
         self.revision = self.revision.max(revision);
-        let later = u32::try_from(self.place.unwrap_or(0)).unwrap_or(0);
-        let at = now + self.timing.stagger * later;
+        let rank = u32::try_from(self.rank.unwrap_or(0)).unwrap_or(0);
+        let at = now + self.timing.stagger * rank;
         for change in keys {
             if change.version == 0 {
                 self.remove(change.key, revision, effects);
             } else if self
-                .held
+                .stored
                 .get(&change.key)
                 .is_none_or(|it| *it < change.version)
             {
@@ -270,23 +271,23 @@
         self.read_due(now, effects);
     }
 
-    /// Plans a read, unless one is planned that will bring the same.
+    /// Plans a read, unless one of the same or a higher version is planned.
     fn plan(&mut self, change: Change, at: Duration) {
-        let due = Due {
+        let due = PlannedRead {
             version: change.version,
             at,
             running: false,
         };
-        let planned = self.due.entry(change.key).or_insert(due);
+        let planned = self.planned.entry(change.key).or_insert(due);
         if planned.version < change.version {
             *planned = due;
         }
     }
 
-    /// Passes a deletion on.
+    /// Passes on the deletion of a key that is stored.
     fn remove(&mut self, key: String, revision: Version, effects: &mut Vec<Effect>) {
-        self.due.swap_remove(&key);
-        if self.held.swap_remove(&key).is_some() {
+        self.planned.swap_remove(&key);
+        if self.stored.swap_remove(&key).is_some() {
             effects.push(Effect::Removed(Change {
                 key,
                 version: revision,
@@ -294,15 +295,15 @@
         }
     }
 
-    /// Makes the reads that are due, a few at a time.
+    /// Makes the reads that are due, up to the limit of concurrent ones.
     fn read_due(&mut self, now: Duration, effects: &mut Vec<Effect>) {
-        let running = self.due.values().filter(|due| due.running).count();
-        let room = self.timing.reads.saturating_sub(running);
+        let running = self.planned.values().filter(|due| due.running).count();
+        let free = self.timing.reads.saturating_sub(running);
         let ready = self
-            .due
+            .planned
             .iter_mut()
             .filter(|(_, due)| !due.running && due.at <= now)
-            .take(room);
+            .take(free);
         for (key, due) in ready {
             due.running = true;
             self.counts.reads += 1;
@@ -313,70 +314,70 @@
         }
     }
 
-    /// Takes the end of a read in; a value older than the change is read again.
+    /// Processes a completed read; a value older than the change is read again.
     fn read(&mut self, now: Duration, change: &Change, effects: &mut Vec<Effect>) {
-        self.reach(true, effects);
+        self.set_reachable(true, effects);
         self.failures = 0;
-        self.note(change.clone());
-        if let Some(due) = self.due.get_mut(&change.key) {
+        self.record_stored(change.clone());
+        if let Some(due) = self.planned.get_mut(&change.key) {
             due.running = false;
             due.at = now + self.timing.first;
         }
         self.read_due(now, effects);
     }
 
-    /// Notes a version that is held, and drops the read that would have brought it.
-    fn note(&mut self, change: Change) {
+    /// Records a version that is stored, and drops a planned read that it makes unnecessary.
+    fn record_stored(&mut self, change: Change) {
         if self
-            .due
+            .planned
             .get(&change.key)
             .is_some_and(|due| due.version <= change.version)
         {
-            self.due.swap_remove(&change.key);
+            self.planned.swap_remove(&change.key);
         }
-        let held = self.held.entry(change.key).or_default();
-        *held = (*held).max(change.version);
+        let stored = self.stored.entry(change.key).or_default();
+        *stored = (*stored).max(change.version);
     }
 
-    /// Backs off after a failure.
-    fn failed(&mut self, now: Duration, asked: &Call, effects: &mut Vec<Effect>) {
+    /// Processes a failed call and backs off.
+    fn failed(&mut self, now: Duration, call: &Call, effects: &mut Vec<Effect>) {
         self.counts.failures += 1;
-        self.reach(false, effects);
+        self.set_reachable(false, effects);
         let wait = self.back_off();
-        match asked {
+        match call {
             Call::Read(key) => {
-                if let Some(due) = self.due.get_mut(key) {
+                if let Some(due) = self.planned.get_mut(key) {
                     due.running = false;
                     due.at = now + wait;
                 }
             }
-            Call::List | Call::Watch if self.place.is_some() => {
+            Call::List | Call::Watch if self.rank.is_some() => {
                 self.phase = Phase::Waiting(now + wait);
             }
             Call::List | Call::Watch => self.phase = Phase::Idle,
         }
     }
 
-    /// Returns how long to wait, and waits longer the next time.
+    /// Returns the back-off with jitter, and doubles the next one.
     fn back_off(&mut self) -> Duration {
-        let doubled = self.timing.first * 2_u32.pow(self.failures.min(MOST_DOUBLINGS));
+        let doubled = self.timing.first * 2_u32.pow(self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
         let wait = doubled.min(self.timing.longest);
         wait.mul_f64(self.random.random_range(0.5..1.0))
     }
 
-    /// Notes that a watcher hears from the platform.
-    fn mark(&mut self, now: Duration, own: bool) {
-        self.heard = now;
+    /// Records the heartbeat of a watcher.
+    fn record_heartbeat(&mut self, now: Duration, own: bool) {
+        self.last_contact = now;
         if own {
-            self.marked = now;
+            self.own_heartbeat = now;
         }
     }
 
-    /// Notes whether the platform answers, and says so when that changed.
-    fn reach(&mut self, reached: bool, effects: &mut Vec<Effect>) {
-        if self.reached.replace(reached) != Some(reached) {
-            effects.push(Effect::Reachable(reached));
+    /// Records whether the platform answers, and reports a change.
+    fn set_reachable(&mut self, reachable: bool, effects: &mut Vec<Effect>) {
+        if self.reachable.replace(reachable) != Some(reachable) {
+            effects.push(Effect::Reachable(reachable));
         }
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there: under faults, and once they have passed.
+//! Tests of membership, during faults and after them.
 
 mod fleet;
 
@@ -40,26 +40,26 @@
 #[derive(Clone, Debug)]
 enum Op {
     Run(u64),
-    Cut(usize, usize),
-    Split(usize),
-    Heal,
+    CutLink(usize, usize),
+    Partition(usize),
+    RestoreLinks,
     Crash(usize),
     Restart(usize),
     Pause(usize, u64),
-    Weather(u32, u32, u64),
+    SetFaults(u32, u32, u64),
     Stop(usize),
 }
 
 fn op(count: usize) -> impl Strategy<Value = Op> {
     prop_oneof![
         6 => (100..4_000_u64).prop_map(Op::Run),
-        3 => (0..count, 0..count).prop_map(|(a, b)| Op::Cut(a, b)),
-        1 => (1..count).prop_map(Op::Split),
-        2 => Just(Op::Heal),
+        3 => (0..count, 0..count).prop_map(|(a, b)| Op::CutLink(a, b)),
+        1 => (1..count).prop_map(Op::Partition),
+        2 => Just(Op::RestoreLinks),
         2 => (0..count).prop_map(Op::Crash),
         2 => (0..count).prop_map(Op::Restart),
         2 => (0..count, 100..6_000_u64).prop_map(|(it, ms)| Op::Pause(it, ms)),
-        2 => (0..40_u32, 0..20_u32, 0..400_u64).prop_map(|(a, b, c)| Op::Weather(a, b, c)),
+        2 => (0..40_u32, 0..20_u32, 0..400_u64).prop_map(|(a, b, c)| Op::SetFaults(a, b, c)),
         1 => (0..count).prop_map(Op::Stop),
     ]
 }
@@ -67,19 +67,19 @@
 fn apply(fleet: &mut Fleet, op: &Op) {
     match *op {
         Op::Run(ms) => fleet.run(MILLIS * u32::try_from(ms).unwrap_or(0)),
-        Op::Cut(a, b) => {
+        Op::CutLink(a, b) => {
             fleet.cuts.insert((a, b));
         }
-        Op::Split(at) => {
+        Op::Partition(at) => {
             let all = fleet.nodes.len();
             let pairs = (0..at).flat_map(|a| (at..all).flat_map(move |b| [(a, b), (b, a)]));
             fleet.cuts.extend(pairs);
         }
-        Op::Heal => fleet.cuts.clear(),
+        Op::RestoreLinks => fleet.cuts.clear(),
         Op::Crash(it) => fleet.crash(it),
         Op::Restart(it) => fleet.restart(it),
         Op::Pause(it, ms) => fleet.pause(it, Duration::from_millis(ms)),
-        Op::Weather(lost, doubled, delay) => {
+        Op::SetFaults(lost, doubled, delay) => {
             fleet.faults = Faults {
                 lost,
                 doubled,
@@ -94,16 +94,16 @@
     }
 }
 
-fn calm(fleet: &mut Fleet, span: Duration) {
+fn end_faults(fleet: &mut Fleet, span: Duration) {
     fleet.cuts.clear();
     fleet.faults = Faults::default();
     read_list(fleet);
     fleet.run(span);
 }
 
-/// Has each VM that holds the watch for its failure domain, in its own view, read the list.
+/// Has each VM that is a watcher of its failure domain, in its own view, read the platform's list.
 ///
-/// Without it, VMs whose seeds are all gone have no way to hear of each other.
+/// Without the list, VMs whose seeds all stopped could not find each other.
 fn read_list(fleet: &mut Fleet) {
     let running = fleet.running();
     let listed = |number: &usize| {
@@ -126,8 +126,8 @@
     }
 }
 
-/// Checks that all that run, and they alone, are live to each other.
-fn agreed(fleet: &Fleet) -> Result<(), String> {
+/// Checks that each running VM has exactly the running VMs as live members.
+fn check_views(fleet: &Fleet) -> Result<(), String> {
     let running = fleet.running();
     for a in &running {
         let members = fleet.nodes[*a].gossip.membership();
@@ -136,7 +136,9 @@
         live.sort_by(|x, y| x.vm.cmp(&y.vm));
         expected.sort_by(|x, y| x.vm.cmp(&y.vm));
         if live != expected {
-            return Err(format!("vm {a} holds {live:?}, not {expected:?}"));
+            return Err(format!(
+                "vm {a} has live members {live:?}, expected {expected:?}"
+            ));
         }
     }
     let digests = running
@@ -150,53 +152,53 @@
     Ok(())
 }
 
-fn survives(ops: &[Op], seed: u64, flaw: Option<Flaw>) -> Result<(), String> {
+fn check_faults(ops: &[Op], seed: u64, flaw: Option<Flaw>) -> Result<(), String> {
     let mut fleet = new_fleet(7, seed);
     fleet.flaw = flaw;
     for op in ops {
         apply(&mut fleet, op);
         for node in &fleet.nodes {
-            let held = node.gossip.membership().member_count();
-            if held > 2 * (3 * 32 + 32) {
-                return Err(format!("{held} members held"));
+            let count = node.gossip.membership().member_count();
+            if count > 2 * (3 * 32 + 32) {
+                return Err(format!("view with {count} members"));
             }
         }
     }
-    calm(&mut fleet, 30 * SECOND);
-    agreed(&fleet)
+    end_faults(&mut fleet, 30 * SECOND);
+    check_views(&fleet)
 }
 
 #[test]
-fn after_any_faults_all_agree_on_who_is_there() {
+fn all_vms_agree_on_the_members_after_any_faults() {
     let ops = proptest::collection::vec(op(7), 1..24);
     let mut runner = TestRunner::new(config());
     runner
         .run(&(ops, any::<u64>()), |(ops, seed)| {
-            survives(&ops, seed, None).map_err(TestCaseError::fail)
+            check_faults(&ops, seed, None).map_err(TestCaseError::fail)
         })
         .unwrap();
 }
 
 #[test]
-fn without_refutation_the_check_fails() {
+fn the_check_fails_without_refutation() {
     let ops = [
         Op::Run(3_000),
-        Op::Split(3),
+        Op::Partition(3),
         Op::Run(6_000),
-        Op::Heal,
+        Op::RestoreLinks,
         Op::Run(3_000),
     ];
-    assert_eq!(survives(&ops, 1, None), Ok(()));
-    assert!(survives(&ops, 1, Some(Flaw::NoRefutation)).is_err());
+    assert_eq!(check_faults(&ops, 1, None), Ok(()));
+    assert!(check_faults(&ops, 1, Some(Flaw::NoRefutation)).is_err());
 }
 
 #[test]
-fn without_faults_nobody_is_declared_lost() {
+fn no_member_is_declared_lost_without_faults() {
     for seed in 0..8 {
         let mut fleet = new_fleet(12, seed);
         fleet.faults.delay = 20 * MILLIS;
         fleet.run(60 * SECOND);
-        assert_eq!(agreed(&fleet), Ok(()));
+        assert_eq!(check_views(&fleet), Ok(()));
         assert!(
             fleet
                 .told
@@ -207,13 +209,13 @@
 }
 
 #[test]
-fn one_cut_between_two_declares_nobody_lost() {
+fn a_cut_link_between_two_vms_declares_no_member_lost() {
     for cuts in [vec![(1, 2)], vec![(2, 1)], vec![(1, 2), (2, 1)]] {
         let mut fleet = new_fleet(6, 5);
         fleet.run(3 * SECOND);
         fleet.cuts.extend(cuts);
         fleet.run(60 * SECOND);
-        assert_eq!(agreed(&fleet), Ok(()));
+        assert_eq!(check_views(&fleet), Ok(()));
         assert!(
             fleet
                 .told
@@ -224,7 +226,7 @@
 }
 
 #[test]
-fn a_lost_vm_is_declared_by_all_and_a_restart_replaces_it_at_once() {
+fn all_vms_declare_a_lost_vm_and_a_restart_replaces_it_at_once() {
     let mut fleet = new_fleet(12, 3);
     fleet.run(5 * SECOND);
     let old = fleet.peer(4).vm;
@@ -236,24 +238,24 @@
     }
     fleet.crash(4);
     fleet.run(4 * SECOND);
-    assert_eq!(agreed(&fleet), Ok(()));
+    assert_eq!(check_views(&fleet), Ok(()));
 }
 
 #[test]
-fn a_pause_of_one_blames_nobody_else() {
+fn a_paused_vm_declares_no_other_lost() {
     let mut fleet = new_fleet(6, 9);
     fleet.run(3 * SECOND);
     fleet.pause(2, 10 * SECOND);
     fleet.run(20 * SECOND);
-    let blamed = |it: &fleet::Told| it.update.standing >= Standing::Gone;
-    let others = fleet.told.iter().filter(|it| blamed(it));
-    assert!(others.clone().all(|it| it.update.peer.vm == "vm-2#0"));
-    assert!(others.count() > 0);
-    assert_eq!(agreed(&fleet), Ok(()));
+    let is_lost = |it: &fleet::Told| it.update.standing >= Standing::Gone;
+    let losses = fleet.told.iter().filter(|it| is_lost(it));
+    assert!(losses.clone().all(|it| it.update.peer.vm == "vm-2#0"));
+    assert!(losses.count() > 0);
+    assert_eq!(check_views(&fleet), Ok(()));
 }
 
 #[test]
-fn one_that_comes_back_often_is_no_candidate_for_a_while() {
+fn a_member_that_often_returns_is_temporarily_no_candidate() {
     let mut fleet = new_fleet(4, 9);
     fleet.run(3 * SECOND);
     for _ in 0..3 {
@@ -262,17 +264,17 @@
     }
     let now = fleet.now;
     let members = fleet.nodes[0].gossip.membership();
-    let offers = |now| {
+    let is_candidate = |now| {
         let candidates = members.candidates(now, "group-1", 4, None);
         candidates.iter().any(|it| it.vm == "vm-2#0")
     };
     assert!(members.is_live("vm-2#0"));
-    assert!(!offers(now));
-    assert!(offers(now + 90 * SECOND));
+    assert!(!is_candidate(now));
+    assert!(is_candidate(now + 90 * SECOND));
 }
 
 #[test]
-fn candidates_stand_in_different_domains_and_all_choose_the_same() {
+fn candidates_are_in_different_domains_and_equal_at_all_vms() {
     let mut fleet = new_fleet(9, 2);
     fleet.run(5 * SECOND);
     let chosen = |number: usize, outside| {
@@ -295,7 +297,7 @@
 }
 
 #[test]
-fn a_leaving_vm_takes_no_duty_and_a_stopped_one_is_gone() {
+fn a_leaving_vm_is_no_candidate_and_a_stopped_one_has_left() {
     let mut fleet = new_fleet(5, 4);
     fleet.run(3 * SECOND);
     fleet.put(3, Event::Leave);
@@ -310,11 +312,11 @@
     fleet.run(SECOND);
     let members = fleet.nodes[0].gossip.membership();
     assert_eq!(members.standing("vm-3#0"), Some(Standing::Left));
-    assert_eq!(agreed(&fleet), Ok(()));
+    assert_eq!(check_views(&fleet), Ok(()));
 }
 
 #[test]
-fn the_list_leads_to_members_that_no_seed_names() {
+fn members_without_seeds_are_found_through_the_list() {
     let peer = |name: &str, port: u16| Listed {
         name: name.to_owned(),
         address: format!("127.0.0.1:{port}"),
@@ -329,17 +331,18 @@
 }
 
 #[test]
-fn the_smaller_side_of_a_partition_says_so() {
+fn the_smaller_side_of_a_partition_reports_a_minority() {
     let mut fleet = new_fleet(6, 8);
     fleet.run(5 * SECOND);
-    apply(&mut fleet, &Op::Split(2));
+    apply(&mut fleet, &Op::Partition(2));
     fleet.run(6 * SECOND);
     assert!(fleet.nodes[0].gossip.membership().is_minority());
     assert!(!fleet.nodes[4].gossip.membership().is_minority());
 }
 
-/// Views bounded far below the fleet's size, so that the bounds matter at a size that runs fast.
-fn bounded(count: usize, seed: u64) -> Fleet {
+/// Creates a fleet far larger than its views, so that their limits take effect in a fleet that is
+/// small enough to run fast.
+fn new_bounded_fleet(count: usize, seed: u64) -> Fleet {
     let timing = Timing {
         duty: 4,
         others: 8,
@@ -348,55 +351,61 @@
     Fleet::new(count, 3, timing, Limits::default(), seed)
 }
 
-fn choices(fleet: &Fleet, number: usize) -> Vec<Peer> {
+fn candidates_at(fleet: &Fleet, number: usize) -> Vec<Peer> {
     let members = fleet.nodes[number].gossip.membership();
     members.candidates(fleet.now, "group-1", 6, None)
 }
 
 #[test]
 fn bounded_views_agree_on_the_candidates_and_replace_lost_ones() {
-    let mut fleet = bounded(60, 6);
+    let mut fleet = new_bounded_fleet(60, 6);
     fleet.run(20 * SECOND);
     for round in 0..2 {
-        let first = choices(&fleet, 0);
+        let first = candidates_at(&fleet, 0);
         for number in fleet.running() {
             let members = fleet.nodes[number].gossip.membership();
             assert!(members.member_count() <= 3 * 4 + 8 + 3 * 4 + 8);
-            assert_eq!(choices(&fleet, number), first, "round {round} at {number}");
+            assert_eq!(
+                candidates_at(&fleet, number),
+                first,
+                "round {round} at {number}"
+            );
         }
-        let lost: Vec<usize> = first.iter().map(number).filter(|it| *it != 0).collect();
+        let lost: Vec<usize> = first.iter().map(number_of).filter(|it| *it != 0).collect();
         for number in &lost {
             fleet.crash(*number);
         }
         fleet.run(30 * SECOND);
-        let now = choices(&fleet, 0);
-        assert!(now.iter().all(|peer| !lost.contains(&number(peer))));
+        let now = candidates_at(&fleet, 0);
+        assert!(now.iter().all(|peer| !lost.contains(&number_of(peer))));
         assert_eq!(now.len(), 6);
     }
 }
 
-/// Checks that all choose the same candidates, and only ones that run.
-fn chosen_alike(fleet: &Fleet) -> Result<(), String> {
+/// Checks that all running VMs choose the same candidates, and only running ones.
+fn check_candidates(fleet: &Fleet) -> Result<(), String> {
     let running = fleet.running();
     let Some(first) = running.first() else {
         return Ok(());
     };
-    let expected = choices(fleet, *first);
+    let expected = candidates_at(fleet, *first);
     for number in &running {
-        let chosen = choices(fleet, *number);
+        let chosen = candidates_at(fleet, *number);
         if chosen != expected {
-            return Err(format!("vm {number} chooses {chosen:?}, not {expected:?}"));
+            return Err(format!(
+                "vm {number} chooses {chosen:?}, expected {expected:?}"
+            ));
         }
     }
     let runs = |peer: &Peer| running.iter().any(|it| fleet.peer(*it) == *peer);
     if expected.iter().all(runs) {
         Ok(())
     } else {
-        Err(format!("not all run: {expected:?}"))
+        Err(format!("not all candidates run: {expected:?}"))
     }
 }
 
-fn bounded_survives(ops: &[Op], seed: u64) -> Result<(), String> {
+fn check_bounded_faults(ops: &[Op], seed: u64) -> Result<(), String> {
     let timing = Timing {
         duty: 2,
         others: 4,
@@ -407,13 +416,14 @@
     for op in ops {
         apply(&mut fleet, op);
     }
-    // A hold lasts up to 80 s, and VMs that saw different returns hold differently.
-    calm(&mut fleet, 120 * SECOND);
-    chosen_alike(&fleet)
+    // A returned member is no candidate for up to 80 s, and for different times at VMs that saw
+    // different returns.
+    end_faults(&mut fleet, 120 * SECOND);
+    check_candidates(&fleet)
 }
 
 #[test]
-fn after_any_faults_bounded_views_choose_alike() {
+fn bounded_views_choose_the_same_candidates_after_any_faults() {
     let ops = proptest::collection::vec(op(24), 1..24);
     let config = Config {
         cases: config().cases / 4 + 1,
@@ -421,19 +431,19 @@
     };
     TestRunner::new(config)
         .run(&(ops, any::<u64>()), |(ops, seed)| {
-            bounded_survives(&ops, seed).map_err(TestCaseError::fail)
+            check_bounded_faults(&ops, seed).map_err(TestCaseError::fail)
         })
         .unwrap();
 }
 
-fn number(peer: &Peer) -> usize {
+fn number_of(peer: &Peer) -> usize {
     let name = membership::name(&peer.vm);
     name.trim_start_matches("vm-").parse().unwrap()
 }
 
 #[test]
 fn the_size_of_a_fleet_beyond_the_view_is_estimated() {
-    let mut fleet = bounded(60, 6);
+    let mut fleet = new_bounded_fleet(60, 6);
     fleet.run(20 * SECOND);
     let size = fleet.nodes[5].gossip.membership().fleet_size();
     assert!((30..120).contains(&size), "{size}");
--- a/tests/spread.rs
+++ b/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How news reaches every process: under faults, and once they have passed.
+//! Tests of item distribution and of the watcher, during faults and after them.
 
 mod fleet;
 
@@ -37,14 +37,14 @@
     Run(u64),
     Put(usize, usize, usize),
     Remove(usize, usize),
-    Older(usize, usize),
-    Cut(usize, usize),
-    Heal,
+    PutOlder(usize, usize),
+    CutLink(usize, usize),
+    RestoreLinks,
     Crash(usize),
     Restart(usize),
     Pause(usize, u64),
-    Weather(u32, u32, u64),
-    Forget(usize),
+    SetFaults(u32, u32, u64),
+    LoseItems(usize),
 }
 
 fn op(count: usize) -> impl Strategy<Value = Op> {
@@ -53,14 +53,14 @@
         5 => (50..3_000_u64).prop_map(Op::Run),
         6 => (0..count, 0..3_usize, size).prop_map(|(it, name, size)| Op::Put(it, name, size)),
         1 => (0..count, 0..3_usize).prop_map(|(it, name)| Op::Remove(it, name)),
-        2 => (0..count, 0..3_usize).prop_map(|(it, name)| Op::Older(it, name)),
-        2 => (0..count, 0..count).prop_map(|(a, b)| Op::Cut(a, b)),
-        1 => Just(Op::Heal),
+        2 => (0..count, 0..3_usize).prop_map(|(it, name)| Op::PutOlder(it, name)),
+        2 => (0..count, 0..count).prop_map(|(a, b)| Op::CutLink(a, b)),
+        1 => Just(Op::RestoreLinks),
         1 => (0..count).prop_map(Op::Crash),
         1 => (0..count).prop_map(Op::Restart),
         1 => (0..count, 100..4_000_u64).prop_map(|(it, ms)| Op::Pause(it, ms)),
-        1 => (0..40_u32, 0..20_u32, 0..400_u64).prop_map(|(a, b, c)| Op::Weather(a, b, c)),
-        1 => (0..count).prop_map(Op::Forget),
+        1 => (0..40_u32, 0..20_u32, 0..400_u64).prop_map(|(a, b, c)| Op::SetFaults(a, b, c)),
+        1 => (0..count).prop_map(Op::LoseItems),
     ]
 }
 
@@ -68,7 +68,8 @@
     Id::new(Kind::Document, format!("service-{name}"))
 }
 
-/// A value tells its version, so that a mixed-up value shows.
+/// Returns a value that starts with its version, so that a value stored under a wrong version is
+/// detected.
 fn value(version: u64, size: usize) -> Vec<u8> {
     let mut bytes = version.to_le_bytes().to_vec();
     bytes.resize(size, 0);
@@ -87,36 +88,36 @@
             *version += 1;
             fleet.put(it, Event::Put(Item::removed(id(name), *version)));
         }
-        Op::Older(it, name) => {
+        Op::PutOlder(it, name) => {
             let older = *version / 2;
             let item = Item::new(id(name), older, value(older, 10));
             fleet.put(it, Event::Put(item));
         }
-        Op::Cut(a, b) => {
+        Op::CutLink(a, b) => {
             fleet.cuts.insert((a, b));
         }
-        Op::Heal => fleet.cuts.clear(),
+        Op::RestoreLinks => fleet.cuts.clear(),
         Op::Crash(it) => fleet.crash(it),
         Op::Restart(it) => fleet.restart(it),
         Op::Pause(it, ms) => fleet.pause(it, Duration::from_millis(ms)),
-        Op::Weather(lost, doubled, delay) => {
+        Op::SetFaults(lost, doubled, delay) => {
             fleet.faults = Faults {
                 lost,
                 doubled,
                 delay: Duration::from_millis(delay),
             };
         }
-        Op::Forget(it) => fleet.forget(it),
+        Op::LoseItems(it) => fleet.forget(it),
     }
 }
 
-/// Returns the newest version of an item that a running process holds.
+/// Returns the newest version of an item at any running process.
 fn newest(fleet: &Fleet, name: usize) -> Option<u64> {
-    let held = |it: &usize| fleet.nodes[*it].gossip.store().version(&id(name));
-    fleet.running().iter().filter_map(held).max()
+    let stored = |it: &usize| fleet.nodes[*it].gossip.store().version(&id(name));
+    fleet.running().iter().filter_map(stored).max()
 }
 
-fn survives(ops: &[Op], seed: u64, flaw: Option<Flaw>) -> Result<(), String> {
+fn check_faults(ops: &[Op], seed: u64, flaw: Option<Flaw>) -> Result<(), String> {
     let mut fleet = Fleet::new(6, 3, Timing::default(), Limits::default(), seed);
     fleet.flaw = flaw;
     let mut version = 0;
@@ -124,7 +125,7 @@
     for op in ops {
         apply(&mut fleet, op, &mut version);
         if fleet.went_back {
-            return Err(format!("a version went back at {op:?}"));
+            return Err(format!("a lower version was accepted at {op:?}"));
         }
     }
     let expected: Vec<Option<u64>> = (0..3).map(|name| newest(&fleet, name)).collect();
@@ -132,18 +133,20 @@
     fleet.faults = Faults::default();
     fleet.run(20 * SECOND);
     if fleet.went_back {
-        return Err("a version went back".to_owned());
+        return Err("a lower version was accepted".to_owned());
     }
     for number in fleet.running() {
         let store = fleet.nodes[number].gossip.store();
         for (name, expected) in expected.iter().enumerate() {
-            let held = store.version(&id(name));
-            if held < *expected {
-                return Err(format!("vm {number} holds {held:?}, not {expected:?}"));
+            let stored = store.version(&id(name));
+            if stored < *expected {
+                return Err(format!(
+                    "vm {number} has version {stored:?}, expected at least {expected:?}"
+                ));
             }
             let text = store.value(&id(name)).map(|bytes| bytes[..8].to_vec());
-            if text.is_some_and(|text| text != held.unwrap_or(0).to_le_bytes()) {
-                return Err(format!("vm {number} holds another version's value"));
+            if text.is_some_and(|text| text != stored.unwrap_or(0).to_le_bytes()) {
+                return Err(format!("vm {number} has the value of another version"));
             }
         }
     }
@@ -151,45 +154,45 @@
 }
 
 #[test]
-fn under_any_faults_nothing_goes_back_and_then_all_hold_the_newest() {
+fn versions_never_decrease_during_any_faults_and_all_vms_converge() {
     let ops = proptest::collection::vec(op(6), 1..40);
     let mut runner = TestRunner::new(config());
     runner
         .run(&(ops, any::<u64>()), |(ops, seed)| {
-            survives(&ops, seed, None).map_err(TestCaseError::fail)
+            check_faults(&ops, seed, None).map_err(TestCaseError::fail)
         })
         .unwrap();
 }
 
 #[test]
-fn the_checks_find_flaws() {
-    let lossy = [
-        Op::Weather(39, 0, 0),
+fn the_checks_detect_flaws() {
+    let message_loss = [
+        Op::SetFaults(39, 0, 0),
         Op::Crash(5),
         Op::Put(0, 0, 5_000),
         Op::Run(1_000),
         Op::Restart(5),
         Op::Run(1_000),
     ];
-    let amnesia = [
+    let item_loss = [
         Op::Put(2, 0, 10),
         Op::Put(2, 0, 10),
         Op::Run(1_000),
-        Op::Forget(4),
-        Op::Older(4, 0),
+        Op::LoseItems(4),
+        Op::PutOlder(4, 0),
     ];
     let cases = [
-        (&lossy[..], Flaw::NoComparison),
-        (&amnesia[..], Flaw::Amnesia),
+        (&message_loss[..], Flaw::NoComparison),
+        (&item_loss[..], Flaw::Amnesia),
     ];
     for (ops, flaw) in cases {
-        assert_eq!(survives(ops, 3, None), Ok(()), "{flaw:?}");
-        assert!(survives(ops, 3, Some(flaw)).is_err(), "{flaw:?}");
+        assert_eq!(check_faults(ops, 3, None), Ok(()), "{flaw:?}");
+        assert!(check_faults(ops, 3, Some(flaw)).is_err(), "{flaw:?}");
     }
 }
 
 #[test]
-fn a_vm_started_in_an_outage_learns_the_newest_from_its_peers() {
+fn a_vm_started_during_an_outage_gets_the_newest_items_from_its_peers() {
     let mut fleet = Fleet::new(5, 3, Timing::default(), Limits::default(), 4);
     fleet.crash(4);
     fleet.run(2 * SECOND);
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn a_big_value_crosses_once_to_each_that_wants_it() {
+fn a_large_value_is_sent_once_to_each_vm_that_needs_it() {
     let mut fleet = Fleet::new(12, 3, Timing::default(), Limits::default(), 4);
     fleet.run(3 * SECOND);
     fleet.weighs = true;
@@ -217,7 +220,7 @@
 }
 
 #[test]
-fn two_that_hold_nothing_learn_nothing_by_agreeing() {
+fn two_empty_processes_do_not_count_as_synced() {
     let mut fleet = Fleet::new(2, 1, Timing::default(), Limits::default(), 4);
     fleet.run(3 * SECOND);
     assert_eq!(fleet.nodes[0].gossip.store().synced_peers(), 0);
@@ -226,19 +229,19 @@
     assert_eq!(fleet.nodes[1].gossip.store().synced_peers(), 1);
 }
 
-fn lasting(name: &str, version: u64, seconds: u32) -> Item {
+fn expiring(name: &str, version: u64, seconds: u32) -> Item {
     Item::new(Id::new(Kind::Suspect, name), version, vec![1]).with_ttl(SECOND * seconds)
 }
 
 #[test]
-fn what_lasts_for_a_time_ends_and_is_bounded() {
+fn items_with_a_time_to_live_expire_and_are_bounded() {
     let limits = Limits {
         lasting: 10,
         ..Limits::default()
     };
     let mut store = Store::new(limits);
     for number in 0..50 {
-        let item = lasting(&format!("{number}"), 1, 60 + number);
+        let item = expiring(&format!("{number}"), 1, 60 + number);
         store.on(SECOND, spread::Event::Put(item));
     }
     assert_eq!(store.in_force().len(), 10);
@@ -249,7 +252,7 @@
 }
 
 #[test]
-fn an_unwanted_big_value_is_known_by_its_version_alone() {
+fn only_the_version_of_a_skipped_large_value_is_stored() {
     let mut store = Store::new(Limits::default());
     store.skip_values(Kind::Record);
     let item = Item {
@@ -258,12 +261,12 @@
         content: Content::Announced(900_000),
         left: None,
     };
-    let asked = spread::Event::Asked {
+    let request = spread::Event::Asked {
         call: 1,
         address: "127.0.0.1:1".to_owned(),
         message: Message::News(vec![item.clone()]),
     };
-    let effects = store.on(SECOND, asked);
+    let effects = store.on(SECOND, request);
     assert!(!effects.iter().any(|it| matches!(it, Effect::Ask { .. })));
     assert_eq!(store.version(&item.id), Some(7));
     assert_eq!(store.bytes(), 0);
@@ -280,20 +283,20 @@
     }
 }
 
-fn on_duty(place: usize) -> Watcher {
+fn active_watcher(rank: usize) -> Watcher {
     let mut watcher = Watcher::new(watcher::Timing::default(), 1);
-    let duty = watcher::Event::Role {
-        rank: Some(place),
+    let role = watcher::Event::Role {
+        rank: Some(rank),
         fleet_size: 12,
     };
-    assert_eq!(watcher.on(SECOND, duty), [watcher::Effect::List]);
+    assert_eq!(watcher.on(SECOND, role), [watcher::Effect::List]);
     watcher
 }
 
 #[test]
 fn a_watcher_lists_reads_and_watches() {
     use watcher::{Effect as Wants, Event as Happens};
-    let mut watcher = on_duty(0);
+    let mut watcher = active_watcher(0);
     let change = |version| Change {
         key: "doc".to_owned(),
         version,
@@ -314,12 +317,12 @@
 }
 
 #[test]
-fn a_second_watcher_reads_only_what_spread_did_not_bring() {
+fn a_second_watcher_reads_only_what_it_has_not_received() {
     use watcher::{Effect as Wants, Event as Happens};
-    for (brought, reads) in [(true, 0), (false, 1)] {
-        let mut watcher = on_duty(1);
+    for (received, reads) in [(true, 0), (false, 1)] {
+        let mut watcher = active_watcher(1);
         watcher.on(SECOND, Happens::Listed(listing(5, &[("doc", 4)])));
-        if brought {
+        if received {
             let change = listing(5, &[("doc", 4)]).keys.remove(0);
             watcher.on(SECOND, Happens::Stored(change));
         }
@@ -330,30 +333,30 @@
 }
 
 #[test]
-fn in_an_outage_a_watcher_backs_off_and_then_lists_anew() {
+fn a_watcher_backs_off_during_an_outage_and_then_lists_again() {
     use watcher::{Effect as Wants, Event as Happens};
-    let mut watcher = on_duty(0);
+    let mut watcher = active_watcher(0);
     watcher.on(SECOND, Happens::Listed(listing(5, &[])));
     watcher.on(SECOND, Happens::Failed(Call::Watch));
     assert_eq!(watcher.is_reachable(), Some(false));
-    let mut asked = 0;
+    let mut lists = 0;
     for tenth in 10..6_010 {
         let now = Duration::from_millis(100) * tenth;
         let effects = watcher.on(now, Happens::Tick);
         if effects.contains(&Wants::List) {
-            asked += 1;
+            lists += 1;
             watcher.on(now, Happens::Failed(Call::List));
         }
     }
-    assert!((60..200).contains(&asked), "{asked} lists in ten minutes");
-    let wakes = watcher.on(700 * SECOND, Happens::Tick);
-    assert_eq!(wakes, [Wants::List]);
+    assert!((60..200).contains(&lists), "{lists} lists in ten minutes");
+    let effects = watcher.on(700 * SECOND, Happens::Tick);
+    assert_eq!(effects, [Wants::List]);
     let effects = watcher.on(700 * SECOND, Happens::Listed(listing(6, &[])));
     assert_eq!(effects, [Wants::Reachable(true), Wants::Watch(6)]);
 }
 
 #[test]
-fn without_watchers_the_fleet_asks_at_a_bounded_rate() {
+fn the_fleet_lists_at_a_bounded_rate_without_watchers() {
     use watcher::{Effect as Wants, Event as Happens};
     let size = 100;
     let mut lists = 0;
