--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -212,10 +212,10 @@
                 self.update_store(now, spread::Event::Tick, &mut effects);
             }
             Event::List(list) => {
-                self.update_membership(now, membership::Event::List(list), &mut effects)
+                self.update_membership(now, membership::Event::List(list), &mut effects);
             }
             Event::Seeds(seeds) => {
-                self.update_membership(now, membership::Event::Seeds(seeds), &mut effects)
+                self.update_membership(now, membership::Event::Seeds(seeds), &mut effects);
             }
             Event::Put(item) => self.update_store(now, spread::Event::Put(item), &mut effects),
             Event::Asked { call, envelope } => self.asked(now, call, envelope, &mut effects),
@@ -386,7 +386,7 @@
     fn fail_call(&mut self, now: Duration, origin: Origin, effects: &mut Vec<Effect>) {
         match origin {
             Origin::Member(call) => {
-                self.update_membership(now, membership::Event::Failed { call }, effects)
+                self.update_membership(now, membership::Event::Failed { call }, effects);
             }
             Origin::Spread(call) => self.update_store(now, spread::Event::Failed { call }, effects),
             Origin::Push => {}
--- a/src/membership/calls.rs
+++ b/src/membership/calls.rs
@@ -24,7 +24,7 @@
 const MAX_QUEUED_UPDATES: usize = 1024;
 /// How often an update of an eligible member is sent, per doubling of the fleet's size.
 const SENDS_PER_DOUBLING: u32 = 2;
-/// How often an update of another member is sent.
+/// How often an update of a present member is sent that is not eligible.
 const OTHER_SENDS: usize = 3;
 
 /// Why a call was made.
@@ -183,7 +183,8 @@
 
     /// Returns the addresses to contact: those that never answered, and those of lost members.
     ///
-    /// A process with few live members also contacts addresses that have answered before.
+    /// A process with no other live member, or with a minority of its members present, also contacts
+    /// addresses that have answered before.
     fn unreached(&self) -> Vec<String> {
         let present: IndexSet<&str> = self
             .view
@@ -255,7 +256,7 @@
         self.mark_leaving(now, list, effects);
     }
 
-    /// Marks live members as leaving whose VMs became leaving in the platform's list.
+    /// Marks live members as leaving when the platform's list newly shows their VM as leaving.
     fn mark_leaving(&mut self, now: Duration, list: &[Listed], effects: &mut Vec<Effect>) {
         let leaving: IndexSet<String> = list
             .iter()
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -33,7 +33,7 @@
         effects.push(Effect::Answer { call, message });
     }
 
-    /// Probes a member on on_behalf of another process, which gets its response afterwards.
+    /// Probes a member on behalf of another process, which gets its response afterwards.
     fn probe_for(&mut self, call: CallId, peer: &Peer, effects: &mut Vec<Effect>) {
         let message = self.message_to(peer, Body::Probe);
         let on_behalf = Call::OnBehalf(call);
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -400,7 +400,7 @@
         }
     }
 
-    /// Drops the other members with the lowest_rank affinity to this process, beyond the limit.
+    /// Drops the other members with the lowest affinity to this process, beyond the limit.
     fn trim_others(&mut self) {
         let mut others: Vec<(u64, VmId)> = self
             .members
--- a/src/watcher/message.rs
+++ b/src/watcher/message.rs
@@ -31,8 +31,8 @@
 pub enum Event {
     /// Time has passed.
     Tick,
-    /// Membership changed: this VM's rank among the candidates of its failure domain, and the size
-    /// of the fleet.
+    /// This VM's rank among the watcher candidates of its failure domain, and the size of the
+    /// fleet.
     Role {
         /// Rank from 0, or none if this VM is not a candidate.
         rank: Option<usize>,
