--- a/program/src/main.rs
+++ b/program/src/main.rs
@@ -89,7 +89,7 @@
 }
 
 fn print(output: &Output) -> io::Result<()> {
-    if output.complains() {
+    if output.is_error() {
         return io::stderr().write_all(output.text.as_bytes());
     }
     io::stdout().write_all(output.text.as_bytes())
--- a/src/admin.rs
+++ b/src/admin.rs
@@ -37,14 +37,14 @@
 
 /// A question to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum Query {
     /// How it stands.
     Status,
     /// The events that pass a filter.
     Timeline(Filter),
 }
 
-impl Question {
+impl Query {
     /// Reads a question.
     ///
     /// # Errors
@@ -54,11 +54,11 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::admin::{self, Question};
+    /// use bramleypier::admin::{self, Query};
     /// use hyper::Method;
     ///
-    /// let question = Question::read(&Method::GET, admin::STATUS_PATH, b"").unwrap();
-    /// assert_eq!(question, Question::Status);
+    /// let question = Query::read(&Method::GET, admin::STATUS_PATH, b"").unwrap();
+    /// assert_eq!(question, Query::Status);
     /// ```
     pub fn read(method: &Method, path: &str, body: &[u8]) -> Result<Self, Error> {
         match (method, path) {
@@ -112,9 +112,9 @@
 /// ```
 /// use bramleypier::admin::{self, Status};
 ///
-/// assert!(admin::write(&Status::default()).is_ok());
+/// assert!(admin::to_json(&Status::default()).is_ok());
 /// ```
-pub fn write<T>(answer: &T) -> Result<Bytes, serde_json::Error>
+pub fn to_json<T>(answer: &T) -> Result<Bytes, serde_json::Error>
 where
     T: Serialize,
 {
--- a/src/cli/document.rs
+++ b/src/cli/document.rs
@@ -11,7 +11,7 @@
     admin::{self, Status},
     cli::{Error, Exit, Output, check, fleet::Fleet, parser::Document},
     document::{
-        put::{Conflict, Event, Outcome, Process, Step},
+        put::{Conflict, Event, Operation, Outcome, Step},
         stored::{self, Stamp, Stored},
     },
     id::{ServiceId, Version, VmId},
@@ -78,13 +78,15 @@
     json: bool,
 ) -> Result<Output, Error> {
     let text = check::read(file)?;
-    let base = base.or_else(|| stored::base(&text)).unwrap_or_default();
+    let base = base
+        .or_else(|| stored::read_version(&text))
+        .unwrap_or_default();
     let writer = Uuid::now_v7().to_string();
     let at = u64::try_from(stamp::wall().as_millis()).unwrap_or(u64::MAX);
     let stamp = Stamp::new(&writer, base, at, &by.unwrap_or_else(user));
     let name = file.display().to_string();
-    let (process, step) = Process::start(&name, &text, stamp).map_err(Error::Refused)?;
-    let (outcome, cause) = drive(fleet, process, step).await;
+    let (operation, step) = Operation::start(&name, &text, stamp).map_err(Error::Refused)?;
+    let (outcome, cause) = drive(fleet, operation, step).await;
     report(outcome, cause, json)
 }
 
@@ -94,21 +96,27 @@
 }
 
 /// Makes the calls that a put asks for, and returns the last failure with the outcome.
-async fn drive(fleet: &Fleet, mut process: Process, mut step: Step) -> (Outcome, Option<String>) {
+async fn drive(
+    fleet: &Fleet,
+    mut operation: Operation,
+    mut step: Step,
+) -> (Outcome, Option<String>) {
     let mut cause = None;
     loop {
         let event = match step {
             Step::Done(outcome) => return (outcome, cause),
-            Step::Read => read(fleet, &process.key(), &mut cause).await,
-            Step::Write(base, value) => write(fleet, &process.key(), base, value, &mut cause).await,
+            Step::Read => read(fleet, &operation.key(), &mut cause).await,
+            Step::Write(base, value) => {
+                write(fleet, &operation.key(), base, value, &mut cause).await
+            }
         };
         if matches!(
             event,
-            Event::ReadFailed | Event::WriteFailed | Event::WriteDoubt
+            Event::ReadFailed | Event::WriteFailed | Event::WriteUncertain
         ) {
             fleet.clock.sleep(PAUSE).await;
         }
-        step = process.on(event);
+        step = operation.handle(event);
     }
 }
 
@@ -135,7 +143,7 @@
             *cause = Some(error.to_string());
             match error {
                 platform::Error::Failed(..) => Event::WriteFailed,
-                platform::Error::Doubt(..) => Event::WriteDoubt,
+                platform::Error::Doubt(..) => Event::WriteUncertain,
             }
         }
     }
@@ -237,7 +245,7 @@
         text: stored.text,
     };
     Output::either(Exit::Done, json, &standing, |standing| {
-        stored::mark(&standing.text, standing.version)
+        stored::with_version(&standing.text, standing.version)
     })
 }
 
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -85,9 +85,9 @@
     /// ```
     /// use bramleypier::cli::{Exit, Output};
     ///
-    /// assert!(Output::plain(Exit::Usage, "what?").complains());
+    /// assert!(Output::plain(Exit::Usage, "what?").is_error());
     /// ```
-    pub fn complains(&self) -> bool {
+    pub fn is_error(&self) -> bool {
         matches!(self.exit, Exit::Usage | Exit::Failed)
     }
 }
--- a/src/cli/timeline.rs
+++ b/src/cli/timeline.rs
@@ -13,7 +13,7 @@
 pub(super) async fn run(command: Timeline) -> Result<Output, Error> {
     let filter = filter(&command)?;
     let fleet = Fleet::open(&command.settings)?;
-    let question = admin::write(&filter).map_err(Error::Json)?;
+    let question = admin::to_json(&filter).map_err(Error::Json)?;
     let answers = fleet
         .ask::<Part>(admin::TIMELINE_PATH, Some(question))
         .await;
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -14,7 +14,7 @@
 
 /// What is wrong with a document, at a section and key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Flaw {
+pub struct Violation {
     /// The section, as the text names it.
     pub section: String,
     /// The key; empty if the flaw is the section's.
@@ -23,8 +23,8 @@
     pub reason: String,
 }
 
-fn flaw(section: &str, key: &'static str, reason: impl Into<String>) -> Flaw {
-    Flaw {
+fn violation(section: &str, key: &'static str, reason: impl Into<String>) -> Violation {
+    Violation {
         section: section.to_owned(),
         key,
         reason: reason.into(),
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first [`Flaw`].
+/// Returns the first [`Violation`].
 ///
 /// # Example
 ///
@@ -46,19 +46,23 @@
 ///     [target t]\naddress = 127.0.0.1:1\ndomain = d";
 /// let mut document = text::parse("a.ini", written).unwrap();
 /// document.targets.clear();
-/// assert_eq!(check::whole(&document).unwrap_err().reason, "the service has no target");
+/// assert_eq!(check::validate(&document).unwrap_err().reason, "the service has no target");
 /// ```
-pub fn whole(document: &Document) -> Result<(), Flaw> {
+pub fn validate(document: &Document) -> Result<(), Violation> {
     if RESERVED.contains(&document.service.as_str()) {
-        return Err(flaw("service", "name", "is a path of the router's own"));
+        return Err(violation(
+            "service",
+            "name",
+            "is a path of the router's own",
+        ));
     }
     if document.targets.is_empty() {
-        return Err(flaw("service", "", "the service has no target"));
+        return Err(violation("service", "", "the service has no target"));
     }
     let targets = as_u64(document.targets.len());
     if u64::from(document.groups) > targets {
         let reason = format!("is more than the {targets} targets");
-        return Err(flaw("service", "groups", reason));
+        return Err(violation("service", "groups", reason));
     }
     sizes(document, targets)?;
     classes(&document.classes)?;
@@ -66,18 +70,18 @@
 }
 
 /// Checks that a group's record can hold its share of targets and ranges.
-fn sizes(document: &Document, targets: u64) -> Result<(), Flaw> {
+fn sizes(document: &Document, targets: u64) -> Result<(), Violation> {
     let members = targets.div_ceil(u64::from(document.groups).max(1));
     if members > as_u64(group::check::MAX_MEMBERS) {
         let most = group::check::MAX_MEMBERS;
         let reason = format!("leaves {members} targets to a group, more than {most}");
-        return Err(flaw("service", "groups", reason));
+        return Err(violation("service", "groups", reason));
     }
     let ranges = members * u64::from(document.ranges);
     if ranges > as_u64(group::check::MAX_RANGES) {
         let most = group::check::MAX_RANGES;
         let reason = format!("leaves {ranges} ranges to a group, more than {most}");
-        return Err(flaw("service", "ranges", reason));
+        return Err(violation("service", "ranges", reason));
     }
     Ok(())
 }
@@ -86,9 +90,9 @@
     u64::try_from(count).unwrap_or(u64::MAX)
 }
 
-fn classes(classes: &IndexMap<String, Class>) -> Result<(), Flaw> {
+fn classes(classes: &IndexMap<String, Class>) -> Result<(), Violation> {
     if classes.is_empty() {
-        return Err(flaw("service", "", "the service has no class"));
+        return Err(violation("service", "", "the service has no class"));
     }
     let mut sum = 0;
     for (index, (name, class)) in classes.iter().enumerate() {
@@ -96,15 +100,15 @@
         sum += class.share;
         if sum > 100 {
             let reason = format!("the shares up to here are {sum} %, more than 100");
-            return Err(flaw(&section, "share", reason));
+            return Err(violation(&section, "share", reason));
         }
         if class.queue > class.deadline {
-            return Err(flaw(&section, "queue_ms", "is more than deadline_ms"));
+            return Err(violation(&section, "queue_ms", "is more than deadline_ms"));
         }
         let mut earlier = classes.iter().take(index);
         if let Some((taker, _)) = earlier.find(|(_, earlier)| covers(earlier, class)) {
             let reason = format!("never takes a request: [class {taker}] takes them before");
-            return Err(flaw(&section, "", reason));
+            return Err(violation(&section, "", reason));
         }
     }
     Ok(())
@@ -117,7 +121,7 @@
     (methods.is_empty() || every) && second.path.starts_with(&first.path)
 }
 
-fn addresses(targets: &IndexMap<String, Target>) -> Result<(), Flaw> {
+fn addresses(targets: &IndexMap<String, Target>) -> Result<(), Violation> {
     let mut seen: IndexMap<&str, &str> = IndexMap::new();
     for (name, target) in targets {
         let section = format!("target {name}");
@@ -126,11 +130,11 @@
             .parse()
             .map(|address: SocketAddr| address.port());
         if port == Ok(0) {
-            return Err(flaw(&section, "address", "port 0 cannot be called"));
+            return Err(violation(&section, "address", "port 0 cannot be called"));
         }
         if let Some(other) = seen.insert(&target.address, name) {
             let reason = format!("`{}` is the address of [target {other}]", target.address);
-            return Err(flaw(&section, "address", reason));
+            return Err(violation(&section, "address", reason));
         }
     }
     Ok(())
@@ -144,7 +148,7 @@
 ///
 /// # Errors
 ///
-/// Returns the first [`Flaw`], in the terms of the later document.
+/// Returns the first [`Violation`], in the terms of the later document.
 ///
 /// # Example
 ///
@@ -156,15 +160,15 @@
 /// let base = text::parse("a.ini", written).unwrap();
 /// let mut next = base.clone();
 /// next.targets["t"].address = "127.0.0.1:2".to_owned();
-/// assert_eq!(check::change(&base, &next).unwrap_err().key, "address");
+/// assert_eq!(check::validate_change(&base, &next).unwrap_err().key, "address");
 /// ```
-pub fn change(base: &Document, next: &Document) -> Result<(), Flaw> {
+pub fn validate_change(base: &Document, next: &Document) -> Result<(), Violation> {
     if next.service != base.service {
         let reason = format!("cannot change from `{}`", base.service);
-        return Err(flaw("service", "name", reason));
+        return Err(violation("service", "name", reason));
     }
     if next.ownership != base.ownership {
-        return Err(flaw(
+        return Err(violation(
             "service",
             "ownership",
             "cannot change; make another service",
@@ -172,14 +176,14 @@
     }
     if next.groups != base.groups {
         let reason = format!("cannot change from {}; make another service", base.groups);
-        return Err(flaw("service", "groups", reason));
+        return Err(violation("service", "groups", reason));
     }
     base.targets
         .iter()
         .try_for_each(|(name, target)| target_change(name, target, next.targets.get(name)))
 }
 
-fn target_change(name: &str, base: &Target, next: Option<&Target>) -> Result<(), Flaw> {
+fn target_change(name: &str, base: &Target, next: Option<&Target>) -> Result<(), Violation> {
     let section = format!("target {name}");
     let Some(next) = next else {
         if base.state == TargetState::Leaving {
@@ -187,7 +191,7 @@
         }
         let reason =
             format!("[{section}] is gone, but it was not leaving: put `state = leaving` first");
-        return Err(flaw("service", "", reason));
+        return Err(violation("service", "", reason));
     };
     let fixed = [
         ("address", next.address == base.address),
@@ -197,7 +201,7 @@
     let changed = fixed.into_iter().find(|(_, same)| !same);
     match changed {
         None => Ok(()),
-        Some((key, _)) => Err(flaw(
+        Some((key, _)) => Err(violation(
             &section,
             key,
             "cannot change; give the server another name",
--- a/src/document/put.rs
+++ b/src/document/put.rs
@@ -34,7 +34,7 @@
     /// The write can't have taken effect.
     WriteFailed,
     /// The write may have taken effect.
-    WriteDoubt,
+    WriteUncertain,
 }
 
 /// What to do next.
@@ -82,7 +82,7 @@
 
 /// One put under way.
 #[derive(Clone, Debug)]
-pub struct Process {
+pub struct Operation {
     file: String,
     text: String,
     document: Document,
@@ -91,7 +91,7 @@
     sent: bool,
 }
 
-impl Process {
+impl Operation {
     /// Starts a put of `text`, read from `file`; `stamp` says on which version.
     ///
     /// # Errors
@@ -102,22 +102,22 @@
     ///
     /// ```
     /// use bramleypier::document::{
-    ///     put::{Event, Outcome, Process, Step},
+    ///     put::{Event, Outcome, Operation, Step},
     ///     stored::Stamp,
     /// };
     /// use bramleypier::platform::Put;
     ///
     /// let text = "[service]\nname = a\n[class all]\nidempotent = true\nshare = 100\n\
     ///     [target t]\naddress = 127.0.0.1:1\ndomain = d\n";
-    /// let (mut put, step) = Process::start("a.ini", text, Stamp::new("w1", 0, 5, "ana")).unwrap();
+    /// let (mut put, step) = Operation::start("a.ini", text, Stamp::new("w1", 0, 5, "ana")).unwrap();
     /// assert_eq!(step, Step::Read);
-    /// assert!(matches!(put.on(Event::Read(None)), Step::Write(0, _)));
-    /// let step = put.on(Event::Written(Put::Won(7)));
+    /// assert!(matches!(put.handle(Event::Read(None)), Step::Write(0, _)));
+    /// let step = put.handle(Event::Written(Put::Won(7)));
     /// assert_eq!(step, Step::Done(Outcome::Accepted(7)));
     /// ```
     pub fn start(file: &str, text: &str, stamp: Stamp) -> Result<(Self, Step), Fault> {
         let document = text::parse(file, text)?;
-        let process = Self {
+        let operation = Self {
             file: file.to_owned(),
             text: text.to_owned(),
             document,
@@ -125,7 +125,7 @@
             calls: 1,
             sent: false,
         };
-        Ok((process, Step::Read))
+        Ok((operation, Step::Read))
     }
 
     /// Returns the key in the platform's service that is read and written.
@@ -133,11 +133,11 @@
     /// # Example
     ///
     /// ```
-    /// use bramleypier::document::{put::Process, stored::Stamp};
+    /// use bramleypier::document::{put::Operation, stored::Stamp};
     ///
     /// let text = "[service]\nname = a\n[class all]\nidempotent = true\nshare = 100\n\
     ///     [target t]\naddress = 127.0.0.1:1\ndomain = d\n";
-    /// let (put, _) = Process::start("a.ini", text, Stamp::new("w1", 0, 5, "ana")).unwrap();
+    /// let (put, _) = Operation::start("a.ini", text, Stamp::new("w1", 0, 5, "ana")).unwrap();
     /// assert_eq!(put.key(), "bramleypier/documents/a");
     /// ```
     pub fn key(&self) -> String {
@@ -148,14 +148,14 @@
     ///
     /// # Example
     ///
-    /// See [`Process::start`].
-    pub fn on(&mut self, event: Event) -> Step {
+    /// See [`Operation::start`].
+    pub fn handle(&mut self, event: Event) -> Step {
         let step = match event {
             Event::Read(value) => self.read(value),
             Event::Written(Put::Won(version)) => Step::Done(Outcome::Accepted(version)),
             // An earlier write of this put may be what stands there now, so the value decides.
             Event::Written(Put::Lost(_)) | Event::ReadFailed | Event::WriteFailed => Step::Read,
-            Event::WriteDoubt => {
+            Event::WriteUncertain => {
                 self.sent = true;
                 Step::Read
             }
@@ -201,7 +201,7 @@
     }
 
     fn write(&self, version: Version, stored: &Stored) -> Step {
-        let plain = stored::plain(&self.text);
+        let plain = stored::strip_metadata(&self.text);
         if !self.sent && version > 0 && plain == stored.text {
             return Step::Done(Outcome::Unchanged(version));
         }
@@ -227,7 +227,7 @@
             version,
             operator: last.map(|stamp| stamp.operator.clone()).unwrap_or_default(),
             at_ms: last.map_or(0, |stamp| stamp.at_ms),
-            difference: difference(&stored.text, &stored::plain(&self.text)),
+            difference: difference(&stored.text, &stored::strip_metadata(&self.text)),
         }
     }
 }
--- a/src/document/stored.rs
+++ b/src/document/stored.rs
@@ -143,7 +143,7 @@
         let mut stamps: Vec<Stamp> = self.stamps.iter().skip(skip).cloned().collect();
         stamps.push(stamp);
         Self {
-            text: plain(text),
+            text: strip_metadata(text),
             stamps,
         }
     }
@@ -196,10 +196,10 @@
 /// ```
 /// use bramleypier::document::stored;
 ///
-/// let text = stored::mark("[service]\n", 7);
-/// assert_eq!(stored::base(&text), Some(7));
+/// let text = stored::with_version("[service]\n", 7);
+/// assert_eq!(stored::read_version(&text), Some(7));
 /// ```
-pub fn mark(text: &str, version: Version) -> String {
+pub fn with_version(text: &str, version: Version) -> String {
     format!("{BASE}{version}\n{text}")
 }
 
@@ -210,9 +210,9 @@
 /// ```
 /// use bramleypier::document::stored;
 ///
-/// assert_eq!(stored::base("[service]\n"), None);
+/// assert_eq!(stored::read_version("[service]\n"), None);
 /// ```
-pub fn base(text: &str) -> Option<Version> {
+pub fn read_version(text: &str) -> Option<Version> {
     let first = text.lines().next()?;
     first.strip_prefix(BASE)?.trim().parse().ok()
 }
@@ -225,11 +225,11 @@
 /// use bramleypier::document::stored;
 ///
 /// let text = "; version 7\n[service]\n; put w1 base=0 at=5 by=ana\n";
-/// assert_eq!(stored::plain(text), "[service]\n");
+/// assert_eq!(stored::strip_metadata(text), "[service]\n");
 /// ```
-pub fn plain(text: &str) -> String {
+pub fn strip_metadata(text: &str) -> String {
     let mut text = text;
-    while base(text).is_some() {
+    while read_version(text).is_some() {
         text = text.split_once('\n').map_or("", |(_, rest)| rest);
     }
     while let Some((rest, _)) = last_stamp(text) {
--- a/src/document/text.rs
+++ b/src/document/text.rs
@@ -13,7 +13,7 @@
 };
 
 /// The longest text of a document, in bytes; the platform's service holds a megabyte in one value.
-pub const TEXT_MAX: usize = 900_000;
+pub const MAX_TEXT_BYTES: usize = 900_000;
 
 const SERVICE: &str = "service";
 const CLASS: &str = "class *";
@@ -210,23 +210,23 @@
 /// ```
 pub fn parse_change(file: &str, text: &str, base: &Document) -> Result<Document, Fault> {
     let (document, checked) = read(file, text)?;
-    match check::change(base, &document) {
+    match check::validate_change(base, &document) {
         Ok(()) => Ok(document),
         Err(flaw) => Err(checked.fault_at(&flaw.section, flaw.key, &flaw.reason)),
     }
 }
 
 fn read(file: &str, text: &str) -> Result<(Document, Checked), Fault> {
-    if text.len() > TEXT_MAX {
+    if text.len() > MAX_TEXT_BYTES {
         return Err(Fault {
             file: file.to_owned(),
-            reason: format!("has {} bytes, more than {TEXT_MAX}", text.len()),
+            reason: format!("has {} bytes, more than {MAX_TEXT_BYTES}", text.len()),
             ..Fault::default()
         });
     }
     let checked = fields::check(file, text, FIELDS)?;
     let document = build(&checked)?;
-    match check::whole(&document) {
+    match check::validate(&document) {
         Ok(()) => Ok((document, checked)),
         Err(flaw) => Err(checked.fault_at(&flaw.section, flaw.key, &flaw.reason)),
     }
--- a/src/vm/admin.rs
+++ b/src/vm/admin.rs
@@ -7,7 +7,7 @@
 
 use super::{Parts, life::Shown, mail, news, owners, wire};
 use crate::{
-    admin::{self, Question, Status},
+    admin::{self, Query, Status},
     entry::{orders, reply},
     id::VmId,
     peer::{self, Batch, Observer as _},
@@ -104,9 +104,9 @@
         let Ok(bytes) = body::read(body, CALL_LIMIT).await else {
             return bad("cut short or too long\n");
         };
-        match Question::read(method, path, &bytes) {
-            Ok(Question::Status) => json(&self.status().await),
-            Ok(Question::Timeline(filter)) => json(&self.parts.recorder.part(&filter)),
+        match Query::read(method, path, &bytes) {
+            Ok(Query::Status) => json(&self.status().await),
+            Ok(Query::Timeline(filter)) => json(&self.parts.recorder.part(&filter)),
             Err(error) => {
                 let mut response = Response::new(Body::from(format!("{error}\n")));
                 *response.status_mut() = StatusCode::NOT_FOUND;
@@ -163,7 +163,7 @@
 where
     T: Serialize,
 {
-    match admin::write(value) {
+    match admin::to_json(value) {
         Ok(bytes) => Response::new(Body::from(bytes)),
         Err(_) => reply::plain(StatusCode::INTERNAL_SERVER_ERROR, "can't be written\n"),
     }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -12,7 +12,7 @@
 };
 
 use bramleypier::{
-    admin::{self, Question, Status},
+    admin::{self, Query, Status},
     cli::{self, Exit, Output},
     timeline::{Duty, Event, Filter, Kind, Ring},
     util::{body::Body, server},
@@ -84,14 +84,14 @@
     let mut ring = Ring::new("vm-1#1".to_owned(), 9);
     let moved = Event::new(Duty::Grantor, "move", Kind::RangeMoved).target("t1");
     ring.record(Duration::from_secs(1), moved);
-    let bytes = match Question::read(&method, &path, &body.unwrap_or_default()) {
-        Ok(Question::Status) => admin::write(&Status {
+    let bytes = match Query::read(&method, &path, &body.unwrap_or_default()) {
+        Ok(Query::Status) => admin::to_json(&Status {
             vm: "vm-1#1".to_owned(),
             state: "serving".to_owned(),
             documents: IndexMap::from([("a".to_owned(), 1)]),
             ..Status::default()
         }),
-        Ok(Question::Timeline(filter)) => admin::write(&ring.part(&filter)),
+        Ok(Query::Timeline(filter)) => admin::to_json(&ring.part(&filter)),
         Err(_) => return Response::builder().status(404).body(Body::empty()).unwrap(),
     };
     Response::new(Body::from(bytes.unwrap()))
@@ -362,11 +362,11 @@
         since: 7,
         ..Filter::default()
     };
-    let body = admin::write(&filter).unwrap();
-    let read = Question::read(&Method::POST, admin::TIMELINE_PATH, &body);
-    assert_eq!(read, Ok(Question::Timeline(filter)));
-    let empty = Question::read(&Method::POST, admin::TIMELINE_PATH, b"{}");
-    assert_eq!(empty, Ok(Question::Timeline(Filter::default())));
-    assert!(Question::read(&Method::POST, admin::TIMELINE_PATH, b"{\"x\":1}").is_err());
-    assert!(Question::read(&Method::GET, "/admin/else", b"").is_err());
+    let body = admin::to_json(&filter).unwrap();
+    let read = Query::read(&Method::POST, admin::TIMELINE_PATH, &body);
+    assert_eq!(read, Ok(Query::Timeline(filter)));
+    let empty = Query::read(&Method::POST, admin::TIMELINE_PATH, b"{}");
+    assert_eq!(empty, Ok(Query::Timeline(Filter::default())));
+    assert!(Query::read(&Method::POST, admin::TIMELINE_PATH, b"{\"x\":1}").is_err());
+    assert!(Query::read(&Method::GET, "/admin/else", b"").is_err());
 }
--- a/tests/document.rs
+++ b/tests/document.rs
@@ -183,7 +183,7 @@
             expected
         );
     }
-    let long = " ".repeat(text::TEXT_MAX + 1);
+    let long = " ".repeat(text::MAX_TEXT_BYTES + 1);
     let fault = text::parse("a.ini", &long).unwrap_err().to_string();
     assert_eq!(fault, "a.ini: has 900001 bytes, more than 900000");
 }
@@ -206,7 +206,7 @@
                 )
             })
             .collect();
-        check::whole(&document).map_err(|flaw| (flaw.key, flaw.reason))
+        check::validate(&document).map_err(|flaw| (flaw.key, flaw.reason))
     };
     assert_eq!(many(256, 16), Ok(()));
     let reason = "leaves 257 targets to a group, more than 256".to_owned();
--- a/tests/put.rs
+++ b/tests/put.rs
@@ -4,7 +4,7 @@
 
 use bramleypier::{
     document::{
-        put::{Event, Outcome, Process, Step},
+        put::{Event, Operation, Outcome, Step},
         stored::{Stamp, Stored},
     },
     id::Version,
@@ -86,7 +86,7 @@
             Step::Read if self.version == 0 => Event::Read(None),
             Step::Read => Event::Read(Some((self.version, self.value.clone()))),
             Step::Write(..) if fault == Fault::Unsent => Event::WriteFailed,
-            Step::Write(..) if fault == Fault::Doubt => Event::WriteDoubt,
+            Step::Write(..) if fault == Fault::Doubt => Event::WriteUncertain,
             Step::Write(base, value) => {
                 let put = self.put(*base, value);
                 if fault == Fault::Overtaken {
@@ -95,7 +95,7 @@
                 if fault == Fault::None {
                     return Event::Written(put);
                 }
-                Event::WriteDoubt
+                Event::WriteUncertain
             }
             Step::Done(_) => unreachable!("it is done"),
         }
@@ -104,7 +104,7 @@
     /// Puts a text while these faults befall the calls in turn, and none the later ones.
     fn run(&mut self, text: &str, writer: &str, base: Version, faults: &[Fault]) -> Outcome {
         let stamp = Stamp::new(writer, base, 5, "ana");
-        let (mut process, mut step) = match Process::start("a.ini", text, stamp) {
+        let (mut operation, mut step) = match Operation::start("a.ini", text, stamp) {
             Ok(started) => started,
             Err(fault) => return Outcome::Refused(fault),
         };
@@ -114,7 +114,7 @@
                 return outcome;
             }
             let fault = faults.next().unwrap_or(Fault::None);
-            step = process.on(self.call(&step, fault));
+            step = operation.handle(self.call(&step, fault));
         }
     }
 }
@@ -186,11 +186,11 @@
 fn a_value_without_stamps_leaves_a_lost_answer_unknown() {
     let mut store = Store::default();
     let stamp = Stamp::new("w1", 0, 5, "ana");
-    let (mut process, _) = Process::start("a.ini", SOUND, stamp).unwrap();
-    process.on(Event::Read(None));
-    assert_eq!(process.on(Event::WriteDoubt), Step::Read);
+    let (mut operation, _) = Operation::start("a.ini", SOUND, stamp).unwrap();
+    operation.handle(Event::Read(None));
+    assert_eq!(operation.handle(Event::WriteUncertain), Step::Read);
     store.put(0, SOUND);
-    let step = process.on(store.call(&Step::Read, Fault::None));
+    let step = operation.handle(store.call(&Step::Read, Fault::None));
     assert_eq!(step, Step::Done(Outcome::Unknown));
 }
 
