--- a/src/cli/document.rs
+++ b/src/cli/document.rs
@@ -143,7 +143,7 @@
             *cause = Some(error.to_string());
             match error {
                 platform::Error::Failed(..) => Event::WriteFailed,
-                platform::Error::Doubt(..) => Event::WriteUncertain,
+                platform::Error::OutcomeUnknown(..) => Event::WriteUncertain,
             }
         }
     }
--- a/src/document/put.rs
+++ b/src/document/put.rs
@@ -13,7 +13,7 @@
         text,
     },
     id::Version,
-    platform::Put,
+    platform::WriteOutcome,
     util::ini::Fault,
 };
 
@@ -30,7 +30,7 @@
     /// The read got no answer.
     ReadFailed,
     /// The write was answered.
-    Written(Put),
+    Written(WriteOutcome),
     /// The write can't have taken effect.
     WriteFailed,
     /// The write may have taken effect.
@@ -105,14 +105,14 @@
     ///     put::{Event, Outcome, Operation, Step},
     ///     stored::Stamp,
     /// };
-    /// use bramleypier::platform::Put;
+    /// use bramleypier::platform::WriteOutcome;
     ///
     /// let text = "[service]\nname = a\n[class all]\nidempotent = true\nshare = 100\n\
     ///     [target t]\naddress = 127.0.0.1:1\ndomain = d\n";
     /// let (mut put, step) = Operation::start("a.ini", text, Stamp::new("w1", 0, 5, "ana")).unwrap();
     /// assert_eq!(step, Step::Read);
     /// assert!(matches!(put.handle(Event::Read(None)), Step::Write(0, _)));
-    /// let step = put.handle(Event::Written(Put::Won(7)));
+    /// let step = put.handle(Event::Written(WriteOutcome::Committed(7)));
     /// assert_eq!(step, Step::Done(Outcome::Accepted(7)));
     /// ```
     pub fn start(file: &str, text: &str, stamp: Stamp) -> Result<(Self, Step), Fault> {
@@ -152,9 +152,13 @@
     pub fn handle(&mut self, event: Event) -> Step {
         let step = match event {
             Event::Read(value) => self.read(value),
-            Event::Written(Put::Won(version)) => Step::Done(Outcome::Accepted(version)),
+            Event::Written(WriteOutcome::Committed(version)) => {
+                Step::Done(Outcome::Accepted(version))
+            }
             // An earlier write of this put may be what stands there now, so the value decides.
-            Event::Written(Put::Lost(_)) | Event::ReadFailed | Event::WriteFailed => Step::Read,
+            Event::Written(WriteOutcome::Conflict(_)) | Event::ReadFailed | Event::WriteFailed => {
+                Step::Read
+            }
             Event::WriteUncertain => {
                 self.sent = true;
                 Step::Read
--- a/src/entry/forward.rs
+++ b/src/entry/forward.rs
@@ -23,7 +23,7 @@
         Admitted, Answer, Attempt, Outcome, Received, Started, Step, Verdict, answer,
         answer::Refusal,
     },
-    target::Work,
+    target::TargetRequest,
     util::{
         body::{self, Body},
         client,
@@ -169,7 +169,7 @@
         let verdict = Verdict::unknown(504, Step::Deadline, &permit.target, "the deadline passed");
         return AttemptResult::Lost(verdict, permit);
     };
-    let work = Work {
+    let work = TargetRequest {
         method: job.head.method.clone(),
         uri: job.call.uri.clone(),
         headers: job.head.headers.clone(),
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -21,12 +21,12 @@
         starter::{self, Decision, End, UnknownReason},
     },
     peer,
-    platform::{self, Put},
+    platform::{self, WriteOutcome},
     request::{self, Attempt, Outcome, Received, Step, Verdict, call},
     spread::{Id, Item, Kind},
     timeline::{self, Duty, stamp},
     util::body::Body,
-    vm::{Parts, gone::Gone, mail, news, news::Fleet, ticks, wire},
+    vm::{Parts, fleet, fleet::Fleet, gone::RemovalDetector, outbound, ticks, wire},
 };
 
 /// The interval of [`Message::Tick`].
@@ -101,7 +101,7 @@
         Self {
             ledger: Ledger::new(&parts.me.vm, parts.memory),
             starter: Starter::new(&parts.me.vm),
-            detector: Gone::new(parts.timing.list_lag),
+            detector: RemovalDetector::new(parts.timing.list_lag),
             parts,
             fleet: None,
             gone: IndexSet::new(),
@@ -231,13 +231,13 @@
             Ok(views) if version > self.version => {
                 self.version = version;
                 self.views = views;
-                let id = Id::new(Kind::View, news::VIEWS);
+                let id = Id::new(Kind::View, fleet::VIEWS);
                 let item = Item::new(id, version, bytes.to_vec());
                 let _ = self
                     .parts
                     .tasks
-                    .news
-                    .unbounded_send(news::Message::Put(item));
+                    .fleet
+                    .unbounded_send(fleet::Message::Put(item));
             }
             Ok(_) => {}
             Err(cause) => {
@@ -303,8 +303,8 @@
             let _ = self.parts.tasks.orders.unbounded_send(message);
             return;
         }
-        let message = mail::Message::Send(to, wire::Message::Order(message));
-        let _ = self.parts.tasks.mail.unbounded_send(message);
+        let message = outbound::Message::Send(to, wire::Message::Order(message));
+        let _ = self.parts.tasks.outbound.unbounded_send(message);
     }
 
     fn read(&self) {
@@ -333,7 +333,7 @@
                 .put(platform::ORDERS, base, bytes.clone())
                 .await;
             let message = match put {
-                Ok(Put::Won(version)) => Message::Views(version, bytes),
+                Ok(WriteOutcome::Committed(version)) => Message::Views(version, bytes),
                 _ => match parts.platform.get(platform::ORDERS).await {
                     Ok(Some((version, bytes))) => Message::Views(version, bytes),
                     _ => return,
--- a/src/entry/router/completion.rs
+++ b/src/entry/router/completion.rs
@@ -13,7 +13,7 @@
     quarantine::{self, End, Incarnation},
     spread::{Id, Item, Kind},
     timeline::{self, Duty, stamp},
-    vm::news,
+    vm::fleet,
 };
 
 impl Router {
@@ -97,8 +97,8 @@
             let _ = self
                 .parts
                 .tasks
-                .news
-                .unbounded_send(news::Message::Put(item));
+                .fleet
+                .unbounded_send(fleet::Message::Put(item));
         }
     }
 
--- a/src/entry/router/state.rs
+++ b/src/entry/router/state.rs
@@ -12,7 +12,7 @@
     limit::{Pool, admission, concurrency::Slots, pick::Policy},
     request::{Call, Proof, Step, Verdict},
     route::Owner,
-    vm::{notes, owners},
+    vm::{grantor_events, owners},
 };
 
 /// The interval at which the grantors receive the request rates.
@@ -93,7 +93,7 @@
 
     /// Applies a group's record; a target whose boot id has changed has died.
     pub(super) fn on_record(&mut self, group: &GroupId, version: Version, record: Record) {
-        let service = notes::service(group).to_owned();
+        let service = grantor_events::service(group).to_owned();
         for (target, member) in &record.members {
             let name = (service.clone(), target.clone());
             if member.boot.is_empty() {
--- a/src/entry/ticket.rs
+++ b/src/entry/ticket.rs
@@ -20,7 +20,7 @@
     request::{Call, Deadline, Fingerprint, Outcome, Proof, Step, Verdict, answer::Refusal},
     route::Owner,
     util::client,
-    vm::news::Fleet,
+    vm::fleet::Fleet,
 };
 
 /// The time limit for sending the cancellation of an attempt to a target.
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's service, as bramleypier sees it: `docs/CONTRACTS.md`, section "Platform".
 //!
 //! This file is the only one that knows the platform's protocol. A write whose answer was lost is
-//! reported as [`Error::Doubt`]: it may have taken effect, and only reading back can tell.
+//! reported as [`Error::OutcomeUnknown`]: it may have taken effect, and only reading back can tell.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -65,7 +65,7 @@
             display("step={step} peer={peer} outcome=not-run cause={cause:?}")
         }
         /// The call may or may not have taken effect.
-        Doubt(step: &'static str, peer: SocketAddr, cause: String) {
+        OutcomeUnknown(step: &'static str, peer: SocketAddr, cause: String) {
             display("step={step} peer={peer} outcome=unknown cause={cause:?}")
         }
     }
@@ -73,11 +73,13 @@
 
 /// What became of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Put {
+pub enum WriteOutcome {
     /// The value is in place at this version.
-    Won(Version),
+    #[serde(rename = "Won")]
+    Committed(Version),
     /// The value stands at another version (0: there is none); nothing was changed.
-    Lost(Version),
+    #[serde(rename = "Lost")]
+    Conflict(Version),
 }
 
 /// A key and the version of its value.
@@ -255,8 +257,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Doubt`] when the write may have taken effect.
-    pub async fn put(&self, key: &str, base: Version, value: Bytes) -> Result<Put, Error> {
+    /// [`Error::OutcomeUnknown`] when the write may have taken effect.
+    pub async fn put(&self, key: &str, base: Version, value: Bytes) -> Result<WriteOutcome, Error> {
         self.write(
             "put",
             Method::PUT,
@@ -271,8 +273,13 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Doubt`] when the write may have taken effect.
-    pub async fn put_leased(&self, key: &str, lease: &LeaseId, value: Bytes) -> Result<Put, Error> {
+    /// [`Error::OutcomeUnknown`] when the write may have taken effect.
+    pub async fn put_leased(
+        &self,
+        key: &str,
+        lease: &LeaseId,
+        value: Bytes,
+    ) -> Result<WriteOutcome, Error> {
         let headers = [(IF_VERSION, "0".to_owned()), (LEASE, lease.clone())];
         self.write("put", Method::PUT, key, &headers, value).await
     }
@@ -281,8 +288,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Doubt`] when the write may have taken effect.
-    pub async fn delete(&self, key: &str, base: Version) -> Result<Put, Error> {
+    /// [`Error::OutcomeUnknown`] when the write may have taken effect.
+    pub async fn delete(&self, key: &str, base: Version) -> Result<WriteOutcome, Error> {
         let headers = [(IF_VERSION, base.to_string())];
         self.write("delete", Method::DELETE, key, &headers, Bytes::new())
             .await
@@ -354,7 +361,7 @@
             return Err(self.unexpected(step, answer.status));
         }
         serde_json::from_slice(&answer.body)
-            .map_err(|cause| Error::Doubt(step, self.address, cause.to_string()))
+            .map_err(|cause| Error::OutcomeUnknown(step, self.address, cause.to_string()))
     }
 
     async fn write(
@@ -364,7 +371,7 @@
         key: &str,
         headers: &[(HeaderName, String)],
         value: Bytes,
-    ) -> Result<Put, Error> {
+    ) -> Result<WriteOutcome, Error> {
         let answer = self
             .call(
                 step,
@@ -375,10 +382,14 @@
             )
             .await?;
         match answer.status {
-            StatusCode::OK => Ok(Put::Won(answer.version)),
-            StatusCode::PRECONDITION_FAILED => Ok(Put::Lost(answer.version)),
+            StatusCode::OK => Ok(WriteOutcome::Committed(answer.version)),
+            StatusCode::PRECONDITION_FAILED => Ok(WriteOutcome::Conflict(answer.version)),
             // An error of the service's own: it doesn't say whether the write took effect.
-            status => Err(Error::Doubt(step, self.address, format!("status {status}"))),
+            status => Err(Error::OutcomeUnknown(
+                step,
+                self.address,
+                format!("status {status}"),
+            )),
         }
     }
 
@@ -396,7 +407,7 @@
         let result = self.exchange(step, method, path, headers, value).await;
         match &result {
             Ok(_) => {}
-            Err(Error::Doubt(..)) if is_write => self.count(&metrics::PLATFORM_DOUBT),
+            Err(Error::OutcomeUnknown(..)) if is_write => self.count(&metrics::PLATFORM_DOUBT),
             Err(_) => self.count(&metrics::PLATFORM_FAILED),
         }
         result
@@ -442,7 +453,7 @@
             .timeout(CALL_TIMEOUT, body::read(response.into_body(), ANSWER_LIMIT))
             .await
             .unwrap_or_else(|_| Err("timed out".into()))
-            .map_err(|cause| Error::Doubt(step, self.address, cause.to_string()))?;
+            .map_err(|cause| Error::OutcomeUnknown(step, self.address, cause.to_string()))?;
         Ok(Answer {
             status,
             version,
@@ -454,7 +465,7 @@
         if cause.unsent() {
             Error::Failed(step, self.address, cause.to_string())
         } else {
-            Error::Doubt(step, self.address, cause.to_string())
+            Error::OutcomeUnknown(step, self.address, cause.to_string())
         }
     }
 
--- a/src/target.rs
+++ b/src/target.rs
@@ -141,7 +141,7 @@
 
 /// One attempt of a request, as a target gets it.
 #[derive(Clone, Debug)]
-pub struct Work {
+pub struct TargetRequest {
     /// The caller's method.
     pub method: Method,
     /// The caller's path and query.
@@ -187,7 +187,7 @@
     pub async fn send(
         &self,
         peer: SocketAddr,
-        work: &Work,
+        work: &TargetRequest,
         body: Body,
     ) -> Result<Response<Incoming>, client::Error> {
         let mut request = Request::new(body);
@@ -213,7 +213,7 @@
 }
 
 /// Returns the caller's headers without those of the connection, with ours.
-fn headers(work: &Work) -> HeaderMap {
+fn headers(work: &TargetRequest) -> HeaderMap {
     let mut headers = work.headers.clone();
     drop_hop_headers(&mut headers);
     // A caller's own epoch would be believed by the target.
--- a/src/vm/admin.rs
+++ b/src/vm/admin.rs
@@ -5,7 +5,7 @@
 use hyper::{Request, Response, body::Incoming};
 use serde::Serialize;
 
-use super::{Parts, life::Shown, mail, news, owners, wire};
+use super::{Parts, fleet, life::Shown, outbound, owners, wire};
 use crate::{
     admin::{self, Query, Status},
     entry::{orders, reply},
@@ -47,7 +47,7 @@
         }
         let mut response = match (&head.method, head.uri.path()) {
             (&Method::POST, peer::BATCH_PATH) => self.batch(body).await,
-            (&Method::POST, news::GOSSIP_PATH) => self.gossip(body).await,
+            (&Method::POST, fleet::GOSSIP_PATH) => self.gossip(body).await,
             (method, path) => self.question(method, path, body).await,
         };
         let stamp = HeaderValue::from(recorder.stamp());
@@ -62,8 +62,8 @@
         let Ok(batch) = peer::decode::<Batch<wire::Message>>(&bytes) else {
             return bad("not a batch\n");
         };
-        let seen = mail::Message::Seen(batch.from.clone(), batch.address);
-        let _ = self.parts.tasks.mail.unbounded_send(seen);
+        let seen = outbound::Message::Seen(batch.from.clone(), batch.address);
+        let _ = self.parts.tasks.outbound.unbounded_send(seen);
         for message in batch.messages {
             self.deliver(&batch.from, message);
         }
@@ -92,8 +92,8 @@
             return bad("not a probe or news\n");
         };
         let (sender, answer) = oneshot::channel();
-        let message = news::Message::Asked(envelope, sender);
-        let _ = self.parts.tasks.news.unbounded_send(message);
+        let message = fleet::Message::Asked(envelope, sender);
+        let _ = self.parts.tasks.fleet.unbounded_send(message);
         match answer.await.map(|answer| peer::encode(&answer)) {
             Ok(Ok(bytes)) => Response::new(Body::from(bytes)),
             _ => reply::plain(StatusCode::SERVICE_UNAVAILABLE, "no answer\n"),
@@ -116,32 +116,32 @@
     }
 
     async fn status(&self) -> Status {
-        let (sender, news) = oneshot::channel();
+        let (sender, fleet) = oneshot::channel();
         let _ = self
             .parts
             .tasks
-            .news
-            .unbounded_send(news::Message::Status(sender));
+            .fleet
+            .unbounded_send(fleet::Message::Status(sender));
         let (sender, owners) = oneshot::channel();
         let _ = self
             .parts
             .tasks
             .owners
             .unbounded_send(owners::Message::Status(sender));
-        let news = news.await.unwrap_or_default();
+        let fleet = fleet.await.unwrap_or_default();
         let owners = owners.await.unwrap_or_default();
         Status {
             vm: self.parts.me.vm.clone(),
             domain: self.parts.me.domain.clone(),
             state: self.life.name().to_owned(),
-            platform: news.is_reached.unwrap_or(true),
-            peers: news.members.len() as u64,
-            documents: news.documents,
-            duties: duties(news.is_watcher, &owners),
+            platform: fleet.is_reached.unwrap_or(true),
+            peers: fleet.members.len() as u64,
+            documents: fleet.documents,
+            duties: duties(fleet.is_watcher, &owners),
             active: self.callers.open() as u64,
             measures: self.parts.recorder.measures(),
             totals: self.parts.recorder.metrics().totals(),
-            members: news.members,
+            members: fleet.members,
             groups: owners.groups,
         }
     }
--- a/src/vm/news/items.rs
+++ b/src/vm/fleet/items.rs
@@ -4,7 +4,7 @@
 
 use hyper::body::Bytes;
 
-use super::{News, VIEWS};
+use super::{FleetTask, VIEWS};
 use crate::{
     document::{self, Document, stored::Stored},
     entry::{orders, ticket},
@@ -21,7 +21,7 @@
 /// How long a handover is kept; the group's record carries it long before, but for an outage.
 const HANDOVER_KEPT: Duration = Duration::from_hours(24);
 
-impl News {
+impl FleetTask {
     pub(super) fn fact(&mut self, fact: &Handover) {
         let Ok(bytes) = peer::encode(fact) else {
             return;
--- a/src/vm/news/mod.rs
+++ b/src/vm/fleet/mod.rs
@@ -17,7 +17,7 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-use super::{Parts, Tasks, mail, owners, ticks};
+use super::{Parts, Tasks, outbound, owners, ticks};
 use crate::{
     entry::{orders, ticket},
     gossip::{CallId, Effect, Envelope, Event, Gossip},
@@ -74,7 +74,7 @@
 /// Asks whether this process knows what is in force.
 pub async fn is_joined(tasks: &Tasks) -> bool {
     let (sender, answer) = oneshot::channel();
-    let _ = tasks.news.unbounded_send(Message::Joined(sender));
+    let _ = tasks.fleet.unbounded_send(Message::Joined(sender));
     answer.await.unwrap_or(false)
 }
 
@@ -109,7 +109,7 @@
 
 /// The task's state.
 #[derive(Debug)]
-pub struct News {
+pub struct FleetTask {
     parts: Parts,
     client: Client,
     gossip: Gossip,
@@ -121,7 +121,7 @@
     has_told: bool,
 }
 
-impl News {
+impl FleetTask {
     /// Creates the task's state.
     pub fn new(parts: Parts, gossip: Gossip, seed: u64) -> Self {
         Self {
@@ -139,7 +139,7 @@
 
     /// Serves messages until nobody can send any more.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
-        ticks::start(&self.parts.clock, &self.parts.tasks.news, TICK, || {
+        ticks::start(&self.parts.clock, &self.parts.tasks.fleet, TICK, || {
             Message::Tick
         });
         while let Some(message) = messages.next().await {
@@ -238,7 +238,7 @@
 
     fn ask(&self, call: CallId, address: &str, envelope: Envelope, within: Duration) {
         let client = self.client.clone();
-        let news = self.parts.tasks.news.clone();
+        let fleet = self.parts.tasks.fleet.clone();
         let recorder = self.parts.recorder.clone();
         let address = address.parse::<SocketAddr>();
         compio::runtime::spawn(async move {
@@ -248,7 +248,7 @@
                     .ok(),
                 Err(_) => None,
             };
-            let _ = news.unbounded_send(Message::Answered(call, answer));
+            let _ = fleet.unbounded_send(Message::Answered(call, answer));
         })
         .detach();
     }
@@ -271,8 +271,8 @@
         let _ = self
             .parts
             .tasks
-            .mail
-            .unbounded_send(mail::Message::Live(fleet.live.clone()));
+            .outbound
+            .unbounded_send(outbound::Message::Live(fleet.live.clone()));
         let _ = self
             .parts
             .tasks
--- a/src/vm/news/service.rs
+++ b/src/vm/fleet/service.rs
@@ -4,7 +4,7 @@
 
 use hyper::body::Bytes;
 
-use super::{Message, News, items};
+use super::{FleetTask, Message, items};
 use crate::{
     entry::{orders, ticket},
     gossip::Event,
@@ -24,7 +24,7 @@
 /// How long a watcher's sign of life counts.
 const WATCH_KEPT: Duration = Duration::from_mins(2);
 
-impl News {
+impl FleetTask {
     pub(super) fn watch(&mut self, event: watcher::Event) {
         for effect in self.watcher.on(self.parts.clock.now(), event) {
             match effect {
@@ -48,7 +48,7 @@
 
     pub(super) fn list(&self, since: Option<Version>) {
         let platform = self.parts.platform.clone();
-        let news = self.parts.tasks.news.clone();
+        let fleet = self.parts.tasks.fleet.clone();
         compio::runtime::spawn(async move {
             let listing = match since {
                 None => platform.list(platform::ROOT).await,
@@ -60,14 +60,14 @@
                 (Err(_), None) => watcher::Event::Failed(watcher::Call::List),
                 (Err(_), Some(_)) => watcher::Event::Failed(watcher::Call::Watch),
             };
-            let _ = news.unbounded_send(Message::Platform(event));
+            let _ = fleet.unbounded_send(Message::Platform(event));
         })
         .detach();
     }
 
     pub(super) fn read(&self, change: watcher::Change) {
         let platform = self.parts.platform.clone();
-        let news = self.parts.tasks.news.clone();
+        let fleet = self.parts.tasks.fleet.clone();
         compio::runtime::spawn(async move {
             let message = match platform.get(&change.key).await {
                 Ok(Some((version, bytes))) => {
@@ -81,7 +81,7 @@
                     Message::Platform(watcher::Event::Failed(asked))
                 }
             };
-            let _ = news.unbounded_send(message);
+            let _ = fleet.unbounded_send(message);
         })
         .detach();
     }
@@ -111,10 +111,10 @@
 
     pub(super) fn read_list(&self) {
         let platform = self.parts.platform.clone();
-        let news = self.parts.tasks.news.clone();
+        let fleet = self.parts.tasks.fleet.clone();
         compio::runtime::spawn(async move {
             let list = platform.vms().await.ok();
-            let _ = news.unbounded_send(Message::Listed(list));
+            let _ = fleet.unbounded_send(Message::Listed(list));
         })
         .detach();
     }
--- a/src/vm/gone.rs
+++ b/src/vm/gone.rs
@@ -20,18 +20,18 @@
 
 /// Judges by the platform's list, and by what is live.
 #[derive(Clone, Debug)]
-pub struct Gone {
+pub struct RemovalDetector {
     lag: Duration,
     /// Since when each VM is known.
     known: IndexMap<VmId, Duration>,
 }
 
-impl Gone {
+impl RemovalDetector {
     /// Creates a judge for a list that lags by no more than `lag`.
     ///
     /// # Example
     ///
-    /// See [`Gone::of`].
+    /// See [`RemovalDetector::detect`].
     pub fn new(lag: Duration) -> Self {
         Self {
             lag,
@@ -46,15 +46,15 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::vm::gone::Gone;
+    /// use bramleypier::vm::gone::RemovalDetector;
     ///
-    /// let mut gone = Gone::new(Duration::from_secs(60));
+    /// let mut gone = RemovalDetector::new(Duration::from_secs(60));
     /// let named = ["vm-1#1".to_owned()].into();
     /// // Not listed yet, or no longer? It is too early to tell.
-    /// assert!(gone.of(Duration::from_secs(1), &named, &[], &[]).is_empty());
-    /// assert_eq!(gone.of(Duration::from_secs(70), &named, &[], &[]), named);
+    /// assert!(gone.detect(Duration::from_secs(1), &named, &[], &[]).is_empty());
+    /// assert_eq!(gone.detect(Duration::from_secs(70), &named, &[], &[]), named);
     /// ```
-    pub fn of(
+    pub fn detect(
         &mut self,
         now: Duration,
         named: &IndexSet<VmId>,
--- a/src/vm/notes.rs
+++ b/src/vm/grantor_events.rs
@@ -30,7 +30,7 @@
 
 /// What has been seen of the targets and ranges of this VM's groups.
 #[derive(Debug)]
-pub struct Notes {
+pub struct GrantorEvents {
     recorder: Recorder,
     chart: Option<Rc<Chart<State, Event>>>,
     duties: IndexMap<GroupId, Machine<duty::State, duty::Event>>,
@@ -48,7 +48,7 @@
     running: f64,
 }
 
-impl Notes {
+impl GrantorEvents {
     /// Creates notes of nothing.
     pub fn new(recorder: Recorder) -> Self {
         Self {
--- a/src/vm/life.rs
+++ b/src/vm/life.rs
@@ -5,7 +5,7 @@
 use futures_channel::oneshot;
 use futures_util::future;
 
-use super::{Parts, news, owners, recorder::Recorder};
+use super::{Parts, fleet, owners, recorder::Recorder};
 use crate::{
     chart::{
         Machine,
@@ -117,7 +117,7 @@
     /// Stops in order: says so, hands duties over, ends what is in flight.
     async fn stop(&mut self, settings: &Settings, parts: &Parts, served: &Served) -> Ending {
         served.health.set(false);
-        let _ = parts.tasks.news.unbounded_send(news::Message::Leave);
+        let _ = parts.tasks.fleet.unbounded_send(fleet::Message::Leave);
         let _ = parts.tasks.owners.unbounded_send(owners::Message::Leave);
         let _ = parts.tasks.orders.unbounded_send(orders::Message::Leave);
         parts.clock.sleep(NOTICE).await;
@@ -130,7 +130,7 @@
             0 => (Event::Ended, Ending::Graceful),
             open => (Event::Expired, Ending::Cut(open)),
         };
-        let _ = parts.tasks.news.unbounded_send(news::Message::Stop);
+        let _ = parts.tasks.fleet.unbounded_send(fleet::Message::Stop);
         parts.clock.sleep(FAREWELL).await;
         self.on(event);
         let stopped = timeline::Event::new(Duty::Process, "stop", Kind::Stopped);
@@ -156,7 +156,7 @@
 /// Waits until this process has learnt what is in force, from the platform or from a peer.
 async fn join(parts: &Parts) {
     let joined = async {
-        while !news::is_joined(&parts.tasks).await {
+        while !fleet::is_joined(&parts.tasks).await {
             parts.clock.sleep(POLL).await;
         }
     };
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Each task owns its state and talks to the others by messages:
 //!
-//! - [`news`] owns the view of the fleet and all that is spread, and watches the platform's service;
-//! - [`mail`] sends to other VMs;
+//! - [`fleet`] owns the view of the fleet and all that is spread, and watches the platform's service;
+//! - [`outbound`] sends to other VMs;
 //! - [`owners`] owns the grantors of this VM;
 //! - [`crate::entry::router`] owns routes and limits, and says where a request may go;
 //! - [`crate::entry::orders`] owns what is known of orders;
@@ -11,11 +11,11 @@
 //! - [`life`] is the process's own life cycle.
 
 pub mod admin;
+pub mod fleet;
 pub mod gone;
+pub mod grantor_events;
 pub mod life;
-pub mod mail;
-pub mod news;
-pub mod notes;
+pub mod outbound;
 pub mod owners;
 pub mod recorder;
 pub mod ticks;
@@ -83,10 +83,10 @@
 /// The senders to this process's tasks.
 #[derive(Clone, Debug)]
 pub struct Tasks {
-    /// To [`mail`].
-    pub mail: mpsc::UnboundedSender<mail::Message>,
-    /// To [`news`].
-    pub news: mpsc::UnboundedSender<news::Message>,
+    /// To [`outbound`].
+    pub outbound: mpsc::UnboundedSender<outbound::Message>,
+    /// To [`fleet`].
+    pub fleet: mpsc::UnboundedSender<fleet::Message>,
     /// To [`owners`].
     pub owners: mpsc::UnboundedSender<owners::Message>,
     /// To [`router`].
@@ -97,8 +97,8 @@
 
 /// The receivers of this process's tasks.
 struct Inboxes {
-    mail: mpsc::UnboundedReceiver<mail::Message>,
-    news: mpsc::UnboundedReceiver<news::Message>,
+    outbound: mpsc::UnboundedReceiver<outbound::Message>,
+    fleet: mpsc::UnboundedReceiver<fleet::Message>,
     owners: mpsc::UnboundedReceiver<owners::Message>,
     router: mpsc::UnboundedReceiver<ticket::Message>,
     orders: mpsc::UnboundedReceiver<orders::Message>,
@@ -166,7 +166,10 @@
     let answer = move |request| admin.clone().handle(request);
     compio::runtime::spawn(server::serve(peers, served.peers.clone(), answer)).detach();
     let seeds = settings.seeds.iter().map(SocketAddr::to_string).collect();
-    let _ = parts.tasks.news.unbounded_send(news::Message::Seeds(seeds));
+    let _ = parts
+        .tasks
+        .fleet
+        .unbounded_send(fleet::Message::Seeds(seeds));
     life.listening();
     ready(&vm, caller, bound);
     Ok(life.run(&settings, &parts, &served).await)
@@ -190,21 +193,21 @@
 }
 
 fn channels() -> (Tasks, Inboxes) {
-    let (mail, mail_in) = mpsc::unbounded();
-    let (news, news_in) = mpsc::unbounded();
+    let (outbound, outbound_in) = mpsc::unbounded();
+    let (fleet, fleet_in) = mpsc::unbounded();
     let (owners, owners_in) = mpsc::unbounded();
     let (router, router_in) = mpsc::unbounded();
     let (orders, orders_in) = mpsc::unbounded();
     let tasks = Tasks {
-        mail,
-        news,
+        outbound,
+        fleet,
         owners,
         router,
         orders,
     };
     let inboxes = Inboxes {
-        mail: mail_in,
-        news: news_in,
+        outbound: outbound_in,
+        fleet: fleet_in,
         owners: owners_in,
         router: router_in,
         orders: orders_in,
@@ -217,15 +220,15 @@
     let seed = key::point(&parts.me.vm);
     let timing = parts.timing.membership();
     let gossip = Gossip::new(parts.me.clone(), timing, spread::Limits::default(), seed);
-    let news = news::News::new(parts.clone(), gossip, seed);
+    let fleet = fleet::FleetTask::new(parts.clone(), gossip, seed);
     let owners = owners::Owners::new(parts.clone());
     let router = router::Router::new(parts.clone());
     let orders = orders::OrderTask::new(parts.clone());
-    compio::runtime::spawn(news.run(inboxes.news)).detach();
+    compio::runtime::spawn(fleet.run(inboxes.fleet)).detach();
     compio::runtime::spawn(owners.run(inboxes.owners)).detach();
     compio::runtime::spawn(router.run(inboxes.router)).detach();
     compio::runtime::spawn(orders.run(inboxes.orders)).detach();
-    compio::runtime::spawn(mail::run(parts.clone(), address, inboxes.mail)).detach();
+    compio::runtime::spawn(outbound::run(parts.clone(), address, inboxes.outbound)).detach();
     let sender = target::Sender::new(parts.clock.clone(), TARGET_CONNECTIONS);
     compio::runtime::spawn(flush(parts.clone(), sender.clone())).detach();
     entry::Context {
--- a/src/vm/owners.rs
+++ b/src/vm/owners.rs
@@ -10,11 +10,10 @@
 
 use super::{
     Parts,
-    gone::Gone,
-    mail,
-    news::{self, Fleet},
-    notes::Notes,
-    ticks, wire,
+    fleet::{self, Fleet},
+    gone::RemovalDetector,
+    grantor_events::GrantorEvents,
+    outbound, ticks, wire,
 };
 use crate::{
     balance,
@@ -26,7 +25,7 @@
     handover::Handover,
     id::{GroupId, ServiceId, TargetId, Version, VmId},
     membership, peer,
-    platform::{self, Put},
+    platform::{self, WriteOutcome},
     spread::{Id, Item, Kind},
     target::Control,
 };
@@ -91,9 +90,9 @@
     groups: IndexMap<GroupId, Grantor>,
     documents: IndexMap<ServiceId, Rc<Document>>,
     fleet: Option<Fleet>,
-    gone: Gone,
+    gone: RemovalDetector,
     next_lease: Duration,
-    notes: Notes,
+    notes: GrantorEvents,
     /// The versions that the others were told.
     told: IndexMap<GroupId, Version>,
 }
@@ -103,11 +102,11 @@
     pub fn new(parts: Parts) -> Self {
         Self {
             control: Control::new(parts.clock.clone()),
-            notes: Notes::new(parts.recorder.clone()),
+            notes: GrantorEvents::new(parts.recorder.clone()),
             groups: IndexMap::new(),
             documents: IndexMap::new(),
             fleet: None,
-            gone: Gone::new(parts.timing.list_lag),
+            gone: RemovalDetector::new(parts.timing.list_lag),
             next_lease: Duration::ZERO,
             told: IndexMap::new(),
             parts,
@@ -176,7 +175,7 @@
             .map(|grantor| grantor.vm.clone())
             .collect();
         let live = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.live);
-        let gone = self.gone.of(self.parts.clock.now(), &named, list, live);
+        let gone = self.gone.detect(self.parts.clock.now(), &named, list, live);
         if !gone.is_empty() {
             let vms = gone.into_iter().collect();
             self.feed_all(&Event::VmsGone { vms });
@@ -260,8 +259,8 @@
                 let _ = self
                     .parts
                     .tasks
-                    .mail
-                    .unbounded_send(mail::Message::Send(to, message));
+                    .outbound
+                    .unbounded_send(outbound::Message::Send(to, message));
             }
             Effect::Write {
                 base,
@@ -275,8 +274,8 @@
                 let _ = self
                     .parts
                     .tasks
-                    .news
-                    .unbounded_send(news::Message::Fact(fact));
+                    .fleet
+                    .unbounded_send(fleet::Message::Fact(fact));
             }
             Effect::Note(note) => self.note(group, &note),
         }
@@ -332,7 +331,7 @@
         let bytes = peer::encode(record);
         compio::runtime::spawn(async move {
             let result = match bytes {
-                Ok(bytes) => outcome(&platform.put(&news::record_key(&group), base, bytes).await),
+                Ok(bytes) => outcome(&platform.put(&fleet::record_key(&group), base, bytes).await),
                 Err(_) => Outcome::Conflict(base),
             };
             let event = Event::Written { sequence, result };
@@ -347,7 +346,7 @@
         let owners = self.parts.tasks.owners.clone();
         let group = group.clone();
         compio::runtime::spawn(async move {
-            let value = platform.get(&news::record_key(&group)).await;
+            let value = platform.get(&fleet::record_key(&group)).await;
             let Ok(Some((version, bytes))) = value else {
                 return;
             };
@@ -381,8 +380,8 @@
             let _ = self
                 .parts
                 .tasks
-                .news
-                .unbounded_send(news::Message::Put(item));
+                .fleet
+                .unbounded_send(fleet::Message::Put(item));
         }
         let message = ticket::Message::Record(group.clone(), version, record);
         let _ = self.parts.tasks.router.unbounded_send(message);
@@ -406,8 +405,8 @@
                     let _ = self.parts.tasks.owners.unbounded_send(message);
                 } else {
                     let message = wire::Message::Grantor(group.clone(), message);
-                    let message = mail::Message::Send(to, message);
-                    let _ = self.parts.tasks.mail.unbounded_send(message);
+                    let message = outbound::Message::Send(to, message);
+                    let _ = self.parts.tasks.outbound.unbounded_send(message);
                 }
             }
         }
@@ -456,10 +455,10 @@
     fleet.live.iter().filter(stays).map(candidate).collect()
 }
 
-fn outcome(result: &Result<Put, platform::Error>) -> Outcome {
+fn outcome(result: &Result<WriteOutcome, platform::Error>) -> Outcome {
     match result {
-        Ok(Put::Won(version)) => Outcome::Committed(*version),
-        Ok(Put::Lost(version)) => Outcome::Conflict(*version),
+        Ok(WriteOutcome::Committed(version)) => Outcome::Committed(*version),
+        Ok(WriteOutcome::Conflict(version)) => Outcome::Conflict(*version),
         // Even a write that surely failed is settled by reading back: one way for all.
         Err(_) => Outcome::Unknown,
     }
--- a/standins/tests/contract.rs
+++ b/standins/tests/contract.rs
@@ -5,8 +5,8 @@
 use bramleypier::{
     clock::Clock,
     key,
-    platform::{Error, Kind, Platform, Put, State},
-    target::{Control, Sender, Work},
+    platform::{Error, Kind, Platform, State, WriteOutcome},
+    target::{Control, Sender, TargetRequest},
     util::body::Body,
 };
 use bramleypier_standins::{
@@ -59,22 +59,25 @@
     let client = &service.client;
     assert_eq!(
         client.put("group/a", 0, value("1")).await.unwrap(),
-        Put::Won(1)
+        WriteOutcome::Committed(1)
     );
     assert_eq!(
         client.put("group/a", 0, value("2")).await.unwrap(),
-        Put::Lost(1)
+        WriteOutcome::Conflict(1)
     );
     assert_eq!(
         client.put("group/a", 1, value("2")).await.unwrap(),
-        Put::Won(2)
+        WriteOutcome::Committed(2)
     );
     assert_eq!(service.read("group/a").await.unwrap(), b"2");
     assert_eq!(service.read("group/b").await, None);
-    assert_eq!(client.delete("group/a", 1).await.unwrap(), Put::Lost(2));
+    assert_eq!(
+        client.delete("group/a", 1).await.unwrap(),
+        WriteOutcome::Conflict(2)
+    );
     assert!(matches!(
         client.delete("group/a", 2).await.unwrap(),
-        Put::Won(_)
+        WriteOutcome::Committed(_)
     ));
     assert_eq!(service.read("group/a").await, None);
 }
@@ -88,7 +91,10 @@
     ];
     for key in keys {
         let put = service.client.put(key, 0, value(key)).await;
-        assert!(matches!(put, Ok(Put::Won(_))), "{key}: {put:?}");
+        assert!(
+            matches!(put, Ok(WriteOutcome::Committed(_))),
+            "{key}: {put:?}"
+        );
     }
     for key in keys {
         assert_eq!(
@@ -112,7 +118,7 @@
             .put_leased("session/a", &lease, value("1"))
             .await
             .unwrap(),
-        Put::Won(1)
+        WriteOutcome::Committed(1)
     );
     assert!(client.renew(&lease).await.unwrap());
     let page = client.watch("session/", 1).await.unwrap();
@@ -192,10 +198,10 @@
         let service = service().await;
         service.set_faults(faults).await;
         let result = match service.client.put("k", 0, value("1")).await {
-            Ok(Put::Won(_)) => "won",
-            Ok(Put::Lost(_)) => "lost",
+            Ok(WriteOutcome::Committed(_)) => "won",
+            Ok(WriteOutcome::Conflict(_)) => "lost",
             Err(Error::Failed(..)) => "failed",
-            Err(Error::Doubt(..)) => "doubt",
+            Err(Error::OutcomeUnknown(..)) => "doubt",
         };
         // A write may be reported as doubtful at any time, but never as failed if it took effect.
         assert_eq!(result, expected, "{name}");
@@ -232,8 +238,8 @@
     address
 }
 
-fn work(key: &str, epoch: u64) -> Work {
-    Work {
+fn work(key: &str, epoch: u64) -> TargetRequest {
+    TargetRequest {
         method: Method::POST,
         uri: "/print?copies=1".to_owned(),
         headers: HeaderMap::new(),
@@ -246,7 +252,7 @@
 }
 
 /// Sends work and returns the status, the outcome header and the body as JSON.
-async fn send(peer: SocketAddr, work: &Work) -> (u16, String, serde_json::Value) {
+async fn send(peer: SocketAddr, work: &TargetRequest) -> (u16, String, serde_json::Value) {
     let sender = Sender::new(Clock::real(), 4);
     let response = sender
         .send(peer, work, Body::from(value("letter")))
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -5,7 +5,7 @@
 use bramleypier::{
     membership::Peer,
     platform::{Kind, ListedVm, State},
-    vm::gone::Gone,
+    vm::gone::RemovalDetector,
 };
 
 const LAG: Duration = Duration::from_mins(1);
@@ -54,28 +54,28 @@
 #[test]
 fn only_what_is_certain_is_gone() {
     for (second, names, vms, expected) in CASES {
-        let mut gone = Gone::new(LAG);
+        let mut gone = RemovalDetector::new(LAG);
         let named = ["a#2".to_owned()].into();
-        gone.of(
+        gone.detect(
             Duration::from_secs(5),
             &named,
             &listed(&["a"]),
             &live(&["a#2"]),
         );
         let now = Duration::from_secs(5 + second);
-        let found = gone.of(now, &named, &listed(names), &live(vms));
+        let found = gone.detect(now, &named, &listed(names), &live(vms));
         assert_eq!(!found.is_empty(), *expected, "{second} {names:?} {vms:?}");
     }
 }
 
 #[test]
 fn a_vm_that_is_named_again_is_known_anew() {
-    let mut gone = Gone::new(LAG);
+    let mut gone = RemovalDetector::new(LAG);
     let named = ["a#2".to_owned()].into();
-    gone.of(Duration::ZERO, &named, &[], &[]);
-    gone.of(Duration::from_secs(90), &[].into(), &[], &[]);
+    gone.detect(Duration::ZERO, &named, &[], &[]);
+    gone.detect(Duration::from_secs(90), &[].into(), &[], &[]);
     assert!(
-        gone.of(Duration::from_secs(91), &named, &[], &[])
+        gone.detect(Duration::from_secs(91), &named, &[], &[])
             .is_empty()
     );
 }
--- a/tests/put.rs
+++ b/tests/put.rs
@@ -8,7 +8,7 @@
         stored::{Stamp, Stored},
     },
     id::Version,
-    platform::Put,
+    platform::WriteOutcome,
 };
 use proptest::{
     collection,
@@ -65,13 +65,13 @@
 }
 
 impl Store {
-    fn put(&mut self, base: Version, value: &str) -> Put {
+    fn put(&mut self, base: Version, value: &str) -> WriteOutcome {
         if base != self.version {
-            return Put::Lost(self.version);
+            return WriteOutcome::Conflict(self.version);
         }
         self.version += 3;
         value.clone_into(&mut self.value);
-        Put::Won(self.version)
+        WriteOutcome::Committed(self.version)
     }
 
     fn overtake(&mut self, writer: &str) {
