--- a/src/admin.rs
+++ b/src/admin.rs
@@ -15,7 +15,7 @@
 
 /// Answers [`Status`] to `GET`.
 pub const STATUS_PATH: &str = "/admin/status";
-/// Answers a [`Part`](crate::timeline::Part) to `POST` of a [`Filter`].
+/// Answers a [`Part`](crate::timeline::ProcessEvents) to `POST` of a [`Filter`].
 pub const TIMELINE_PATH: &str = "/admin/timeline";
 /// What all paths for operators start with.
 pub const PREFIX: &str = "/admin/";
--- a/src/chart/mod.rs
+++ b/src/chart/mod.rs
@@ -146,9 +146,9 @@
     /// ```
     /// use bramleypier::chart::charts::{self, vm};
     ///
-    /// assert!(charts::vm().unwrap().ends(vm::State::Stopped));
+    /// assert!(charts::vm().unwrap().is_final(vm::State::Stopped));
     /// ```
-    pub fn ends(&self, state: S) -> bool {
+    pub fn is_final(&self, state: S) -> bool {
         self.ends.contains(&state)
     }
 
@@ -169,10 +169,10 @@
         for state in S::ALL {
             let goes_on = self.transitions.keys().any(|(from, _)| from == state);
             let section = format!("state {}", state.name());
-            if self.ends(*state) && goes_on {
+            if self.is_final(*state) && goes_on {
                 return Err(reader.fault(&section, "", "is final, but has a transition"));
             }
-            if !self.ends(*state) && !goes_on {
+            if !self.is_final(*state) && !goes_on {
                 return Err(reader.fault(&section, "", "is not final, but has no transition"));
             }
         }
@@ -251,10 +251,10 @@
     /// ```
     /// use bramleypier::chart::charts;
     ///
-    /// assert!(!charts::vm().unwrap().machine().ended());
+    /// assert!(!charts::vm().unwrap().machine().is_final());
     /// ```
-    pub fn ended(&self) -> bool {
-        self.chart.ends(self.state)
+    pub fn is_final(&self) -> bool {
+        self.chart.is_final(self.state)
     }
 }
 
--- a/src/cli/timeline.rs
+++ b/src/cli/timeline.rs
@@ -6,7 +6,7 @@
     admin,
     cli::{Error, Exit, Output, fleet::Fleet, parser::Timeline},
     key,
-    timeline::{Account, Filter, Part, Stamp, draw, render, stamp},
+    timeline::{Filter, MergedTimeline, ProcessEvents, Stamp, draw, render, stamp},
 };
 
 /// Asks every VM for its events and merges them.
@@ -15,9 +15,9 @@
     let fleet = Fleet::open(&command.settings)?;
     let question = admin::to_json(&filter).map_err(Error::Json)?;
     let answers = fleet
-        .ask::<Part>(admin::TIMELINE_PATH, Some(question))
+        .ask::<ProcessEvents>(admin::TIMELINE_PATH, Some(question))
         .await;
-    let account = Account::merge(answers.answers, answers.unreached);
+    let account = MergedTimeline::merge(answers.answers, answers.unreached);
     if let Some(path) = command.svg {
         let written = fs::write(&path, draw::svg(&account));
         written.map_err(|cause| Error::File(path, cause))?;
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -163,10 +163,10 @@
     /// let event = Event::new(Duty::Grantor, "range", Kind::RangeLost);
     /// let event = event.service("a").range(Range::ALL).epoch(1);
     /// meter.on(ring.record(Duration::from_secs(10), event));
-    /// meter.pass("a", Range::ALL, Duration::from_secs(11));
+    /// meter.close_gaps("a", Range::ALL, Duration::from_secs(11));
     /// assert_eq!(meter.measures(Duration::from_secs(20))["a"].open, 0);
     /// ```
-    pub fn pass(&mut self, service: &str, range: Range, at: Duration) {
+    pub fn close_gaps(&mut self, service: &str, range: Range, at: Duration) {
         if let Some(ranges) = self.services.get_mut(service) {
             ranges.close(range, at);
         }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -33,7 +33,7 @@
 
 /// What a metric is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum MetricKind {
     /// A count that only grows.
     Counter,
     /// A reading, sent as it stands.
@@ -46,7 +46,7 @@
     /// The name, after the prefix.
     pub name: &'static str,
     /// What it is.
-    pub form: Form,
+    pub kind: MetricKind,
     /// What it counts.
     pub meaning: &'static str,
     /// What an operator does about it.
@@ -55,12 +55,12 @@
 
 /// Declares each metric as a constant, and the table of them all.
 macro_rules! metrics {
-    ($($const:ident $form:ident $name:literal, $meaning:literal, $action:literal;)+) => {
+    ($($const:ident $kind:ident $name:literal, $meaning:literal, $action:literal;)+) => {
         $(
             #[doc = $meaning]
             pub static $const: Metric = Metric {
                 name: $name,
-                form: Form::$form,
+                kind: MetricKind::$kind,
                 meaning: $meaning,
                 action: $action,
             };
@@ -261,12 +261,12 @@
 
 /// Sends one reading; counters that did not grow are left out.
 fn send(client: &StatsdClient, name: &str, service: &str, reading: Reading) {
-    let form = TABLE
+    let kind = TABLE
         .iter()
         .find(|metric| metric.name == name)
-        .map(|metric| metric.form);
+        .map(|metric| metric.kind);
     let grown = reading.total - reading.sent;
-    if form == Some(Form::Gauge) {
+    if kind == Some(MetricKind::Gauge) {
         let total = u64::try_from(reading.total).unwrap_or(0);
         let mut line = client.gauge_with_tags(name, total);
         if !service.is_empty() {
@@ -294,9 +294,9 @@
 pub fn markdown() -> String {
     let mut page = "| metric | form | meaning | what to do |\n|---|---|---|---|\n".to_owned();
     for metric in TABLE {
-        let form = match metric.form {
-            Form::Counter => "counter",
-            Form::Gauge => "gauge",
+        let kind = match metric.kind {
+            MetricKind::Counter => "counter",
+            MetricKind::Gauge => "gauge",
         };
         let Metric {
             name,
@@ -304,7 +304,7 @@
             action,
             ..
         } = metric;
-        let row = format!("| `{name}` | {form} | {meaning} | {action} |\n");
+        let row = format!("| `{name}` | {kind} | {meaning} | {action} |\n");
         page.push_str(&row);
     }
     page
--- a/src/timeline/account.rs
+++ b/src/timeline/account.rs
@@ -8,7 +8,7 @@
     measure::{Measures, Meter},
     timeline::{
         event::Event,
-        ring::Part,
+        ring::ProcessEvents,
         stamp::{self, Stamp},
     },
 };
@@ -16,7 +16,7 @@
 /// The events of several processes, each cause before its effects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Account {
+pub struct MergedTimeline {
     /// The events, in the order of their stamps.
     pub events: Vec<Event>,
     /// The processes that answered.
@@ -30,7 +30,7 @@
     pub measures: IndexMap<ServiceId, Measures>,
 }
 
-impl Account {
+impl MergedTimeline {
     /// Merges what processes answered; `unreached` names the VMs that did not.
     ///
     /// A stamp follows every stamp that its process had seen, so the order of stamps is an order of
@@ -41,7 +41,7 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use bramleypier::timeline::{Account, Duty, Event, Filter, Kind, Ring};
+    /// use bramleypier::timeline::{MergedTimeline, Duty, Event, Filter, Kind, Ring};
     ///
     /// let mut one = Ring::new("vm-1#1".to_owned(), 9);
     /// let mut two = Ring::new("vm-2#1".to_owned(), 9);
@@ -51,11 +51,11 @@
     /// // The second VM's wall clock is behind.
     /// two.receive(Duration::from_secs(1), sent);
     /// two.record(Duration::from_secs(1), Event::new(Duty::Grantor, "move", Kind::RangeMoved));
-    /// let parts = vec![two.part(&Filter::default()), one.part(&Filter::default())];
-    /// let account = Account::merge(parts, vec!["vm-3#1".to_owned()]);
+    /// let parts = vec![two.query(&Filter::default()), one.query(&Filter::default())];
+    /// let account = MergedTimeline::merge(parts, vec!["vm-3#1".to_owned()]);
     /// assert_eq!(account.events[0].kind, Kind::GrantStopped);
     /// ```
-    pub fn merge(parts: Vec<Part>, unreached: Vec<VmId>) -> Self {
+    pub fn merge(parts: Vec<ProcessEvents>, unreached: Vec<VmId>) -> Self {
         let mut account = Self {
             unreached,
             ..Self::default()
--- a/src/timeline/draw.rs
+++ b/src/timeline/draw.rs
@@ -7,7 +7,7 @@
 };
 
 use crate::timeline::{
-    account::Account,
+    account::MergedTimeline,
     event::{Duty, Event},
     render,
 };
@@ -31,12 +31,12 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::timeline::{Account, draw};
+/// use bramleypier::timeline::{MergedTimeline, draw};
 ///
-/// let picture = draw::svg(&Account::merge(Vec::new(), vec!["vm-3#1".to_owned()]));
+/// let picture = draw::svg(&MergedTimeline::merge(Vec::new(), vec!["vm-3#1".to_owned()]));
 /// assert!(picture.contains("vm-3#1 (not reached)"));
 /// ```
-pub fn svg(account: &Account) -> String {
+pub fn svg(account: &MergedTimeline) -> String {
     let skip = account.events.len().saturating_sub(EVENTS_MAX);
     let events = &account.events[skip..];
     let lanes = lanes(account);
@@ -70,7 +70,7 @@
 }
 
 /// Returns the processes in the order of their lanes, and whether each could not be reached.
-fn lanes(account: &Account) -> IndexMap<&str, bool> {
+fn lanes(account: &MergedTimeline) -> IndexMap<&str, bool> {
     let events = account
         .events
         .iter()
--- a/src/timeline/event.rs
+++ b/src/timeline/event.rs
@@ -236,9 +236,9 @@
     /// use bramleypier::{range::Range, timeline::{Duty, Event, Kind}};
     ///
     /// let event = Event::new(Duty::Grantor, "move", Kind::RangeMoved).range(Range::ALL);
-    /// assert!(event.touches(7));
+    /// assert!(event.concerns(7));
     /// ```
-    pub fn touches(&self, point: Point) -> bool {
+    pub fn concerns(&self, point: Point) -> bool {
         let within = self.range.is_some_and(|range| range.contains(point));
         within || self.point == Some(point)
     }
--- a/src/timeline/filter.rs
+++ b/src/timeline/filter.rs
@@ -44,7 +44,7 @@
         let same =
             |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
         let service = event.service.is_none() || same(&self.service, &event.service);
-        let point = self.point.is_none_or(|point| event.touches(point));
+        let point = self.point.is_none_or(|point| event.concerns(point));
         event.stamp >= self.since
             && service
             && point
--- a/src/timeline/mod.rs
+++ b/src/timeline/mod.rs
@@ -14,8 +14,8 @@
 pub mod render;
 pub mod ring;
 
-pub use account::Account;
+pub use account::MergedTimeline;
 pub use bramleypier_util::stamp::{self, Stamp};
 pub use event::{Duty, Event, Kind};
 pub use filter::Filter;
-pub use ring::{Part, Ring};
+pub use ring::{ProcessEvents, Ring};
--- a/src/timeline/render.rs
+++ b/src/timeline/render.rs
@@ -7,7 +7,7 @@
 use crate::{
     measure::Measures,
     timeline::{
-        account::Account,
+        account::MergedTimeline,
         event::Event,
         stamp::{self, Stamp},
     },
@@ -67,12 +67,12 @@
 /// # Example
 ///
 /// ```
-/// use bramleypier::timeline::{Account, render};
+/// use bramleypier::timeline::{MergedTimeline, render};
 ///
-/// let account = Account::merge(Vec::new(), vec!["vm-3#1".to_owned()]);
+/// let account = MergedTimeline::merge(Vec::new(), vec!["vm-3#1".to_owned()]);
 /// assert!(render::text(&account).contains("not reached: vm-3#1"));
 /// ```
-pub fn text(account: &Account) -> String {
+pub fn text(account: &MergedTimeline) -> String {
     let mut page = String::new();
     for event in &account.events {
         line(&mut page, event);
--- a/src/timeline/ring.rs
+++ b/src/timeline/ring.rs
@@ -29,7 +29,7 @@
 /// for kind in [Kind::Started, Kind::Stopped] {
 ///     ring.record(Duration::from_secs(1), Event::new(Duty::Process, "run", kind));
 /// }
-/// let part = ring.part(&Filter::default());
+/// let part = ring.query(&Filter::default());
 /// assert_eq!((part.events.len(), part.dropped), (1, 1));
 /// ```
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
 /// What one process answers when asked for its events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Part {
+pub struct ProcessEvents {
     /// The process.
     pub vm: VmId,
     /// The events that passed the filter.
@@ -158,11 +158,11 @@
     /// # Example
     ///
     /// See [`Ring`].
-    pub fn part(&self, filter: &Filter) -> Part {
+    pub fn query(&self, filter: &Filter) -> ProcessEvents {
         let passing = self.events().filter(|event| filter.passes(event));
         let mut events: Vec<Event> = passing.cloned().collect();
         events.sort_by_key(|event| event.stamp);
-        Part {
+        ProcessEvents {
             vm: self.vm.clone(),
             events,
             dropped: self.dropped(),
--- a/src/vm/recorder.rs
+++ b/src/vm/recorder.rs
@@ -14,7 +14,7 @@
     metrics::{self, Metric, Metrics},
     peer,
     range::Range,
-    timeline::{Event, Filter, Kind, Part, Ring, Stamp, stamp},
+    timeline::{Event, Filter, Kind, ProcessEvents, Ring, Stamp, stamp},
 };
 
 /// The shared recorder.
@@ -96,12 +96,12 @@
     /// Leaves it to other processes to account for a range that is lost.
     pub fn pass(&self, service: &str, range: Range) {
         let mut state = self.state.borrow_mut();
-        state.meter.pass(service, range, stamp::wall());
+        state.meter.close_gaps(service, range, stamp::wall());
     }
 
     /// Returns the kept events that pass a filter.
-    pub fn part(&self, filter: &Filter) -> Part {
-        self.state.borrow().ring.part(filter)
+    pub fn part(&self, filter: &Filter) -> ProcessEvents {
+        self.state.borrow().ring.query(filter)
     }
 
     /// Returns the measures by service.
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -91,7 +91,7 @@
             documents: IndexMap::from([("a".to_owned(), 1)]),
             ..Status::default()
         }),
-        Ok(Query::Timeline(filter)) => admin::to_json(&ring.part(&filter)),
+        Ok(Query::Timeline(filter)) => admin::to_json(&ring.query(&filter)),
         Err(_) => return Response::builder().status(404).body(Body::empty()).unwrap(),
     };
     Response::new(Body::from(bytes.unwrap()))
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -6,7 +6,7 @@
     key,
     measure::Meter,
     range::Range,
-    timeline::{Account, Duty, Event, Filter, Kind, Ring, draw, render, stamp},
+    timeline::{Duty, Event, Filter, Kind, MergedTimeline, Ring, draw, render, stamp},
 };
 use indexmap::IndexMap;
 use proptest::{
@@ -121,8 +121,8 @@
     for second in 1..=5 {
         ring.record(Duration::from_secs(second), event(Kind::Phase).cause("a<b"));
     }
-    let parts = vec![ring.part(&Filter::default()); 2];
-    let account = Account::merge(parts, vec!["vm-2#1".to_owned()]);
+    let parts = vec![ring.query(&Filter::default()); 2];
+    let account = MergedTimeline::merge(parts, vec!["vm-2#1".to_owned()]);
     let text = render::text(&account);
     assert!(
         text.starts_with(
@@ -155,7 +155,7 @@
         ring.record(Duration::from_secs(second), event(Kind::RequestRefused));
     }
     ring.record(Duration::from_secs(10), event(Kind::RangeServed));
-    let part = ring.part(&Filter::default());
+    let part = ring.query(&Filter::default());
     let kinds: Vec<Kind> = part.events.iter().map(|event| event.kind).collect();
     let refused = Kind::RequestRefused;
     assert_eq!(
@@ -186,8 +186,8 @@
         .range(Range::ALL)
         .epoch(2);
     two.record(Duration::from_secs(4), served);
-    let parts = vec![one.part(&Filter::default()), two.part(&Filter::default())];
-    let account = Account::merge(parts, Vec::new());
+    let parts = vec![one.query(&Filter::default()), two.query(&Filter::default())];
+    let account = MergedTimeline::merge(parts, Vec::new());
     let text = render::text(&account);
     assert!(
         text.contains("service=a moves=0 churn=0.0000 unavailable=3.000s lost=0\n"),
@@ -347,8 +347,8 @@
     #[test]
     fn a_merged_account_is_causal(moves in moves(), turn in 0_usize..4) {
         let (rings, causes) = play(&moves);
-        let mut parts: Vec<_> = rings.iter().map(|ring| ring.part(&Filter::default())).collect();
-        let account = Account::merge(parts.clone(), Vec::new());
+        let mut parts: Vec<_> = rings.iter().map(|ring| ring.query(&Filter::default())).collect();
+        let account = MergedTimeline::merge(parts.clone(), Vec::new());
         let order: IndexMap<String, usize> = account
             .events
             .iter()
@@ -362,7 +362,7 @@
             }
         }
         parts.rotate_left(turn);
-        prop_assert_eq!(Account::merge(parts, Vec::new()), account);
+        prop_assert_eq!(MergedTimeline::merge(parts, Vec::new()), account);
     }
 
     #[test]
@@ -371,7 +371,7 @@
         for index in 0..count {
             ring.record(Duration::ZERO, event(Kind::Phase).cause(&index.to_string()));
         }
-        let part = ring.part(&Filter::default());
+        let part = ring.query(&Filter::default());
         prop_assert_eq!(part.events.len(), count.min(capacity));
         prop_assert_eq!(part.dropped, u64::try_from(count.saturating_sub(capacity)).unwrap());
         let last = part.events.last().and_then(|event| event.cause.clone());
