--- a/src/admin.rs
+++ b/src/admin.rs
@@ -1,4 +1,7 @@
-//! What operators ask of a running process: JSON over HTTP, on the address for peers.
+//! The admin interface of a running process.
+//!
+//! Operators query the status and the event history of a VM with JSON over HTTP. The process serves these queries on
+//! the address that it listens on for peers.
 
 use hyper::{Method, body::Bytes};
 use indexmap::IndexMap;
@@ -13,43 +16,43 @@
     vm::owners,
 };
 
-/// Answers [`Status`] to `GET`.
+/// The path that answers `GET` with a [`Status`].
 pub const STATUS_PATH: &str = "/admin/status";
-/// Answers a [`Part`](crate::timeline::ProcessEvents) to `POST` of a [`Filter`].
+/// The path that answers `POST` of a [`Filter`] with a [`Part`](crate::timeline::ProcessEvents).
 pub const TIMELINE_PATH: &str = "/admin/timeline";
-/// What all paths for operators start with.
+/// The prefix of all admin paths.
 pub const PREFIX: &str = "/admin/";
 
 quick_error! {
-    /// Why a question was not understood.
+    /// Why an admin query was rejected.
     #[derive(Debug, PartialEq, Eq)]
     pub enum Error {
-        /// There is no such question.
+        /// No admin query has this method and path.
         Unknown(method: String, path: String) {
             display("step=admin peer=operator cause=\"no such question: {method} {path}\"")
         }
-        /// The filter can't be read.
+        /// The body is not a valid timeline filter.
         Filter(cause: String) {
             display("step=admin peer=operator cause={cause:?}")
         }
     }
 }
 
-/// A question to a process.
+/// A query to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Query {
-    /// How it stands.
+    /// The status of the process.
     Status,
-    /// The events that pass a filter.
+    /// The recorded events that match a filter.
     Timeline(Filter),
 }
 
 impl Query {
-    /// Reads a question.
+    /// Parses the method, path and body of an admin request.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] for a path, method or filter that is not known.
+    /// Returns an [`Error`] if the path or method is unknown or the filter is invalid.
     ///
     /// # Example
     ///
@@ -57,8 +60,8 @@
     /// use bramleypier::admin::{self, Query};
     /// use hyper::Method;
     ///
-    /// let question = Query::read(&Method::GET, admin::STATUS_PATH, b"").unwrap();
-    /// assert_eq!(question, Query::Status);
+    /// let query = Query::read(&Method::GET, admin::STATUS_PATH, b"").unwrap();
+    /// assert_eq!(query, Query::Status);
     /// ```
     pub fn read(method: &Method, path: &str, body: &[u8]) -> Result<Self, Error> {
         match (method, path) {
@@ -71,41 +74,41 @@
     }
 }
 
-/// How a process stands.
+/// The status of one process.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Status {
-    /// The process.
+    /// The id of the VM.
     pub vm: VmId,
-    /// The failure domain it stands in.
+    /// The failure domain of the VM.
     pub domain: DomainId,
-    /// The state of its life cycle.
+    /// The life cycle state of the process.
     pub state: String,
-    /// Whether the platform's service answers it.
+    /// Whether the platform's service answers this process.
     pub platform: bool,
-    /// How many other VMs it takes for live.
+    /// The number of other VMs that this process considers live.
     pub peers: u64,
-    /// The version in force of each service's document.
+    /// The version of each service's document that is in force here.
     pub documents: IndexMap<ServiceId, Version>,
-    /// The duties it holds, as text.
+    /// The roles of this process, as text.
     pub duties: Vec<String>,
-    /// Callers' connections open.
+    /// The number of open connections from callers.
     pub active: u64,
-    /// Each service's measures since the process started.
+    /// The measures of each service since the process started.
     pub measures: IndexMap<ServiceId, Measures>,
-    /// Every metric's reading.
+    /// The current value of each metric.
     pub totals: IndexMap<String, i64>,
-    /// The fleet, as seen here.
+    /// The members of the fleet in this process's view.
     pub members: Vec<membership::Update>,
-    /// The groups, as known here.
+    /// The groups in this process's view.
     pub groups: IndexMap<GroupId, owners::GroupStatus>,
 }
 
-/// Writes an answer as JSON.
+/// Serialises an answer as JSON.
 ///
 /// # Errors
 ///
-/// Returns the error of a type that JSON can't hold.
+/// Returns the serialisation error of a type that JSON can't represent.
 ///
 /// # Example
 ///
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `check` and `document check`.
+//! The `check` and `document check` commands.
 
 use std::{
     fs,
@@ -12,7 +12,7 @@
     settings,
 };
 
-/// Checks settings and documents, and the charts within the binary.
+/// Checks the settings, the documents and the state charts that are built into the binary.
 pub(super) fn run(settings: Option<&Path>, documents: &[PathBuf]) -> Result<Output, Error> {
     chart::check_all().map_err(Error::Settings)?;
     if let Some(path) = settings {
@@ -22,7 +22,7 @@
     let mut refused = false;
     for path in documents {
         let line = match document(path) {
-            Ok(document) => sound(path, &document),
+            Ok(document) => summary(path, &document),
             Err(Error::Refused(fault)) => {
                 refused = true;
                 fault.to_string()
@@ -39,7 +39,7 @@
     Ok(Output::plain(exit, text))
 }
 
-fn sound(path: &Path, document: &Document) -> String {
+fn summary(path: &Path, document: &Document) -> String {
     let Document {
         service,
         classes,
@@ -56,7 +56,7 @@
     text::parse(&path.display().to_string(), &written).map_err(Error::Refused)
 }
 
-/// Reads a document's file.
+/// Reads the file of a document.
 pub(super) fn read(path: &Path) -> Result<String, Error> {
     fs::read_to_string(path).map_err(|cause| Error::File(path.to_owned(), cause))
 }
--- a/src/cli/document.rs
+++ b/src/cli/document.rs
@@ -1,4 +1,4 @@
-//! `document put`, `get`, `log` and `status`.
+//! The `document put`, `get`, `log` and `status` commands.
 
 use std::{env, fmt::Write as _, path::Path, time::Duration};
 
@@ -19,10 +19,10 @@
     timeline::{render, stamp},
 };
 
-/// How long a put waits after a call that got no answer.
-const PAUSE: Duration = Duration::from_millis(250);
+/// The delay before a put retries a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Runs one of the commands.
+/// Runs a `document` command.
 pub(super) async fn run(command: Document) -> Result<Output, Error> {
     match command {
         Document::Check { files } => check::run(None, &files),
@@ -59,7 +59,7 @@
     }
 }
 
-/// How a put ended, for print.
+/// The printed outcome of a put.
 #[derive(Debug, Default, Serialize)]
 struct Report {
     outcome: &'static str,
@@ -83,20 +83,20 @@
         .unwrap_or_default();
     let writer = Uuid::now_v7().to_string();
     let at = u64::try_from(stamp::wall().as_millis()).unwrap_or(u64::MAX);
-    let stamp = Stamp::new(&writer, base, at, &by.unwrap_or_else(user));
+    let stamp = Stamp::new(&writer, base, at, &by.unwrap_or_else(default_operator));
     let name = file.display().to_string();
     let (operation, step) = Operation::start(&name, &text, stamp).map_err(Error::Refused)?;
-    let (outcome, cause) = drive(fleet, operation, step).await;
+    let (outcome, cause) = run_steps(fleet, operation, step).await;
     report(outcome, cause, json)
 }
 
-fn user() -> String {
-    let named = env::var("USER").or_else(|_| env::var("LOGNAME"));
-    named.unwrap_or_else(|_| "unknown".to_owned())
+fn default_operator() -> String {
+    let user = env::var("USER").or_else(|_| env::var("LOGNAME"));
+    user.unwrap_or_else(|_| "unknown".to_owned())
 }
 
-/// Makes the calls that a put asks for, and returns the last failure with the outcome.
-async fn drive(
+/// Makes the calls of a put until it ends. Returns the outcome and the cause of the last failed call.
+async fn run_steps(
     fleet: &Fleet,
     mut operation: Operation,
     mut step: Step,
@@ -114,7 +114,7 @@
             event,
             Event::ReadFailed | Event::WriteFailed | Event::WriteUncertain
         ) {
-            fleet.clock.sleep(PAUSE).await;
+            fleet.clock.sleep(RETRY_DELAY).await;
         }
         step = operation.handle(event);
     }
@@ -154,14 +154,14 @@
 }
 
 fn report(outcome: Outcome, cause: Option<String>, json: bool) -> Result<Output, Error> {
-    let named = |outcome, version| Report {
+    let report_of = |outcome, version| Report {
         outcome,
         version,
         ..Report::default()
     };
     let (exit, report) = match outcome {
-        Outcome::Accepted(version) => (Exit::Done, named("accepted", version)),
-        Outcome::Unchanged(version) => (Exit::Done, named("unchanged", version)),
+        Outcome::Accepted(version) => (Exit::Done, report_of("accepted", version)),
+        Outcome::Unchanged(version) => (Exit::Done, report_of("unchanged", version)),
         Outcome::Refused(fault) => return Err(Error::Refused(fault)),
         Outcome::Conflict(conflict) => {
             let version = conflict.version;
@@ -170,7 +170,7 @@
                 Exit::Conflict,
                 Report {
                     conflict,
-                    ..named("conflict", version)
+                    ..report_of("conflict", version)
                 },
             )
         }
@@ -178,21 +178,21 @@
             Exit::Unreached,
             Report {
                 cause,
-                ..named("unreached", 0)
+                ..report_of("unreached", 0)
             },
         ),
         Outcome::Unknown => (
             Exit::Unknown,
             Report {
                 cause,
-                ..named("unknown", 0)
+                ..report_of("unknown", 0)
             },
         ),
     };
-    Output::either(exit, json, &report, text)
+    Output::json_or_text(exit, json, &report, report_text)
 }
 
-fn text(report: &Report) -> String {
+fn report_text(report: &Report) -> String {
     let version = report.version;
     let cause = report.cause.as_deref().unwrap_or_default();
     match (report.outcome, &report.conflict) {
@@ -223,14 +223,14 @@
     )
 }
 
-/// A document as it stands, for print.
+/// The printed current version of a document.
 #[derive(Debug, Serialize)]
-struct Standing {
+struct CurrentDocument {
     version: Version,
     text: String,
 }
 
-async fn stands(fleet: &Fleet, service: &ServiceId) -> Result<(Version, Stored), Error> {
+async fn current_document(fleet: &Fleet, service: &ServiceId) -> Result<(Version, Stored), Error> {
     let value = fleet.platform.get(&stored::key(service)).await;
     let (version, bytes) = value
         .map_err(Error::Platform)?
@@ -239,19 +239,19 @@
 }
 
 async fn get(fleet: &Fleet, service: &ServiceId, json: bool) -> Result<Output, Error> {
-    let (version, stored) = stands(fleet, service).await?;
-    let standing = Standing {
+    let (version, stored) = current_document(fleet, service).await?;
+    let current = CurrentDocument {
         version,
         text: stored.text,
     };
-    Output::either(Exit::Done, json, &standing, |standing| {
-        stored::with_version(&standing.text, standing.version)
+    Output::json_or_text(Exit::Done, json, &current, |current| {
+        stored::with_version(&current.text, current.version)
     })
 }
 
-/// One put, for print.
+/// One printed put of the log.
 #[derive(Debug, Serialize)]
-struct Entry {
+struct LogEntry {
     version: Version,
     base: Version,
     at: String,
@@ -259,12 +259,12 @@
 }
 
 async fn log(fleet: &Fleet, service: &ServiceId, json: bool) -> Result<Output, Error> {
-    let (version, stored) = stands(fleet, service).await?;
+    let (version, stored) = current_document(fleet, service).await?;
     let log = stored.log(version);
-    let entries: Vec<Entry> = log.into_iter().map(entry).collect();
-    Output::either(Exit::Done, json, &entries, |entries| {
+    let entries: Vec<LogEntry> = log.into_iter().map(log_entry).collect();
+    Output::json_or_text(Exit::Done, json, &entries, |entries| {
         let mut text = String::new();
-        for Entry {
+        for LogEntry {
             version,
             base,
             at,
@@ -278,8 +278,8 @@
     })
 }
 
-fn entry((version, stamp): (Version, &Stamp)) -> Entry {
-    Entry {
+fn log_entry((version, stamp): (Version, &Stamp)) -> LogEntry {
+    LogEntry {
         version,
         base: stamp.base,
         at: render::utc(stamp::first(Duration::from_millis(stamp.at_ms))),
@@ -287,14 +287,14 @@
     }
 }
 
-/// Which versions are in force where, for print.
+/// The printed versions of documents that are in force on each VM.
 #[derive(Debug, Serialize)]
-struct Spread {
-    /// The version of each document in the platform's service; empty in an outage.
+struct Rollout {
+    /// The version of each document in the platform's service; empty if the service can't be reached.
     accepted: IndexMap<ServiceId, Version>,
     /// The versions in force on each VM.
     vms: IndexMap<VmId, IndexMap<ServiceId, Version>>,
-    /// The VMs that have an older version of some document in force.
+    /// The VMs on which an older version of some document is in force.
     lagging: IndexMap<VmId, Vec<ServiceId>>,
     unreached: Vec<VmId>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -325,20 +325,20 @@
         let newest = newest.entry(service.clone()).or_default();
         *newest = (*newest).max(*version);
     }
-    let spread = Spread {
+    let rollout = Rollout {
         lagging: lagging(&newest, &vms),
         accepted,
         vms,
         unreached: answers.unreached,
         cause,
     };
-    let whole = spread.unreached.is_empty() && spread.cause.is_none();
-    let exit = match (whole, spread.lagging.is_empty()) {
+    let complete = rollout.unreached.is_empty() && rollout.cause.is_none();
+    let exit = match (complete, rollout.lagging.is_empty()) {
         (false, _) => Exit::Unreached,
         (true, true) => Exit::Done,
         (true, false) => Exit::Failed,
     };
-    Output::either(exit, json, &spread, spread_text)
+    Output::json_or_text(exit, json, &rollout, rollout_text)
 }
 
 fn lagging(
@@ -356,31 +356,36 @@
     lagging
 }
 
-/// Writes the spread as text; writing to a string cannot fail.
-fn spread_text(spread: &Spread) -> String {
+/// Formats the rollout as text; writing to a string cannot fail.
+fn rollout_text(rollout: &Rollout) -> String {
     let mut text = String::new();
-    for (service, version) in &spread.accepted {
-        let lags = |vm: &&VmId| {
-            spread
+    for (service, version) in &rollout.accepted {
+        let is_lagging = |vm: &&VmId| {
+            rollout
                 .lagging
                 .get(*vm)
                 .is_some_and(|names| names.contains(service))
         };
-        let behind: Vec<&str> = spread.vms.keys().filter(lags).map(String::as_str).collect();
-        let (all, ahead) = (spread.vms.len(), spread.vms.len() - behind.len());
+        let behind: Vec<&str> = rollout
+            .vms
+            .keys()
+            .filter(is_lagging)
+            .map(String::as_str)
+            .collect();
+        let (all, up_to_date) = (rollout.vms.len(), rollout.vms.len() - behind.len());
         let _ = write!(
             text,
-            "service={service} version={version} vms={ahead}/{all}"
+            "service={service} version={version} vms={up_to_date}/{all}"
         );
         let _ = match behind.as_slice() {
             [] => writeln!(text),
             names => writeln!(text, " lagging={}", names.join(",")),
         };
     }
-    for vm in &spread.unreached {
+    for vm in &rollout.unreached {
         let _ = writeln!(text, "not reached: {vm}");
     }
-    if let Some(cause) = &spread.cause {
+    if let Some(cause) = &rollout.cause {
         let _ = writeln!(text, "accepted versions are not known: {cause}");
     }
     text
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not do its work.
+//! The errors of commands.
 
 use std::{io, path::PathBuf};
 
@@ -7,15 +7,15 @@
 use crate::{cli::Exit, platform, util::ini::Fault};
 
 quick_error! {
-    /// Why a command could not do its work.
+    /// Why a command failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The settings are wrong.
+        /// The settings are invalid.
         Settings(cause: Fault) {
             display("{cause}")
             source(cause)
         }
-        /// A document is refused.
+        /// A document is invalid.
         Refused(cause: Fault) {
             display("{cause}")
             source(cause)
@@ -34,26 +34,26 @@
         Absent(service: String) {
             display("step=get peer=platform cause=\"there is no document of {service}\"")
         }
-        /// A time is neither a span nor a time.
+        /// An argument is neither a duration nor a time.
         Time(text: String) {
             display("--since: `{text}` is neither a span such as 10m nor a time such as 2026-12-02T21:00:00Z")
         }
-        /// An answer can't be written as JSON.
+        /// The output can't be serialised as JSON.
         Json(cause: serde_json::Error) {
             display("step=print peer=operator cause={cause}")
             source(cause)
         }
-        /// The HTTP client can't be made.
+        /// The HTTP client can't be created.
         Client(cause: cyper::Error) {
             display("step=start peer=vms cause={cause}")
             source(cause)
         }
-        /// The runtime did not start.
+        /// The async runtime can't be started.
         Runtime(cause: io::Error) {
             display("step=start peer=process cause={cause}")
             source(cause)
         }
-        /// `run` is not a command that ends.
+        /// `run` and `serve` must be started by the binary, since they run until they are stopped.
         Run {
             display("step=start peer=process cause=\"`run` is started by the binary\"")
         }
@@ -61,7 +61,7 @@
 }
 
 impl Error {
-    /// Returns how the command ends.
+    /// Returns the exit status of a command that fails with this error.
     ///
     /// # Example
     ///
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,4 +1,4 @@
-//! Asking all VMs.
+//! Queries of operators' commands to all VMs of the fleet.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -16,57 +16,59 @@
     settings::{self, Settings},
 };
 
-/// How long a VM may take to answer.
-const SPAN: Duration = Duration::from_secs(3);
-/// How many VMs are asked at a time.
-const AT_ONCE: usize = 64;
-/// The name by which operators' calls are counted.
-const FROM: &str = "operator";
+/// The timeout of a call to one VM.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// The number of VMs that are called at a time.
+const MAX_CONCURRENT_CALLS: usize = 64;
+/// The caller name under which the platform's service counts operators' calls.
+const CALLER_NAME: &str = "operator";
 
-/// What operators' commands call.
+/// A client of the platform's service and of all VMs.
 #[derive(Clone, Debug)]
 pub(super) struct Fleet {
     client: cyper::Client,
     settings: Settings,
-    /// The platform's service.
+    /// The client of the platform's service.
     pub platform: Platform,
-    /// The clock of pauses.
+    /// The clock for timeouts and retry delays.
     pub clock: Clock,
 }
 
-/// The VMs' answers to one question.
+/// The VMs' answers to one query.
 #[derive(Clone, Debug)]
 pub(super) struct Answers<T> {
-    /// What was answered.
+    /// The answers.
     pub answers: Vec<T>,
-    /// The VMs that did not answer: `name` or `IP:port`.
+    /// The VMs that did not answer, as `name` or `IP:port`.
     pub unreached: Vec<VmId>,
 }
 
 impl Fleet {
-    /// Reads the settings that say where the platform's service and the first VMs are.
+    /// Creates a client from a settings file, which has the addresses of the platform's service and of the first VMs.
     pub fn open(path: &Path) -> Result<Self, Error> {
         let settings = settings::load(path).map_err(Error::Settings)?;
         let clock = Clock::real();
         Ok(Self {
             client: cyper::Client::new().map_err(Error::Client)?,
-            platform: Platform::new(clock.clone(), settings.platform, FROM.to_owned()),
+            platform: Platform::new(clock.clone(), settings.platform, CALLER_NAME.to_owned()),
             settings,
             clock,
         })
     }
 
-    /// Asks every VM that the platform lists or the settings name; they answer as JSON.
-    pub async fn ask<T>(&self, path: &str, question: Option<Bytes>) -> Answers<T>
+    /// Sends a query to every VM in the platform's list and in the settings, and parses the JSON answers.
+    pub async fn ask<T>(&self, path: &str, query: Option<Bytes>) -> Answers<T>
     where
         T: DeserializeOwned,
     {
         let calls = self.vms().await.into_iter().map(|(address, name)| {
-            let question = question.clone();
-            async move { self.call(address, path, question).await.ok_or(name) }
+            let query = query.clone();
+            async move { self.call(address, path, query).await.ok_or(name) }
         });
-        let mut results: Vec<Result<T, VmId>> =
-            stream::iter(calls).buffered(AT_ONCE).collect().await;
+        let mut results: Vec<Result<T, VmId>> = stream::iter(calls)
+            .buffered(MAX_CONCURRENT_CALLS)
+            .collect()
+            .await;
         let unreached = results.extract_if(.., |result| result.is_err());
         let unreached = unreached.filter_map(Result::err).collect();
         Answers {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Returns the VMs' addresses and names; in an outage, those that the settings know.
+    /// Returns the VMs' addresses and names. If the platform's service fails, only those in the settings are known.
     async fn vms(&self) -> IndexMap<SocketAddr, VmId> {
         let own = std::iter::once(self.settings.peers).filter(|own| own.port() != 0);
         let known = own.chain(self.settings.seeds.iter().copied());
@@ -91,18 +93,18 @@
         vms
     }
 
-    /// Calls one VM; a wrong answer is as good as none.
-    async fn call<T>(&self, to: SocketAddr, path: &str, question: Option<Bytes>) -> Option<T>
+    /// Calls one VM. Returns `None` if it doesn't answer in time or the answer is invalid.
+    async fn call<T>(&self, to: SocketAddr, path: &str, query: Option<Bytes>) -> Option<T>
     where
         T: DeserializeOwned,
     {
-        let method = match question {
+        let method = match query {
             Some(_) => http::Method::POST,
             None => http::Method::GET,
         };
         let url = format!("http://{to}{path}");
         let request = self.client.request(method, url).ok()?;
-        let request = request.body(question.unwrap_or_default());
+        let request = request.body(query.unwrap_or_default());
         let exchange = async {
             let response = request.send().await.ok()?;
             if response.status() != StatusCode::OK {
@@ -110,7 +112,7 @@
             }
             response.bytes().await.ok()
         };
-        let bytes = self.clock.timeout(SPAN, exchange).await.ok()??;
+        let bytes = self.clock.timeout(CALL_TIMEOUT, exchange).await.ok()??;
         serde_json::from_slice(&bytes).ok()
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,7 +1,7 @@
 //! The command line.
 //!
-//! Each command is a module; [`command`] reads the arguments, [`execute`] runs every command but
-//! `run`, which the binary starts itself.
+//! [`parse`] reads the arguments with the parser [`command`]. [`execute`] runs every command but `run` and `serve`,
+//! which the binary starts itself.
 
 mod check;
 mod document;
@@ -23,13 +23,13 @@
 pub use timeline::since;
 
 /// The program's name in help texts.
-const NAME: &str = "bramleypier";
+const PROGRAM_NAME: &str = "bramleypier";
 
-/// Reads the arguments of the process, without the program's name.
+/// Parses the arguments of the process, without the program's name.
 ///
 /// # Errors
 ///
-/// Returns the text to print and the exit code: a help text, or what is wrong with the usage.
+/// Returns the text to print and the exit status, for a request for help as well as for a usage error.
 ///
 /// # Example
 ///
@@ -44,7 +44,7 @@
     I: IntoIterator<Item = OsString>,
 {
     let arguments: Vec<OsString> = arguments.into_iter().collect();
-    let parsed = command().run_inner(Args::from(arguments.as_slice()).set_name(NAME));
+    let parsed = command().run_inner(Args::from(arguments.as_slice()).set_name(PROGRAM_NAME));
     parsed.map_err(|failure| {
         let exit = match failure {
             ParseFailure::Stderr(_) => Exit::Usage,
@@ -59,7 +59,7 @@
     })
 }
 
-/// Runs a command to its end; `run` is not one that ends, so it is refused.
+/// Runs a command to its end. `run` and `serve` are rejected, as they run until the process is stopped.
 ///
 /// # Example
 ///
@@ -71,13 +71,13 @@
 /// ```
 pub fn execute(command: Command) -> Output {
     let result = match Runtime::new() {
-        Ok(runtime) => runtime.block_on(perform(command)),
+        Ok(runtime) => runtime.block_on(run_command(command)),
         Err(cause) => Err(Error::Runtime(cause)),
     };
     result.unwrap_or_else(|error| Output::plain(error.exit(), error.to_string()))
 }
 
-async fn perform(command: Command) -> Result<Output, Error> {
+async fn run_command(command: Command) -> Result<Output, Error> {
     match command {
         Command::Run { .. } | Command::Serve { .. } => Err(Error::Run),
         Command::Check {
--- a/src/cli/output.rs
+++ b/src/cli/output.rs
@@ -1,24 +1,24 @@
-//! What a command prints, and the code it ends with.
+//! The output and exit status of a command.
 
 use serde::Serialize;
 
 use crate::cli::Error;
 
-/// How a command ended; the process ends with the number.
+/// The exit status of a command; its number is the exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// It succeeded.
+    /// The command succeeded.
     Done = 0,
-    /// It failed: a document is refused, or what was asked for is not there.
+    /// The command failed, for example because a document is invalid or doesn't exist.
     Failed = 1,
-    /// The arguments or settings are wrong.
+    /// The arguments or settings are invalid.
     Usage = 2,
-    /// Another operator's version stands.
+    /// Another operator has put a version that the command was not based on.
     Conflict = 3,
     /// The platform's service or some VM could not be reached.
     Unreached = 4,
-    /// It could not be learned whether a write took effect.
+    /// It is unknown whether a write took effect.
     Unknown = 5,
 }
 
@@ -37,17 +37,17 @@
     }
 }
 
-/// What to print and how to end.
+/// The output of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output {
-    /// How the command ended.
+    /// The exit status.
     pub exit: Exit,
-    /// The text, which ends with a line end unless it is empty.
+    /// The text; it ends with a newline unless it is empty.
     pub text: String,
 }
 
 impl Output {
-    /// Creates an output of text.
+    /// Creates an output of text, and adds a final newline if it is missing.
     ///
     /// # Example
     ///
@@ -64,8 +64,13 @@
         Self { exit, text }
     }
 
-    /// Creates an output of JSON or text.
-    pub(super) fn either<T, F>(exit: Exit, json: bool, answer: &T, text: F) -> Result<Self, Error>
+    /// Creates an output of `answer` as JSON, or as the text that `text` makes of it.
+    pub(super) fn json_or_text<T, F>(
+        exit: Exit,
+        json: bool,
+        answer: &T,
+        text: F,
+    ) -> Result<Self, Error>
     where
         T: Serialize,
         F: FnOnce(&T) -> String,
@@ -78,7 +83,7 @@
         Ok(Self::plain(exit, text))
     }
 
-    /// Returns whether the text belongs on standard error: no answer, but a complaint.
+    /// Returns whether the text is an error message, which belongs on standard error.
     ///
     /// # Example
     ///
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! The `status` command.
 
 use std::{fmt::Write as _, path::Path};
 
@@ -10,28 +10,32 @@
     id::VmId,
 };
 
-/// How the VMs stand, for print.
+/// The printed status of all VMs.
 #[derive(Debug, Serialize)]
-struct Fleetwide {
+struct FleetStatus {
     vms: Vec<Status>,
     unreached: Vec<VmId>,
 }
 
-/// Asks every VM how it stands.
+/// Queries the status of every VM.
 pub(super) async fn run(settings: &Path, json: bool) -> Result<Output, Error> {
     let fleet = Fleet::open(settings)?;
     let answers = fleet.ask(admin::STATUS_PATH, None).await;
-    let whole = answers.unreached.is_empty() && !answers.answers.is_empty();
-    let exit = if whole { Exit::Done } else { Exit::Unreached };
-    let all = Fleetwide {
+    let complete = answers.unreached.is_empty() && !answers.answers.is_empty();
+    let exit = if complete {
+        Exit::Done
+    } else {
+        Exit::Unreached
+    };
+    let all = FleetStatus {
         vms: answers.answers,
         unreached: answers.unreached,
     };
-    Output::either(exit, json, &all, text)
+    Output::json_or_text(exit, json, &all, text)
 }
 
 /// Writes a line for each VM; writing to a string cannot fail.
-fn text(all: &Fleetwide) -> String {
+fn text(all: &FleetStatus) -> String {
     let mut text = String::new();
     for status in &all.vms {
         let Status {
--- a/src/cli/timeline.rs
+++ b/src/cli/timeline.rs
@@ -1,4 +1,4 @@
-//! `timeline`.
+//! The `timeline` command.
 
 use std::{fs, time::Duration};
 
@@ -9,22 +9,26 @@
     timeline::{Filter, MergedTimeline, ProcessEvents, Stamp, draw, render, stamp},
 };
 
-/// Asks every VM for its events and merges them.
+/// Queries the events of every VM and merges them.
 pub(super) async fn run(command: Timeline) -> Result<Output, Error> {
     let filter = filter(&command)?;
     let fleet = Fleet::open(&command.settings)?;
-    let question = admin::to_json(&filter).map_err(Error::Json)?;
+    let query = admin::to_json(&filter).map_err(Error::Json)?;
     let answers = fleet
-        .ask::<ProcessEvents>(admin::TIMELINE_PATH, Some(question))
+        .ask::<ProcessEvents>(admin::TIMELINE_PATH, Some(query))
         .await;
     let account = MergedTimeline::merge(answers.answers, answers.unreached);
     if let Some(path) = command.svg {
         let written = fs::write(&path, draw::svg(&account));
         written.map_err(|cause| Error::File(path, cause))?;
     }
-    let whole = account.unreached.is_empty() && !account.answered.is_empty();
-    let exit = if whole { Exit::Done } else { Exit::Unreached };
-    Output::either(exit, command.json, &account, render::text)
+    let complete = account.unreached.is_empty() && !account.answered.is_empty();
+    let exit = if complete {
+        Exit::Done
+    } else {
+        Exit::Unreached
+    };
+    Output::json_or_text(exit, command.json, &account, render::text)
 }
 
 fn filter(command: &Timeline) -> Result<Filter, Error> {
@@ -38,11 +42,11 @@
     })
 }
 
-/// Reads a span before now, or a time.
+/// Parses a time, or a duration before now.
 ///
 /// # Errors
 ///
-/// The text is neither.
+/// Returns an [`Error`] if the text is neither a time nor a duration.
 ///
 /// # Example
 ///
@@ -56,11 +60,11 @@
     if let Some(time) = render::parse(text) {
         return Ok(time);
     }
-    let before = span(text).ok_or_else(|| Error::Time(text.to_owned()))?;
+    let before = duration(text).ok_or_else(|| Error::Time(text.to_owned()))?;
     Ok(stamp::first(stamp::wall().saturating_sub(before)))
 }
 
-fn span(text: &str) -> Option<Duration> {
+fn duration(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let count: u32 = digits.parse().ok()?;
     let unit = match unit {
--- a/src/document/check.rs
+++ b/src/document/check.rs
@@ -1,4 +1,7 @@
-//! What must hold of a whole document and of a change from one version to the next.
+//! Validation of service documents.
+//!
+//! [`validate`] checks the rules that span several sections of a document. [`validate_change`] checks that a version
+//! may replace an earlier one.
 
 use std::net::SocketAddr;
 
@@ -9,17 +12,17 @@
     group,
 };
 
-/// Paths of the process's own, which no service may take.
+/// The paths that the router serves itself; a service can't have one of these names.
 const RESERVED: &[&str] = &["healthz"];
 
-/// What is wrong with a document, at a section and key.
+/// A rule that a document violates, with the section and key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The section, as the text names it.
+    /// The section as written in the text.
     pub section: String,
-    /// The key; empty if the flaw is the section's.
+    /// The key; empty if the whole section is invalid.
     pub key: &'static str,
-    /// What is wrong.
+    /// The reason.
     pub reason: String,
 }
 
@@ -31,7 +34,7 @@
     }
 }
 
-/// Checks what must hold across the sections of a document.
+/// Checks the rules that span several sections of a document.
 ///
 /// # Errors
 ///
@@ -64,13 +67,13 @@
         let reason = format!("is more than the {targets} targets");
         return Err(violation("service", "groups", reason));
     }
-    sizes(document, targets)?;
-    classes(&document.classes)?;
-    addresses(&document.targets)
+    check_group_sizes(document, targets)?;
+    check_classes(&document.classes)?;
+    check_addresses(&document.targets)
 }
 
-/// Checks that a group's record can hold its share of targets and ranges.
-fn sizes(document: &Document, targets: u64) -> Result<(), Violation> {
+/// Checks that the targets and ranges of each group fit into the group's record.
+fn check_group_sizes(document: &Document, targets: u64) -> Result<(), Violation> {
     let members = targets.div_ceil(u64::from(document.groups).max(1));
     if members > as_u64(group::check::MAX_MEMBERS) {
         let most = group::check::MAX_MEMBERS;
@@ -90,7 +93,7 @@
     u64::try_from(count).unwrap_or(u64::MAX)
 }
 
-fn classes(classes: &IndexMap<String, Class>) -> Result<(), Violation> {
+fn check_classes(classes: &IndexMap<String, Class>) -> Result<(), Violation> {
     if classes.is_empty() {
         return Err(violation("service", "", "the service has no class"));
     }
@@ -114,14 +117,14 @@
     Ok(())
 }
 
-/// Returns whether the first class takes every request that the second would.
+/// Returns whether the first class matches every request that the second one matches.
 fn covers(first: &Class, second: &Class) -> bool {
     let methods = &first.methods;
     let every = !second.methods.is_empty() && second.methods.iter().all(|m| methods.contains(m));
     (methods.is_empty() || every) && second.path.starts_with(&first.path)
 }
 
-fn addresses(targets: &IndexMap<String, Target>) -> Result<(), Violation> {
+fn check_addresses(targets: &IndexMap<String, Target>) -> Result<(), Violation> {
     let mut seen: IndexMap<&str, &str> = IndexMap::new();
     for (name, target) in targets {
         let section = format!("target {name}");
@@ -140,15 +143,15 @@
     Ok(())
 }
 
-/// Checks that one document may follow another.
+/// Checks that a document may replace an earlier version.
 ///
-/// A service's name, ownership and groups stay: its ranges are laid out by them. The name of a
-/// target stands for one server, so its address, failure domain and fencing stay too; another server gets
-/// another name. A target leaves before it goes, so that no request in flight is cut off.
+/// A service's name, ownership and groups can't change, because its ranges are laid out by them. The name of a
+/// target identifies one server, so its address, failure domain and fencing can't change either; another server needs
+/// another name. A target must be `leaving` before it is removed, so that no in-flight request is aborted.
 ///
 /// # Errors
 ///
-/// Returns the first [`Violation`], in the terms of the later document.
+/// Returns the first [`Violation`], with the section and key of the later document.
 ///
 /// # Example
 ///
@@ -180,10 +183,10 @@
     }
     base.targets
         .iter()
-        .try_for_each(|(name, target)| target_change(name, target, next.targets.get(name)))
+        .try_for_each(|(name, target)| check_target_change(name, target, next.targets.get(name)))
 }
 
-fn target_change(name: &str, base: &Target, next: Option<&Target>) -> Result<(), Violation> {
+fn check_target_change(name: &str, base: &Target, next: Option<&Target>) -> Result<(), Violation> {
     let section = format!("target {name}");
     let Some(next) = next else {
         if base.state == TargetState::Leaving {
--- a/src/document/put.rs
+++ b/src/document/put.rs
@@ -1,7 +1,8 @@
-//! Putting a document: one winner, one clear conflict, and lost answers settled by reading back.
+//! Writes a new version of a document with compare-and-set.
 //!
-//! A put names the version it is based on. A write whose answer was lost is neither a success nor a
-//! failure until the value has been read back: the stamps in it tell.
+//! A put names the version that it is based on. Of several puts on the same version, one is accepted and the others
+//! get a [`Conflict`]. If the answer to a write is lost, the write may have taken effect. The put then reads the value
+//! again and looks for its own stamp in it.
 
 use serde::Serialize;
 use similar::TextDiff;
@@ -17,70 +18,72 @@
     util::ini::Fault,
 };
 
-/// How many calls a put may make before it gives up.
-const CALLS_MAX: u32 = 12;
-/// How many unchanged lines stand around a difference.
-const CONTEXT: usize = 2;
+/// The maximum number of calls of a put.
+const MAX_CALLS: u32 = 12;
+/// The number of unchanged lines around each difference.
+const CONTEXT_LINES: usize = 2;
 
-/// What became of a call.
+/// The result of a call to the platform's service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The value was read; none if the key doesn't exist.
+    /// The value was read; `None` if the key doesn't exist.
     Read(Option<(Version, String)>),
     /// The read got no answer.
     ReadFailed,
     /// The write was answered.
     Written(WriteOutcome),
-    /// The write can't have taken effect.
+    /// The write failed and has certainly not taken effect.
     WriteFailed,
-    /// The write may have taken effect.
+    /// The write may have taken effect, for example because its answer was lost.
     WriteUncertain,
 }
 
-/// What to do next.
+/// The next call to make, or the outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read the value.
     Read,
-    /// Write this value where the key stands at this version.
+    /// Write this value if the key is at this version.
     Write(Version, String),
-    /// It is done.
+    /// The put has ended.
     Done(Outcome),
 }
 
-/// How a put ended.
+/// The outcome of a put.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The document is accepted at this version.
     Accepted(Version),
-    /// This very text stands at this version already; nothing was written.
+    /// This version already has the same text; nothing was written.
     Unchanged(Version),
-    /// Another version stands there; nothing was changed by this put.
+    /// Another version is in place; this put changed nothing.
     Conflict(Conflict),
-    /// The document is refused; nothing was changed.
+    /// The document is invalid; nothing was changed.
     Refused(Fault),
     /// The platform's service didn't answer; nothing was changed.
     Unreached,
-    /// A write was sent, and whether it took effect could not be learned.
+    /// A write was sent, and it is unknown whether it took effect.
     Unknown,
 }
 
-/// Why a put lost, and to whom.
+/// A conflict with a version that another operator put.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Conflict {
     /// The version that the put was based on.
     pub base: Version,
-    /// The version that stands; 0 if there is none.
+    /// The current version; 0 if there is none.
     pub version: Version,
-    /// Who put it; empty if it isn't known.
+    /// The operator who put the current version; empty if unknown.
     pub operator: String,
-    /// When it was put, in milliseconds since 1970; 0 if it isn't known.
+    /// The time of that put, in milliseconds since 1970; 0 if unknown.
     pub at_ms: u64,
-    /// The difference from the text that stands to the text that was to be put.
+    /// The difference from the current text to the rejected one.
     pub difference: String,
 }
 
-/// One put under way.
+/// A put in progress.
+///
+/// It makes no calls itself: the caller makes the call in each [`Step`] and passes the result to [`Operation::handle`].
 #[derive(Clone, Debug)]
 pub struct Operation {
     file: String,
@@ -88,15 +91,15 @@
     document: Document,
     stamp: Stamp,
     calls: u32,
-    sent: bool,
+    maybe_written: bool,
 }
 
 impl Operation {
-    /// Starts a put of `text`, read from `file`; `stamp` says on which version.
+    /// Starts a put of `text`, which was read from `file`. The base version is in `stamp`.
     ///
     /// # Errors
     ///
-    /// Returns the [`Fault`] of a document that is refused without asking the platform.
+    /// Returns the [`Fault`] of an invalid document, before any call to the platform's service.
     ///
     /// # Example
     ///
@@ -123,12 +126,12 @@
             document,
             stamp,
             calls: 1,
-            sent: false,
+            maybe_written: false,
         };
         Ok((operation, Step::Read))
     }
 
-    /// Returns the key in the platform's service that is read and written.
+    /// Returns the key of the document in the platform's service.
     ///
     /// # Example
     ///
@@ -144,7 +147,7 @@
         stored::key(&self.document.service)
     }
 
-    /// Takes what became of the last step's call, and returns the next step.
+    /// Handles the result of the last call, and returns the next step.
     ///
     /// # Example
     ///
@@ -155,25 +158,25 @@
             Event::Written(WriteOutcome::Committed(version)) => {
                 Step::Done(Outcome::Accepted(version))
             }
-            // An earlier write of this put may be what stands there now, so the value decides.
+            // An earlier write of this put may have made the current version, so the value must be read.
             Event::Written(WriteOutcome::Conflict(_)) | Event::ReadFailed | Event::WriteFailed => {
                 Step::Read
             }
             Event::WriteUncertain => {
-                self.sent = true;
+                self.maybe_written = true;
                 Step::Read
             }
         };
-        self.limited(step)
+        self.limit_calls(step)
     }
 
-    /// Ends the put when it has made enough calls.
-    fn limited(&mut self, step: Step) -> Step {
+    /// Returns the step, or the outcome if the put has made the maximum number of calls.
+    fn limit_calls(&mut self, step: Step) -> Step {
         self.calls += 1;
-        if matches!(step, Step::Done(_)) || self.calls <= CALLS_MAX {
+        if matches!(step, Step::Done(_)) || self.calls <= MAX_CALLS {
             return step;
         }
-        if self.sent {
+        if self.maybe_written {
             return Step::Done(Outcome::Unknown);
         }
         Step::Done(Outcome::Unreached)
@@ -182,23 +185,23 @@
     fn read(&self, value: Option<(Version, String)>) -> Step {
         let (version, value) = value.unwrap_or_default();
         let stored = Stored::parse(&value);
-        if let Some(won) = self.won_at(version, &stored) {
-            return Step::Done(Outcome::Accepted(won));
+        if let Some(accepted) = self.accepted_version(version, &stored) {
+            return Step::Done(Outcome::Accepted(accepted));
         }
         if version == self.stamp.base {
             return self.write(version, &stored);
         }
-        // The stamps reach back to the base, so this put's own would be among them.
+        // If the stamps go back to the base version, they would include the stamp of this put.
         let oldest = stored.stamps.first().map(|stamp| stamp.base);
         let complete = oldest.is_some_and(|oldest| oldest <= self.stamp.base);
-        if self.sent && !complete {
+        if self.maybe_written && !complete {
             return Step::Done(Outcome::Unknown);
         }
         Step::Done(Outcome::Conflict(self.conflict(version, &stored)))
     }
 
-    /// Returns the version that this put gave, if a stamp shows that it took effect.
-    fn won_at(&self, version: Version, stored: &Stored) -> Option<Version> {
+    /// Returns the version that this put created, if its stamp shows that it took effect.
+    fn accepted_version(&self, version: Version, stored: &Stored) -> Option<Version> {
         let log = stored.log(version);
         let own = |(_, stamp): &&(Version, &Stamp)| stamp.writer == self.stamp.writer;
         log.iter().find(own).map(|(version, _)| *version)
@@ -206,7 +209,7 @@
 
     fn write(&self, version: Version, stored: &Stored) -> Step {
         let plain = stored::strip_metadata(&self.text);
-        if !self.sent && version > 0 && plain == stored.text {
+        if !self.maybe_written && version > 0 && plain == stored.text {
             return Step::Done(Outcome::Unchanged(version));
         }
         if let Err(fault) = self.check(stored) {
@@ -216,7 +219,7 @@
         Step::Write(version, next.to_string())
     }
 
-    /// Checks the change from what stands; what can't be read any more may be replaced.
+    /// Checks the change from the current text. A current text that is no longer valid may be replaced by any document.
     fn check(&self, stored: &Stored) -> Result<(), Fault> {
         let Ok(base) = text::parse("base", &stored.text) else {
             return Ok(());
@@ -236,7 +239,7 @@
     }
 }
 
-/// Returns the difference between two texts, in the unified form.
+/// Returns the difference between two texts as a unified diff.
 ///
 /// # Example
 ///
@@ -249,7 +252,7 @@
     let diff = TextDiff::from_lines(old, new);
     let mut unified = diff.unified_diff();
     unified
-        .context_radius(CONTEXT)
+        .context_radius(CONTEXT_LINES)
         .header("stands", "yours")
         .to_string()
 }
--- a/src/document/stored.rs
+++ b/src/document/stored.rs
@@ -1,8 +1,8 @@
-//! A document as the platform's service holds it: the text as written, then its stamps.
+//! The stored form of a document: the operator's text followed by stamps.
 //!
-//! Each put adds a stamp, a comment line at the end of the text, so that every reader parses the
-//! value as it is. The stamps of the last puts travel with the value: they settle a put whose answer
-//! was lost, even if others have been put since, and they are the document's log.
+//! Each put adds a stamp, which is a comment line at the end of the text, so that every reader can parse the
+//! value unchanged. The value keeps the stamps of the last puts. They show whether a put took effect whose answer
+//! was lost, even after later puts, and they are the document's log.
 
 use std::fmt::{self, Write as _};
 
@@ -11,14 +11,14 @@
     platform,
 };
 
-/// How many stamps a value carries.
-pub const STAMPS_MAX: usize = 64;
+/// The number of stamps that a value keeps.
+pub const MAX_STAMPS: usize = 64;
 
-/// The longest name of an operator that a stamp carries.
-const OPERATOR_MAX: usize = 64;
+/// The longest operator name in a stamp, in characters.
+const MAX_OPERATOR_CHARS: usize = 64;
 
-const STAMP: &str = "; put ";
-const BASE: &str = "; version ";
+const STAMP_PREFIX: &str = "; put ";
+const VERSION_PREFIX: &str = "; version ";
 
 /// Returns the key of a service's document in the platform's service.
 ///
@@ -33,16 +33,16 @@
     format!("{}{service}", platform::DOCUMENTS)
 }
 
-/// Who put a version, and on which.
+/// The record of one put: its operator, time and base version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stamp {
-    /// An id that no other put has.
+    /// The unique id of the put.
     pub writer: String,
     /// The version that the put was based on; 0 for a new document.
     pub base: Version,
-    /// Milliseconds since 1970, by the writer's wall clock.
+    /// The time in milliseconds since 1970, by the writer's wall clock.
     pub at_ms: u64,
-    /// The operator, as given.
+    /// The operator's name.
     pub operator: String,
 }
 
@@ -54,12 +54,15 @@
             at_ms,
             operator,
         } = self;
-        write!(f, "{STAMP}{writer} base={base} at={at_ms} by={operator}")
+        write!(
+            f,
+            "{STAMP_PREFIX}{writer} base={base} at={at_ms} by={operator}"
+        )
     }
 }
 
 impl Stamp {
-    /// Creates a stamp; what would break its line in the operator's name is left out.
+    /// Creates a stamp. Only graphic ASCII characters of the operator's name are kept, as others would break the line.
     ///
     /// # Example
     ///
@@ -69,17 +72,17 @@
     /// assert_eq!(Stamp::new("w1", 3, 9, "a b\n").operator, "ab");
     /// ```
     pub fn new(writer: &str, base: Version, at_ms: u64, operator: &str) -> Self {
-        let plain = operator.chars().filter(char::is_ascii_graphic);
+        let graphic = operator.chars().filter(char::is_ascii_graphic);
         Self {
             writer: writer.to_owned(),
             base,
             at_ms,
-            operator: plain.take(OPERATOR_MAX).collect(),
+            operator: graphic.take(MAX_OPERATOR_CHARS).collect(),
         }
     }
 
     fn parse(line: &str) -> Option<Self> {
-        let mut words = line.strip_prefix(STAMP)?.split(' ');
+        let mut words = line.strip_prefix(STAMP_PREFIX)?.split(' ');
         let stamp = Self {
             writer: words.next()?.to_owned(),
             base: words.next()?.strip_prefix("base=")?.parse().ok()?,
@@ -90,17 +93,17 @@
     }
 }
 
-/// A document's text and the stamps of its last puts, the newest last.
+/// The text of a document and the stamps of its last puts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stored {
     /// The text as the operator wrote it, without stamps.
     pub text: String,
-    /// The stamps.
+    /// The stamps, newest last.
     pub stamps: Vec<Stamp>,
 }
 
 impl Stored {
-    /// Reads a value; the stamps are the comment lines at its end.
+    /// Parses a stored value; the stamps are the comment lines at its end.
     ///
     /// # Example
     ///
@@ -127,7 +130,8 @@
 
     /// Returns the value that follows this one when `text` is put with `stamp`.
     ///
-    /// Stamps within `text`, as `document get` gives them, are replaced by the true ones.
+    /// Stamps and a version line that `text` still has from `document get` are dropped; the stamps of this value and
+    /// the new one are used instead.
     ///
     /// # Example
     ///
@@ -139,7 +143,7 @@
     /// ```
     #[must_use]
     pub fn next(&self, text: &str, stamp: Stamp) -> Self {
-        let skip = (self.stamps.len() + 1).saturating_sub(STAMPS_MAX);
+        let skip = (self.stamps.len() + 1).saturating_sub(MAX_STAMPS);
         let mut stamps: Vec<Stamp> = self.stamps.iter().skip(skip).cloned().collect();
         stamps.push(stamp);
         Self {
@@ -148,9 +152,9 @@
         }
     }
 
-    /// Returns the stamps with the version that each put gave, the newest first.
+    /// Returns the stamps with the version that each put created, newest first.
     ///
-    /// A put's version is the base of the next one; the newest put's is `version`, the value's own.
+    /// A put's version is the base of the next put; the newest put created `version`, the version of this value.
     ///
     /// # Example
     ///
@@ -181,7 +185,7 @@
     }
 }
 
-/// Splits the last line off a value if it is a stamp.
+/// Splits off the last line of a value if it is a stamp.
 fn last_stamp(value: &str) -> Option<(&str, Stamp)> {
     let whole = value.strip_suffix('\n')?;
     let start = whole.rfind('\n').map_or(0, |end| end + 1);
@@ -189,7 +193,7 @@
     Some((&value[..start], stamp))
 }
 
-/// Marks a text with the version it was got at, for a later put.
+/// Adds a first line with the version of a text, which is the base of a later put.
 ///
 /// # Example
 ///
@@ -200,10 +204,10 @@
 /// assert_eq!(stored::read_version(&text), Some(7));
 /// ```
 pub fn with_version(text: &str, version: Version) -> String {
-    format!("{BASE}{version}\n{text}")
+    format!("{VERSION_PREFIX}{version}\n{text}")
 }
 
-/// Returns the version that a text was got at, if its first line says so.
+/// Returns the version in the first line of a text, if there is one.
 ///
 /// # Example
 ///
@@ -214,10 +218,10 @@
 /// ```
 pub fn read_version(text: &str) -> Option<Version> {
     let first = text.lines().next()?;
-    first.strip_prefix(BASE)?.trim().parse().ok()
+    first.strip_prefix(VERSION_PREFIX)?.trim().parse().ok()
 }
 
-/// Drops the mark and the stamps from a text, so that only what an operator wrote is left.
+/// Removes the version line and the stamps from a text, which leaves the operator's own text.
 ///
 /// # Example
 ///
--- a/src/document/text.rs
+++ b/src/document/text.rs
@@ -1,4 +1,4 @@
-//! The INI text of a service document.
+//! The INI text of a service document: its keys, the parser and the formatter.
 
 use std::fmt::Write as _;
 
@@ -12,7 +12,7 @@
     },
 };
 
-/// The longest text of a document, in bytes; the platform's service holds a megabyte in one value.
+/// The longest text of a document, in bytes. The platform's service allows one megabyte per value.
 pub const MAX_TEXT_BYTES: usize = 900_000;
 
 const SERVICE: &str = "service";
@@ -20,7 +20,7 @@
 const TARGET: &str = "target *";
 const DAY_MS: u64 = 86_400_000;
 
-/// Every key of a service document.
+/// The table of all keys of a service document.
 pub static FIELDS: &[Field] = &[
     Field::new(
         SERVICE,
@@ -157,11 +157,11 @@
     ),
 ];
 
-/// Reads a document and checks it as a whole.
+/// Parses and validates a document.
 ///
 /// # Errors
 ///
-/// Returns the first [`Fault`], which names file, line, section, key and reason.
+/// Returns the first [`Fault`] with its file, line, section, key and reason.
 ///
 /// # Example
 ///
@@ -186,11 +186,11 @@
     read(file, text).map(|(document, _)| document)
 }
 
-/// Reads a document that is to follow another version, and checks the change too.
+/// Parses and validates a document that is to replace the version `base`.
 ///
 /// # Errors
 ///
-/// Returns the first [`Fault`] of the document or of the change.
+/// Returns the first [`Fault`] of the document or of the change from `base`.
 ///
 /// # Example
 ///
@@ -290,9 +290,9 @@
     })
 }
 
-/// Writes a document as INI text, every key given.
+/// Formats a document as INI text that contains every key.
 ///
-/// [`parse`] reads the same document back.
+/// [`parse`] returns the same document from this text.
 ///
 /// # Example
 ///
@@ -306,47 +306,47 @@
 /// ```
 pub fn format(document: &Document) -> String {
     let mut text = String::new();
-    service_text(&mut text, document);
+    write_service(&mut text, document);
     for (name, class) in &document.classes {
-        class_text(&mut text, name, class);
+        write_class(&mut text, name, class);
     }
     for (name, target) in &document.targets {
-        target_text(&mut text, name, target);
+        write_target(&mut text, name, target);
     }
     text
 }
 
-/// Writes one line; writing to a string cannot fail.
-fn line(text: &mut String, key: &str, value: impl std::fmt::Display) {
+/// Appends one line; writing to a string cannot fail.
+fn write_line(text: &mut String, key: &str, value: impl std::fmt::Display) {
     let _ = writeln!(text, "{key} = {value}");
 }
 
-fn service_text(text: &mut String, document: &Document) {
+fn write_service(text: &mut String, document: &Document) {
     let ownership = match document.ownership {
         Ownership::Exclusive => "exclusive",
         Ownership::Shared => "shared",
     };
     text.push_str("[service]\n");
-    line(text, "name", &document.service);
-    line(text, "ownership", ownership);
-    line(text, "groups", document.groups);
-    line(text, "ranges", document.ranges);
-    line(text, "unavailable_weight", document.unavailable_weight);
-    line(text, "churn_weight", document.churn_weight);
-    line(text, "body_limit", document.body_limit);
+    write_line(text, "name", &document.service);
+    write_line(text, "ownership", ownership);
+    write_line(text, "groups", document.groups);
+    write_line(text, "ranges", document.ranges);
+    write_line(text, "unavailable_weight", document.unavailable_weight);
+    write_line(text, "churn_weight", document.churn_weight);
+    write_line(text, "body_limit", document.body_limit);
 }
 
-fn class_text(text: &mut String, name: &str, class: &Class) {
+fn write_class(text: &mut String, name: &str, class: &Class) {
     let _ = writeln!(text, "\n[class {name}]");
-    line(text, "methods", class.methods.join(", "));
-    line(text, "path", &class.path);
-    line(text, "idempotent", class.idempotent);
-    line(text, "share", class.share);
-    line(text, "deadline_ms", class.deadline.as_millis());
-    line(text, "queue_ms", class.queue.as_millis());
+    write_line(text, "methods", class.methods.join(", "));
+    write_line(text, "path", &class.path);
+    write_line(text, "idempotent", class.idempotent);
+    write_line(text, "share", class.share);
+    write_line(text, "deadline_ms", class.deadline.as_millis());
+    write_line(text, "queue_ms", class.queue.as_millis());
 }
 
-fn target_text(text: &mut String, name: &str, target: &Target) {
+fn write_target(text: &mut String, name: &str, target: &Target) {
     let fencing = match target.fencing {
         Fencing::Checked => "checked",
         Fencing::Unchecked => "unchecked",
@@ -356,10 +356,10 @@
         TargetState::Leaving => "leaving",
     };
     let _ = writeln!(text, "\n[target {name}]");
-    line(text, "address", &target.address);
-    line(text, "domain", &target.domain);
-    line(text, "fencing", fencing);
-    line(text, "slots", target.slots);
-    line(text, "connections", target.connections);
-    line(text, "state", state);
+    write_line(text, "address", &target.address);
+    write_line(text, "domain", &target.domain);
+    write_line(text, "fencing", fencing);
+    write_line(text, "slots", target.slots);
+    write_line(text, "connections", target.connections);
+    write_line(text, "state", state);
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,6 @@
-//! The settings of one process, read once from an INI file and checked as a whole.
+//! The settings of one process.
+//!
+//! They are read once from an INI file. A file with an invalid or unknown key, or without a required one, is rejected.
 
 use std::{fs, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -14,40 +16,40 @@
     },
 };
 
-/// The longest span that any setting allows: a day.
+/// The longest duration that any setting allows: one day.
 const DAY_MS: u64 = 86_400_000;
 
-/// Everything that one process is told.
+/// The settings of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The VM's name; a start's id is this name and a number.
+    /// The VM's name; the id of each start of the process is this name and a number.
     pub name: String,
-    /// The failure domain the VM stands in.
+    /// The failure domain of the VM.
     pub domain: DomainId,
-    /// Where callers reach it.
+    /// The address that the process listens on for callers.
     pub callers: SocketAddr,
-    /// Where other processes and operators reach it.
+    /// The address that the process listens on for other processes and operators.
     pub peers: SocketAddr,
-    /// Where other processes are told to reach it; the address it listens on without one.
+    /// The address announced to other processes; preset to the address in `peers`.
     pub advertise: Option<SocketAddr>,
-    /// Where the platform's service answers.
+    /// The address of the platform's service.
     pub platform: SocketAddr,
-    /// Peers to try first, before the platform's list is known.
+    /// The peers to contact before the platform's list of VMs is known.
     pub seeds: Vec<SocketAddr>,
-    /// The least grave kind of line to log.
+    /// The lowest severity that is logged.
     pub log_level: LevelFilter,
-    /// The log's file; standard error without one.
+    /// The log file; the log goes to standard error without one.
     pub log_file: Option<PathBuf>,
-    /// Where metrics go, over UDP; nowhere without one.
+    /// The StatsD address that metrics are sent to over UDP; they are not sent without one.
     pub statsd: Option<SocketAddr>,
-    /// Spans of time.
+    /// The intervals and timeouts.
     pub timing: Timing,
-    /// Bounds on what is kept and taken.
+    /// The bounds on memory.
     pub limits: Limits,
 }
 
 impl Settings {
-    /// Returns how many orders one shard remembers, and for how long.
+    /// Returns the limits on the number and age of the orders that one shard remembers.
     ///
     /// # Example
     ///
@@ -67,24 +69,24 @@
     }
 }
 
-/// Spans of time that each process may choose for itself.
+/// The intervals and timeouts that may differ between processes.
 ///
-/// The spans on which ownership rests are [`grantor::Timing`](crate::grantor::Timing) and no settings: a VM that
-/// counted a grant differently from the others could make a second owner.
+/// The durations that exclusive ownership depends on are in [`grantor::Timing`](crate::grantor::Timing) and can't be
+/// set. If one VM counted the duration of a grant differently from the others, a key could get a second owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How often peers are probed.
+    /// The interval between probes of peers.
     pub probe: Duration,
-    /// How far the platform's list of VMs may lag.
+    /// The longest time that the platform's list of VMs may be out of date.
     pub list_lag: Duration,
-    /// How long requests in flight may take to end when the process stops.
+    /// How long the process waits for in-flight requests when it stops.
     pub drain: Duration,
-    /// How long an order whose id has no date is remembered at the least.
+    /// The shortest time that an order is remembered if its id contains no date.
     pub order: Duration,
 }
 
 impl Timing {
-    /// Returns the spans of membership.
+    /// Returns the intervals and timeouts of membership.
     ///
     /// # Example
     ///
@@ -106,16 +108,16 @@
     }
 }
 
-/// Bounds on what one process keeps and takes.
+/// The bounds on the memory of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Events kept for the time line, and as many again of single requests.
+    /// The number of events kept for the timeline; the same number of events of single requests is kept separately.
     pub events: usize,
-    /// Memory for the orders of one shard of request ids, in bytes.
+    /// The memory for the orders of one shard of request ids, in bytes.
     pub order_bytes: usize,
 }
 
-const fn span(
+const fn duration_field(
     key: &'static str,
     preset: &'static str,
     min: u64,
@@ -131,7 +133,7 @@
     )
 }
 
-const fn bound(
+const fn limit_field(
     key: &'static str,
     unit: &'static str,
     preset: &'static str,
@@ -147,7 +149,7 @@
     )
 }
 
-/// Every key of the settings.
+/// The table of all settings.
 pub static FIELDS: &[Field] = &[
     Field::new(
         "vm",
@@ -226,29 +228,29 @@
         Preset::Nothing,
         "Where metrics go, over UDP; nowhere without one.",
     ),
-    span("probe_ms", "200", 10, DAY_MS, "How often peers are probed."),
-    span(
+    duration_field("probe_ms", "200", 10, DAY_MS, "How often peers are probed."),
+    duration_field(
         "drain_ms",
         "30000",
         0,
         DAY_MS,
         "How long requests in flight may take to end when the process stops.",
     ),
-    span(
+    duration_field(
         "order_ms",
         "3600000",
         1000,
         DAY_MS,
         "How long an order whose id has no date is remembered at the least.",
     ),
-    bound(
+    limit_field(
         "events",
         "events",
         "20000",
         1_000_000,
         "Events kept for the time line, and as many again of single requests.",
     ),
-    bound(
+    limit_field(
         "order_bytes",
         "bytes",
         "2097152",
@@ -257,11 +259,11 @@
     ),
 ];
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Returns one [`Fault`] that names file, line, key and reason.
+/// Returns the first [`Fault`] with its file, line, key and reason.
 ///
 /// # Example
 ///
@@ -283,11 +285,11 @@
     parse(&file, &text)
 }
 
-/// Checks the text of a settings file.
+/// Parses and validates the text of a settings file.
 ///
 /// # Errors
 ///
-/// Returns one [`Fault`] that names file, line, key and reason.
+/// Returns the first [`Fault`] with its file, line, key and reason.
 ///
 /// # Example
 ///
@@ -324,7 +326,7 @@
         timing: timing(&checked)?,
         limits: limits(&checked)?,
     };
-    cross(&checked, &settings)?;
+    check_addresses(&checked, &settings)?;
     Ok(settings)
 }
 
@@ -344,8 +346,8 @@
     })
 }
 
-/// Checks what no key can tell alone.
-fn cross(checked: &Checked, settings: &Settings) -> Result<(), Fault> {
+/// Checks the rules that involve more than the type of a single key.
+fn check_addresses(checked: &Checked, settings: &Settings) -> Result<(), Fault> {
     let same = settings.callers == settings.peers && settings.peers.port() != 0;
     if same {
         return Err(checked.fault_at("listen", "peers", "is the address for callers"));
