--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line against a stand-in of the platform and a VM that answers operators.
+//! Tests of the command line, against a stand-in for the platform's service and a VM that answers admin queries.
 
 use std::{
     ffi::OsString,
@@ -38,18 +38,18 @@
     cli::parse(arguments).map_or_else(|output| output, cli::execute)
 }
 
-/// A directory of files that operators use.
-struct Desk(tempfile::TempDir);
+/// A temporary directory with an operator's settings and documents.
+struct Workspace(tempfile::TempDir);
 
-impl Desk {
+impl Workspace {
     fn new(platform: SocketAddr, vm: SocketAddr, seed: &str) -> Self {
-        let desk = Self(tempfile::tempdir().unwrap());
+        let workspace = Self(tempfile::tempdir().unwrap());
         let settings = format!(
             "[vm]\nname = vm-1\ndomain = d\n[listen]\ncallers = 127.0.0.1:0\npeers = {vm}\n\
              [platform]\naddress = {platform}\n[peers]\nseeds = {seed}\n"
         );
-        desk.write("vm.ini", &settings);
-        desk
+        workspace.write("vm.ini", &settings);
+        workspace
     }
 
     fn path(&self, name: &str) -> PathBuf {
@@ -60,7 +60,7 @@
         fs::write(self.path(name), text).unwrap();
     }
 
-    /// Runs a command with these settings and files of this desk.
+    /// Runs a command. `SETTINGS` and file names in the arguments become paths in this directory.
     fn run(&self, arguments: &[&str]) -> Output {
         let settings = self.path("vm.ini").display().to_string();
         let named: Vec<String> = arguments
@@ -77,13 +77,13 @@
     }
 }
 
-async fn answer(request: Request<Incoming>) -> Response<Body> {
+async fn answer_query(request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let body = bramleypier::util::body::read(request.into_body(), 1 << 20).await;
     let mut ring = Ring::new("vm-1#1".to_owned(), 9);
-    let moved = Event::new(Duty::Grantor, "move", Kind::RangeMoved).target("t1");
-    ring.record(Duration::from_secs(1), moved);
+    let range_moved = Event::new(Duty::Grantor, "move", Kind::RangeMoved).target("t1");
+    ring.record(Duration::from_secs(1), range_moved);
     let bytes = match Query::read(&method, &path, &body.unwrap_or_default()) {
         Ok(Query::Status) => admin::to_json(&Status {
             vm: "vm-1#1".to_owned(),
@@ -97,7 +97,7 @@
     Response::new(Body::from(bytes.unwrap()))
 }
 
-/// Starts the stand-in and a VM on a thread of their own, which ends with the test's process.
+/// Starts the stand-in and a VM on a thread that runs until the test process ends.
 fn start() -> (SocketAddr, SocketAddr) {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
@@ -107,20 +107,20 @@
             sender
                 .send((platform, listener.local_addr().unwrap()))
                 .unwrap();
-            server::serve(listener, server::Control::default(), answer).await;
+            server::serve(listener, server::Control::default(), answer_query).await;
         });
     });
     receiver.recv().unwrap()
 }
 
-/// Returns an address at which nobody listens.
-fn nobody() -> SocketAddr {
+/// Returns an address that no process listens on.
+fn unused_address() -> SocketAddr {
     let socket = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     socket.local_addr().unwrap()
 }
 
 #[test]
-fn each_command_explains_itself_with_an_example() {
+fn help_of_each_command_has_an_example() {
     let commands: &[&[&str]] = &[
         &[],
         &["run"],
@@ -146,9 +146,9 @@
 }
 
 #[test]
-fn wrong_usage_and_settings_end_with_2() {
-    let desk = Desk::new(nobody(), nobody(), "");
-    desk.write("bad.ini", "[vm]\ncolour = red\n");
+fn usage_and_settings_errors_exit_with_2() {
+    let workspace = Workspace::new(unused_address(), unused_address(), "");
+    workspace.write("bad.ini", "[vm]\ncolour = red\n");
     let cases: &[&[&str]] = &[
         &[],
         &["walk"],
@@ -170,7 +170,7 @@
         &["timeline", "--settings", "SETTINGS", "--since", "tomorrow"],
     ];
     for case in cases {
-        let output = desk.run(case);
+        let output = workspace.run(case);
         assert_eq!(output.exit, Exit::Usage, "{case:?}: {}", output.text);
         assert_eq!(
             output.text.trim_end().lines().count(),
@@ -182,18 +182,18 @@
 }
 
 #[test]
-fn checks_name_what_is_sound_and_what_is_not() {
-    let desk = Desk::new(nobody(), nobody(), "");
-    desk.write("a.ini", DOCUMENT);
-    desk.write("b.ini", "[service]\n");
-    let output = desk.run(&["check", "--settings", "SETTINGS", "a.ini"]);
+fn check_reports_valid_and_invalid_documents() {
+    let workspace = Workspace::new(unused_address(), unused_address(), "");
+    workspace.write("a.ini", DOCUMENT);
+    workspace.write("b.ini", "[service]\n");
+    let output = workspace.run(&["check", "--settings", "SETTINGS", "a.ini"]);
     assert_eq!(output.exit, Exit::Done);
     assert!(
         output
             .text
             .ends_with("a.ini: sound: service=a classes=1 targets=1\n")
     );
-    let output = desk.run(&["document", "check", "a.ini", "b.ini"]);
+    let output = workspace.run(&["document", "check", "a.ini", "b.ini"]);
     assert_eq!(output.exit, Exit::Failed);
     assert!(
         output
@@ -205,10 +205,10 @@
 }
 
 #[test]
-fn of_two_operators_one_puts_and_one_meets_the_conflict() {
+fn second_put_on_the_same_version_gets_a_conflict() {
     let (platform, vm) = start();
-    let desk = Desk::new(platform, vm, "");
-    desk.write("a.ini", DOCUMENT);
+    let workspace = Workspace::new(platform, vm, "");
+    workspace.write("a.ini", DOCUMENT);
     let put = [
         "document",
         "put",
@@ -218,16 +218,16 @@
         "--by",
         "ana",
     ];
-    let output = desk.run(&put);
+    let output = workspace.run(&put);
     assert_eq!(
         (output.exit, output.text.as_str()),
         (Exit::Done, "accepted version=1\n")
     );
 
-    let got = desk.run(&["document", "get", "a", "--settings", "SETTINGS"]);
+    let got = workspace.run(&["document", "get", "a", "--settings", "SETTINGS"]);
     assert_eq!(got.text, format!("; version 1\n{DOCUMENT}"));
-    desk.write("ana.ini", &got.text.replace("40", "41"));
-    desk.write("eva.ini", &got.text.replace("40", "42"));
+    workspace.write("ana.ini", &got.text.replace("40", "41"));
+    workspace.write("eva.ini", &got.text.replace("40", "42"));
     let eva = [
         "document",
         "put",
@@ -237,22 +237,23 @@
         "--by",
         "eva",
     ];
-    assert_eq!(desk.run(&eva).text, "accepted version=2\n");
-    let lost = desk.run(&["document", "put", "ana.ini", "--settings", "SETTINGS"]);
-    assert_eq!(lost.exit, Exit::Conflict);
+    assert_eq!(workspace.run(&eva).text, "accepted version=2\n");
+    let conflict = workspace.run(&["document", "put", "ana.ini", "--settings", "SETTINGS"]);
+    assert_eq!(conflict.exit, Exit::Conflict);
     assert!(
-        lost.text
+        conflict
+            .text
             .contains("based on version 1, but version 2 stands, put by eva at 20"),
         "{}",
-        lost.text
+        conflict.text
     );
     assert!(
-        lost.text.contains("-share = 42\n+share = 41\n"),
+        conflict.text.contains("-share = 42\n+share = 41\n"),
         "{}",
-        lost.text
+        conflict.text
     );
 
-    desk.write("bad.ini", &DOCUMENT.replace("127.0.0.1:1", "127.0.0.1:2"));
+    workspace.write("bad.ini", &DOCUMENT.replace("127.0.0.1:1", "127.0.0.1:2"));
     let refused = [
         "document",
         "put",
@@ -262,20 +263,20 @@
         "--base",
         "2",
     ];
-    assert_eq!(desk.run(&refused).exit, Exit::Failed);
-    let log = desk.run(&["document", "log", "a", "--settings", "SETTINGS"]);
+    assert_eq!(workspace.run(&refused).exit, Exit::Failed);
+    let log = workspace.run(&["document", "log", "a", "--settings", "SETTINGS"]);
     let by = |line: &str| line.rsplit('=').next().unwrap_or_default().to_owned();
     assert_eq!(log.text.lines().map(by).collect::<Vec<_>>(), ["eva", "ana"]);
-    let absent = desk.run(&["document", "get", "b", "--settings", "SETTINGS"]);
+    let absent = workspace.run(&["document", "get", "b", "--settings", "SETTINGS"]);
     assert_eq!(absent.exit, Exit::Failed);
 
-    let status = desk.run(&["document", "status", "--settings", "SETTINGS"]);
+    let status = workspace.run(&["document", "status", "--settings", "SETTINGS"]);
     assert_eq!(status.text, "service=a version=2 vms=0/1 lagging=vm-1#1\n");
     assert_eq!(status.exit, Exit::Failed);
 }
 
-/// Sets the stand-in's faults.
-fn fault(platform: SocketAddr, faults: &str) {
+/// Makes the stand-in inject these faults, given as JSON.
+fn inject(platform: SocketAddr, faults: &str) {
     let mut stream = TcpStream::connect(platform).unwrap();
     let length = faults.len();
     write!(
@@ -289,27 +290,27 @@
 }
 
 #[test]
-fn a_put_whose_answer_is_lost_is_settled_by_reading_back() {
+fn put_with_a_lost_answer_is_resolved_by_reading_back() {
     let (platform, vm) = start();
-    let desk = Desk::new(platform, vm, "");
-    desk.write("a.ini", DOCUMENT);
-    fault(platform, "{\"lose_answers\": 1}");
-    let output = desk.run(&["document", "put", "a.ini", "--settings", "SETTINGS"]);
+    let workspace = Workspace::new(platform, vm, "");
+    workspace.write("a.ini", DOCUMENT);
+    inject(platform, "{\"lose_answers\": 1}");
+    let output = workspace.run(&["document", "put", "a.ini", "--settings", "SETTINGS"]);
     assert_eq!(
         (output.exit, output.text.as_str()),
         (Exit::Done, "accepted version=1\n")
     );
-    let log = desk.run(&["document", "log", "a", "--settings", "SETTINGS"]);
+    let log = workspace.run(&["document", "log", "a", "--settings", "SETTINGS"]);
     assert_eq!(log.text.lines().count(), 1, "{}", log.text);
 }
 
 #[test]
-fn an_outage_is_said_and_leaves_the_time_line_usable() {
+fn outage_is_reported_and_the_timeline_still_works() {
     let (_, vm) = start();
-    let silent = nobody();
-    let desk = Desk::new(nobody(), vm, &silent.to_string());
-    desk.write("a.ini", DOCUMENT);
-    let output = desk.run(&[
+    let unreachable = unused_address();
+    let workspace = Workspace::new(unused_address(), vm, &unreachable.to_string());
+    workspace.write("a.ini", DOCUMENT);
+    let output = workspace.run(&[
         "timeline",
         "--settings",
         "SETTINGS",
@@ -325,20 +326,20 @@
             .contains(" vm-1#1 duty=grantor step=move kind=range-moved target=t1\n")
     );
     assert!(output.text.contains(&format!(
-        "not reached: {silent}; what it knows is missing\n"
+        "not reached: {unreachable}; what it knows is missing\n"
     )));
     assert!(
-        fs::read_to_string(desk.path("a.svg"))
+        fs::read_to_string(workspace.path("a.svg"))
             .unwrap()
             .contains("range-moved")
     );
-    let output = desk.run(&["status", "--settings", "SETTINGS", "--json"]);
+    let output = workspace.run(&["status", "--settings", "SETTINGS", "--json"]);
     assert!(
         output.text.contains("\"state\": \"serving\""),
         "{}",
         output.text
     );
-    let output = desk.run(&["document", "status", "--settings", "SETTINGS"]);
+    let output = workspace.run(&["document", "status", "--settings", "SETTINGS"]);
     assert!(
         output
             .text
@@ -346,7 +347,7 @@
         "{}",
         output.text
     );
-    let output = desk.run(&["document", "put", "a.ini", "--settings", "SETTINGS"]);
+    let output = workspace.run(&["document", "put", "a.ini", "--settings", "SETTINGS"]);
     assert_eq!(output.exit, Exit::Unreached);
     assert!(
         output.text.starts_with("nothing was changed: step=get "),
@@ -356,7 +357,7 @@
 }
 
 #[test]
-fn questions_are_read_or_refused() {
+fn admin_queries_are_parsed_or_rejected() {
     use hyper::Method;
     let filter = Filter {
         since: 7,
--- a/tests/document.rs
+++ b/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: faults in a table, text and document round trips, and puts under lost answers.
+//! Tests of document validation and of the round trip between documents and their text.
 
 use std::{env, fs, path::Path, time::Duration};
 
@@ -12,7 +12,7 @@
     test_runner::{Config, RngSeed},
 };
 
-const SOUND: &str = "[service]
+const VALID: &str = "[service]
 name = a
 [class orders]
 methods = POST
@@ -39,7 +39,7 @@
     }
 }
 
-/// What is replaced in the sound text, by what, and the fault that follows.
+/// A replacement in the valid text (old, new), and the fault that it causes.
 const FAULTS: &[(&str, &str, &str)] = &[
     (
         "name = a",
@@ -156,16 +156,16 @@
 ];
 
 #[test]
-fn faults_name_their_place() {
-    for (sound, bad, expected) in FAULTS {
-        let text = SOUND.replacen(sound, bad, 1);
+fn faults_name_line_section_and_key() {
+    for (valid, invalid, expected) in FAULTS {
+        let text = VALID.replacen(valid, invalid, 1);
         let fault = text::parse("a.ini", &text).unwrap_err().to_string();
-        assert_eq!(fault, format!("a.ini:{expected}"), "in {bad}");
+        assert_eq!(fault, format!("a.ini:{expected}"), "in {invalid}");
     }
 }
 
 #[test]
-fn what_is_missing_altogether_is_named() {
+fn missing_sections_and_oversized_texts_are_rejected() {
     let cases = [
         ("", "a.ini: [service] name: missing key"),
         (
@@ -189,9 +189,9 @@
 }
 
 #[test]
-fn a_group_takes_no_more_than_its_record_holds() {
+fn targets_and_ranges_of_a_group_are_limited_by_its_record() {
     let many = |count: usize, ranges: u32| {
-        let mut document = text::parse("a.ini", SOUND).unwrap();
+        let mut document = text::parse("a.ini", VALID).unwrap();
         let target = document.targets["t1"].clone();
         document.ranges = ranges;
         document.targets = (0..count)
@@ -215,7 +215,7 @@
     assert_eq!(many(17, 256), Err(("ranges", reason)));
 }
 
-/// What is replaced in the next version, by what, and the fault that follows.
+/// A replacement in the next version (old, new), and the fault that it causes.
 const CHANGES: &[(&str, &str, &str)] = &[
     (
         "name = a",
@@ -255,21 +255,25 @@
 ];
 
 #[test]
-fn changes_that_cannot_be_made_are_refused() {
-    let base = text::parse("a.ini", SOUND).unwrap();
-    for (sound, bad, expected) in CHANGES {
-        let next = SOUND.replacen(sound, bad, 1);
+fn changes_of_fixed_keys_are_rejected() {
+    let base = text::parse("a.ini", VALID).unwrap();
+    for (valid, invalid, expected) in CHANGES {
+        let next = VALID.replacen(valid, invalid, 1);
         let fault = text::parse_change("a.ini", &next, &base).unwrap_err();
-        assert_eq!(fault.to_string(), format!("a.ini:{expected}"), "in {bad}");
+        assert_eq!(
+            fault.to_string(),
+            format!("a.ini:{expected}"),
+            "in {invalid}"
+        );
     }
     let mut leaving = base.clone();
     leaving.targets["t2"].state = TargetState::Leaving;
-    let without = SOUND.split("[target t2]").next().unwrap();
+    let without = VALID.split("[target t2]").next().unwrap();
     assert!(text::parse_change("a.ini", without, &leaving).is_ok());
 }
 
 #[test]
-fn the_examples_are_sound() {
+fn examples_are_valid() {
     let sizes = [
         ("quito/tracking", 15),
         ("quito/dispatch", 8),
@@ -357,18 +361,18 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_document_comes_back_from_its_text(document in document()) {
+    fn formatted_documents_parse_to_the_same_document(document in document()) {
         let written = text::format(&document);
         match text::parse("a.ini", &written) {
             Ok(read) => prop_assert_eq!(read, document),
-            // Two random classes may take the same requests.
+            // A random class may match every request of a later one, which is then invalid.
             Err(fault) => prop_assert!(fault.reason.starts_with("never takes"), "{fault}"),
         }
     }
 
     #[test]
-    fn any_change_of_a_line_gives_a_document_or_one_line(line in 0_usize..16, text in "([a-z_]{1,9} ?= ?)?\\PC{0,12}") {
-        let mut lines: Vec<&str> = SOUND.lines().collect();
+    fn any_changed_line_gives_a_document_or_a_one_line_fault(line in 0_usize..16, text in "([a-z_]{1,9} ?= ?)?\\PC{0,12}") {
+        let mut lines: Vec<&str> = VALID.lines().collect();
         lines[line.min(14)] = &text;
         if let Err(fault) = text::parse("a.ini", &lines.join("\n")) {
             let fault = fault.to_string();
--- a/tests/put.rs
+++ b/tests/put.rs
@@ -1,4 +1,5 @@
-//! Puts: one winner, one clear conflict, and no false outcome when answers are lost.
+//! Tests of puts: of concurrent puts one is accepted and the others get a conflict, and no outcome is wrong if answers
+//! are lost.
 
 use std::env;
 
@@ -16,7 +17,7 @@
     test_runner::{Config, RngSeed},
 };
 
-const SOUND: &str = "[service]
+const VALID: &str = "[service]
 name = a
 [class orders]
 methods = POST
@@ -43,24 +44,24 @@
     }
 }
 
-/// A store of one value, whose answers fail as told.
+/// A store of one value, with injected faults.
 #[derive(Default)]
 struct Store {
     version: Version,
     value: String,
 }
 
-/// What goes wrong with one call.
+/// The fault of one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The call never arrives.
+    /// The call is not sent.
     Unsent,
-    /// The call takes effect and its answer is lost.
+    /// The call takes effect, but its answer is lost.
     Lost,
-    /// The call is in doubt and never takes effect.
-    Doubt,
-    /// The call takes effect, another operator puts at once, and the answer is lost.
+    /// The call never takes effect, but the caller can't know that.
+    Uncertain,
+    /// The call takes effect, another operator puts the next version, and the answer is lost.
     Overtaken,
 }
 
@@ -76,7 +77,7 @@
 
     fn overtake(&mut self, writer: &str) {
         let stamp = Stamp::new(writer, self.version, 9, "eva");
-        let next = Stored::parse(&self.value).next(&SOUND.replace("40", "30"), stamp);
+        let next = Stored::parse(&self.value).next(&VALID.replace("40", "30"), stamp);
         self.put(self.version, &next.to_string());
     }
 
@@ -86,7 +87,7 @@
             Step::Read if self.version == 0 => Event::Read(None),
             Step::Read => Event::Read(Some((self.version, self.value.clone()))),
             Step::Write(..) if fault == Fault::Unsent => Event::WriteFailed,
-            Step::Write(..) if fault == Fault::Doubt => Event::WriteUncertain,
+            Step::Write(..) if fault == Fault::Uncertain => Event::WriteUncertain,
             Step::Write(base, value) => {
                 let put = self.put(*base, value);
                 if fault == Fault::Overtaken {
@@ -97,11 +98,11 @@
                 }
                 Event::WriteUncertain
             }
-            Step::Done(_) => unreachable!("it is done"),
+            Step::Done(_) => unreachable!("the put has ended"),
         }
     }
 
-    /// Puts a text while these faults befall the calls in turn, and none the later ones.
+    /// Puts a text. The faults apply to the calls in order; calls after the last fault succeed.
     fn run(&mut self, text: &str, writer: &str, base: Version, faults: &[Fault]) -> Outcome {
         let stamp = Stamp::new(writer, base, 5, "ana");
         let (mut operation, mut step) = match Operation::start("a.ini", text, stamp) {
@@ -120,16 +121,16 @@
 }
 
 #[test]
-fn puts_end_truthfully() {
-    use Fault::{Doubt, Lost, None, Overtaken, Unsent};
+fn outcomes_match_the_store_under_faults() {
+    use Fault::{Lost, None, Overtaken, Uncertain, Unsent};
     let cases: &[(&[Fault], Outcome, Version)] = &[
         (&[], Outcome::Accepted(3), 3),
         (&[Unsent, Unsent, None], Outcome::Accepted(3), 3),
         (&[None, Unsent], Outcome::Accepted(3), 3),
         (&[None, Lost], Outcome::Accepted(3), 3),
         (&[None, Lost, Unsent, Unsent], Outcome::Accepted(3), 3),
-        (&[None, Doubt], Outcome::Accepted(3), 3),
-        (&[None, Doubt, None, Lost], Outcome::Accepted(3), 3),
+        (&[None, Uncertain], Outcome::Accepted(3), 3),
+        (&[None, Uncertain, None, Lost], Outcome::Accepted(3), 3),
         (&[None, Overtaken], Outcome::Accepted(3), 6),
         (&[Unsent; 20], Outcome::Unreached, 0),
         (
@@ -143,18 +144,18 @@
     ];
     for (faults, outcome, version) in cases {
         let mut store = Store::default();
-        assert_eq!(&store.run(SOUND, "w1", 0, faults), outcome, "{faults:?}");
+        assert_eq!(&store.run(VALID, "w1", 0, faults), outcome, "{faults:?}");
         assert_eq!(store.version, *version, "{faults:?}");
     }
 }
 
 #[test]
-fn of_two_operators_one_wins_and_the_other_sees_the_difference() {
+fn conflict_shows_the_difference_to_the_current_version() {
     let mut store = Store::default();
-    store.run(SOUND, "w1", 0, &[]);
+    store.run(VALID, "w1", 0, &[]);
     store.overtake("w2");
     let before = store.value.clone();
-    let Outcome::Conflict(conflict) = store.run(&SOUND.replace("60", "50"), "w3", 3, &[]) else {
+    let Outcome::Conflict(conflict) = store.run(&VALID.replace("60", "50"), "w3", 3, &[]) else {
         panic!("no conflict");
     };
     assert_eq!((conflict.base, conflict.version), (3, 6));
@@ -168,42 +169,42 @@
 }
 
 #[test]
-fn a_refused_or_equal_document_changes_nothing() {
+fn invalid_or_unchanged_document_writes_nothing() {
     let mut store = Store::default();
-    store.run(SOUND, "w1", 0, &[]);
+    store.run(VALID, "w1", 0, &[]);
     let before = store.value.clone();
-    let refused = store.run(&SOUND.replace("127.0.0.1:2", "127.0.0.1:3"), "w2", 3, &[]);
+    let refused = store.run(&VALID.replace("127.0.0.1:2", "127.0.0.1:3"), "w2", 3, &[]);
     assert!(matches!(refused, Outcome::Refused(_)), "{refused:?}");
     assert!(matches!(
         store.run("[service]", "w2", 3, &[]),
         Outcome::Refused(_)
     ));
-    assert_eq!(store.run(SOUND, "w2", 3, &[]), Outcome::Unchanged(3));
+    assert_eq!(store.run(VALID, "w2", 3, &[]), Outcome::Unchanged(3));
     assert_eq!((store.version, &store.value), (3, &before));
 }
 
 #[test]
-fn a_value_without_stamps_leaves_a_lost_answer_unknown() {
+fn lost_answer_is_unknown_if_the_value_has_no_stamps() {
     let mut store = Store::default();
     let stamp = Stamp::new("w1", 0, 5, "ana");
-    let (mut operation, _) = Operation::start("a.ini", SOUND, stamp).unwrap();
+    let (mut operation, _) = Operation::start("a.ini", VALID, stamp).unwrap();
     operation.handle(Event::Read(None));
     assert_eq!(operation.handle(Event::WriteUncertain), Step::Read);
-    store.put(0, SOUND);
+    store.put(0, VALID);
     let step = operation.handle(store.call(&Step::Read, Fault::None));
     assert_eq!(step, Step::Done(Outcome::Unknown));
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
-    use Fault::{Doubt, Lost, None, Overtaken, Unsent};
-    prop::sample::select(vec![None, Unsent, Lost, Doubt, Overtaken])
+    use Fault::{Lost, None, Overtaken, Uncertain, Unsent};
+    prop::sample::select(vec![None, Unsent, Lost, Uncertain, Overtaken])
 }
 
 proptest! {
     #![proptest_config(config())]
 
     #[test]
-    fn stamps_come_back_from_a_value(text in "([ -~]{0,20}\n){0,4}", count in 0_usize..80) {
+    fn stored_values_round_trip(text in "([ -~]{0,20}\n){0,4}", count in 0_usize..80) {
         let mut stored = Stored::default();
         for index in 0..count {
             let base = Version::try_from(index).unwrap();
@@ -213,11 +214,11 @@
     }
 
     #[test]
-    fn an_outcome_is_never_false(faults in collection::vec(fault(), 0..16), stale: bool) {
+    fn outcomes_are_never_wrong(faults in collection::vec(fault(), 0..16), stale: bool) {
         let mut store = Store::default();
-        store.run(&SOUND.replace("60", "50"), "w0", 0, &[]);
+        store.run(&VALID.replace("60", "50"), "w0", 0, &[]);
         let base = if stale { 1 } else { 3 };
-        let outcome = store.run(SOUND, "w1", base, &faults);
+        let outcome = store.run(VALID, "w1", base, &faults);
         let stored = Stored::parse(&store.value);
         let log = stored.log(store.version);
         let own = log.iter().find(|(_, stamp)| stamp.writer == "w1").map(|(version, _)| *version);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault is one line that names file, line, key and reason.
+//! Tests of settings: each fault is one line with the file, line, key and reason.
 
 use std::{env, path::Path, time::Duration};
 
@@ -8,7 +8,7 @@
     test_runner::{Config, RngSeed},
 };
 
-const SOUND: &str = "[vm]
+const VALID: &str = "[vm]
 name = vm-1
 domain = uio-norte
 [listen]
@@ -29,17 +29,17 @@
 }
 
 #[test]
-fn presets_hold_for_missing_keys() {
-    let settings = settings::parse("vm.ini", SOUND).unwrap();
+fn missing_keys_have_their_presets() {
+    let settings = settings::parse("vm.ini", VALID).unwrap();
     assert_eq!(settings.domain, "uio-norte");
     assert_eq!(settings.timing.drain, Duration::from_secs(30));
     assert!(settings.seeds.is_empty() && settings.statsd.is_none() && settings.log_file.is_none());
 }
 
 #[test]
-fn optional_keys_are_taken() {
+fn optional_keys_are_parsed() {
     let text = format!(
-        "{SOUND}[peers] ; known at the start\nseeds = 127.0.0.1:1, 127.0.0.1:2 ; two\n\
+        "{VALID}[peers] ; known at the start\nseeds = 127.0.0.1:1, 127.0.0.1:2 ; two\n\
          [log]\nlevel = warn\nfile = C:\\vm.log\n[metrics]\n\tstatsd=127.0.0.1:8125\r\n\
          [limits]\nevents = 10\n"
     );
@@ -49,7 +49,7 @@
     assert_eq!(settings.log_file.as_deref(), Some(Path::new("C:\\vm.log")));
     assert_eq!(settings.statsd.unwrap().port(), 8125);
     assert_eq!(settings.limits.events, 10);
-    let text = SOUND.replace(
+    let text = VALID.replace(
         "peers = 127.0.0.1:0",
         "peers = 127.0.0.1:0\nadvertise = 127.0.0.1:9",
     );
@@ -57,7 +57,7 @@
     assert_eq!(settings.advertise.unwrap().port(), 9);
 }
 
-/// What is replaced in the sound text, by what, and the fault that follows.
+/// A replacement in the valid text (old, new), and the fault that it causes.
 const FAULTS: &[(&str, &str, &str)] = &[
     (
         "name = vm-1",
@@ -177,16 +177,16 @@
 ];
 
 #[test]
-fn faults_name_their_place() {
-    for (sound, bad, expected) in FAULTS {
-        let text = SOUND.replacen(sound, bad, 1);
+fn faults_name_line_section_and_key() {
+    for (valid, invalid, expected) in FAULTS {
+        let text = VALID.replacen(valid, invalid, 1);
         let fault = settings::parse("vm.ini", &text).unwrap_err().to_string();
-        assert_eq!(fault, format!("vm.ini:{expected}"), "in {bad}");
+        assert_eq!(fault, format!("vm.ini:{expected}"), "in {invalid}");
     }
 }
 
 #[test]
-fn missing_things_are_named() {
+fn missing_keys_and_files_are_reported() {
     let fault = settings::parse("vm.ini", "").unwrap_err();
     assert_eq!(fault.to_string(), "vm.ini: [vm] name: missing key");
     let fault = settings::load(Path::new("no/such.ini"))
@@ -202,7 +202,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_text_gives_settings_or_one_line(text in "(\\[vm\\]|name|=|;| |\\\\|\r?\n|[\\x00-\\x7f]|\\PC){0,60}") {
+    fn any_text_gives_settings_or_a_one_line_fault(text in "(\\[vm\\]|name|=|;| |\\\\|\r?\n|[\\x00-\\x7f]|\\PC){0,60}") {
         if let Err(fault) = settings::parse("vm.ini", &text) {
             let line = fault.to_string();
             prop_assert!(!line.contains('\n') && line.starts_with("vm.ini"), "{line:?}");
@@ -210,8 +210,8 @@
     }
 
     #[test]
-    fn lines_that_are_swapped_for_any_text_never_panic(line in 0_usize..9, text in "\\PC{0,20}") {
-        let mut lines: Vec<&str> = SOUND.lines().collect();
+    fn inserted_lines_never_panic(line in 0_usize..9, text in "\\PC{0,20}") {
+        let mut lines: Vec<&str> = VALID.lines().collect();
         lines.insert(line, &text);
         let _ = settings::parse("vm.ini", &lines.join("\n"));
     }
