--- a/src/settings.rs
+++ b/src/settings.rs
@@ -40,7 +40,7 @@
     pub log_level: LevelFilter,
     /// The log file; the log goes to standard error without one.
     pub log_file: Option<PathBuf>,
-    /// The StatsD address that metrics are sent to over UDP; they are not sent without one.
+    /// The `StatsD` address that metrics are sent to over UDP; they are not sent without one.
     pub statsd: Option<SocketAddr>,
     /// The intervals and timeouts.
     pub timing: Timing,
