--- a/src/admin.rs
+++ b/src/admin.rs
@@ -18,7 +18,7 @@
 
 /// The path that answers `GET` with a [`Status`].
 pub const STATUS_PATH: &str = "/admin/status";
-/// The path that answers `POST` of a [`Filter`] with a [`Part`](crate::timeline::ProcessEvents).
+/// The path that answers `POST` of a [`Filter`] with a [`ProcessEvents`](crate::timeline::ProcessEvents).
 pub const TIMELINE_PATH: &str = "/admin/timeline";
 /// The prefix of all admin paths.
 pub const PREFIX: &str = "/admin/";
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -86,7 +86,7 @@
     ledger: Ledger,
     starter: Starter,
     fleet: Option<Fleet>,
-    detector: Gone,
+    detector: RemovalDetector,
     gone: IndexSet<VmId>,
     version: Version,
     views: Views,
@@ -199,7 +199,7 @@
         let named: IndexSet<VmId> = members.cloned().collect();
         let live = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.live);
         let now = self.parts.clock.now();
-        let gone = self.detector.of(now, &named, list, live);
+        let gone = self.detector.detect(now, &named, list, live);
         if gone.iter().any(|vm| !self.gone.contains(vm)) {
             self.gone = gone;
             self.update_peers();
