--- a/src/chart/charts.rs
+++ b/src/chart/charts.rs
@@ -1,4 +1,7 @@
-//! The charts of this process, with the states and events that its code knows.
+//! The state charts of the router: the life cycles of a process, a target and a role (duty).
+//!
+//! Each submodule declares the states and events of one chart. Their names must match those of its
+//! file under `charts/`.
 
 use std::rc::Rc;
 
@@ -25,23 +28,23 @@
     }
 
     names! {
-        /// What happens to a process.
+        /// An event in the life cycle of a process.
         pub enum Event {
             /// Its sockets are open.
             Listening = "listening",
-            /// It knows its peers and the documents in force.
+            /// It knows its peers and the current documents.
             Joined = "joined",
-            /// It was told to stop.
+            /// It was asked to stop.
             Stop = "stop",
-            /// Nothing is in flight any more.
+            /// No request is in flight any more.
             Ended = "ended",
-            /// The time to finish what is in flight has passed.
+            /// The time allowed for requests in flight to finish has passed.
             Expired = "expired",
         }
     }
 }
 
-/// A target, as a process that talks to it sees it.
+/// The state of a target, as observed by a process that sends it messages.
 pub mod target {
     use crate::util::names::names;
 
@@ -66,19 +69,19 @@
     }
 
     names! {
-        /// What is heard of a target.
+        /// An observation about a target.
         pub enum Event {
-            /// It answered that it is cold.
+            /// It reported that it is cold.
             Cold = "cold",
-            /// It answered that it is ready.
+            /// It reported that it is ready.
             Ready = "ready",
-            /// It answered that it drains.
+            /// It reported that it is draining.
             Draining = "draining",
             /// It did not answer in time.
             Silence = "silence",
-            /// Its ranges were given to their heirs.
+            /// Its ranges were given to their successors.
             Release = "release",
-            /// It answered as another start.
+            /// It answered with another incarnation, so it has restarted.
             Restart = "restart",
             /// The document no longer names it.
             Removed = "removed",
@@ -86,46 +89,46 @@
     }
 }
 
-/// A duty, as the process that may hold it sees it.
+/// The life cycle of a role (duty), in the process that may hold it.
 pub mod duty {
     use crate::util::names::names;
 
     names! {
-        /// Whether the duty is held.
+        /// The state of a role in this process.
         pub enum State {
-            /// Another holds it, or nobody.
+            /// Another process holds it, or none does.
             Absent = "absent",
-            /// This process is named, and learns what it must know first.
+            /// This process is assigned, and is loading the state that the role needs.
             Taking = "taking",
             /// This process holds it.
             Held = "held",
-            /// This process passes it on.
+            /// This process is handing it over to another.
             Handing = "handing",
         }
     }
 
     names! {
-        /// What happens to a duty.
+        /// An event in the life cycle of a role.
         pub enum Event {
-            /// This process is to hold it.
+            /// This process was assigned the role.
             Named = "named",
-            /// This process may act.
+            /// This process may act in the role from now on.
             Confirmed = "confirmed",
-            /// Another process is to hold it.
+            /// Another process was assigned the role.
             Move = "move",
-            /// The other process has it.
+            /// The other process has taken over.
             Handed = "handed",
-            /// The lease on it has lapsed.
+            /// The lease on the role has expired.
             Lapse = "lapse",
         }
     }
 }
 
-/// Returns the chart of a process.
+/// Returns the state chart of a process.
 ///
 /// # Errors
 ///
-/// Returns the [`Fault`] of a chart that is not sound.
+/// Returns a [`Fault`] if the chart is invalid.
 ///
 /// # Example
 ///
@@ -138,11 +141,11 @@
     Chart::parse("vm", include_str!("../../charts/vm.ini")).map(Rc::new)
 }
 
-/// Returns the chart of a target.
+/// Returns the state chart of a target.
 ///
 /// # Errors
 ///
-/// Returns the [`Fault`] of a chart that is not sound.
+/// Returns a [`Fault`] if the chart is invalid.
 ///
 /// # Example
 ///
@@ -155,11 +158,11 @@
     Chart::parse("target", include_str!("../../charts/target.ini")).map(Rc::new)
 }
 
-/// Returns the chart of a duty.
+/// Returns the state chart of a role (duty).
 ///
 /// # Errors
 ///
-/// Returns the [`Fault`] of a chart that is not sound.
+/// Returns a [`Fault`] if the chart is invalid.
 ///
 /// # Example
 ///
--- a/src/chart/mod.rs
+++ b/src/chart/mod.rs
@@ -1,10 +1,10 @@
-//! State charts in files that the code interprets.
+//! State machines that are defined in files and interpreted at run time.
 //!
-//! The files under `charts/` are part of the binary; [`check_all`] checks them at the start. Their
-//! states and events must be just those of the enumerations in [`charts`], so code and files
-//! cannot drift apart.
+//! The files under `charts/` are compiled into the binary and checked by [`check_all`] when the
+//! process starts. Their states and events must be exactly those of the enumerations in [`charts`],
+//! so that code and files cannot diverge.
 //!
-//! A task owns a [`Machine`] for each life cycle it drives, and tells it what happened:
+//! A task owns a [`Machine`] for each life cycle that it drives, and passes events to it:
 //!
 //! ```
 //! use bramleypier::chart::charts::{self, vm};
@@ -28,20 +28,20 @@
     names::Names,
 };
 
-const HEAD: &str = "chart";
+const CHART_SECTION: &str = "chart";
 
 quick_error! {
-    /// An event that a state has no transition for.
+    /// Why a machine did not change its state.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum Error {
-        /// The machine stays in its state.
+        /// The state has no transition for the event; the machine keeps its state.
         Refused(chart: &'static str, state: &'static str, event: &'static str) {
             display("step=chart peer={chart} state={state} event={event} cause=\"no transition\"")
         }
     }
 }
 
-/// A change of state.
+/// A transition that a machine made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change<S> {
     /// The state before.
@@ -59,12 +59,12 @@
     }
 }
 
-/// A chart whose states and events are those of two enumerations.
+/// A state chart whose states and events are the variants of two enumerations.
 #[derive(Clone, Debug)]
 pub struct Chart<S, E> {
     name: &'static str,
     initial: S,
-    ends: IndexSet<S>,
+    final_states: IndexSet<S>,
     transitions: IndexMap<(S, E), S>,
 }
 
@@ -73,12 +73,12 @@
     S: Names,
     E: Names,
 {
-    /// Reads a chart and checks it.
+    /// Parses a chart and checks it.
     ///
     /// # Errors
     ///
     /// Returns a [`Fault`] for a state or event that is unknown, missing or never used, a state that
-    /// can't be reached, a final state that goes on, and any other state that doesn't.
+    /// can't be reached, a final state with a transition, and any other state without one.
     ///
     /// # Example
     ///
@@ -98,13 +98,13 @@
         let chart = Self {
             name,
             initial: reader.initial()?,
-            ends: reader.ends()?,
+            final_states: reader.final_states()?,
             transitions: reader.transitions()?,
         };
-        reader.declared::<E>()?;
+        reader.check_declared::<E>()?;
         chart.check_events(&reader)?;
-        chart.check_ends(&reader)?;
-        chart.check_reach(&reader)?;
+        chart.check_final_states(&reader)?;
+        chart.check_reachable(&reader)?;
         Ok(chart)
     }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Returns the state after an event in a state, if there is a transition.
+    /// Returns the state that follows when an event occurs in a state, or `None` without a transition.
     ///
     /// # Example
     ///
@@ -149,45 +149,46 @@
     /// assert!(charts::vm().unwrap().is_final(vm::State::Stopped));
     /// ```
     pub fn is_final(&self, state: S) -> bool {
-        self.ends.contains(&state)
+        self.final_states.contains(&state)
     }
 
-    /// Finds events that no state has a transition for.
+    /// Checks that each event has a transition in at least one state.
     fn check_events(&self, reader: &Reader) -> Result<(), Fault> {
         let used: IndexSet<E> = self.transitions.keys().map(|(_, event)| *event).collect();
         match E::ALL.iter().find(|event| !used.contains(*event)) {
             None => Ok(()),
             Some(event) => {
                 let reason = format!("no state takes the event `{}`", event.name());
-                Err(reader.fault(HEAD, "events", &reason))
+                Err(reader.fault(CHART_SECTION, "events", &reason))
             }
         }
     }
 
-    /// Finds final states that go on and other states that don't.
-    fn check_ends(&self, reader: &Reader) -> Result<(), Fault> {
+    /// Checks that final states have no transition and that all other states have one.
+    fn check_final_states(&self, reader: &Reader) -> Result<(), Fault> {
         for state in S::ALL {
-            let goes_on = self.transitions.keys().any(|(from, _)| from == state);
+            let has_transition = self.transitions.keys().any(|(from, _)| from == state);
             let section = format!("state {}", state.name());
-            if self.is_final(*state) && goes_on {
+            if self.is_final(*state) && has_transition {
                 return Err(reader.fault(&section, "", "is final, but has a transition"));
             }
-            if !self.is_final(*state) && !goes_on {
+            if !self.is_final(*state) && !has_transition {
                 return Err(reader.fault(&section, "", "is not final, but has no transition"));
             }
         }
         Ok(())
     }
 
-    fn check_reach(&self, reader: &Reader) -> Result<(), Fault> {
+    /// Checks that each state can be reached from the initial state.
+    fn check_reachable(&self, reader: &Reader) -> Result<(), Fault> {
         let mut reached = IndexSet::from([self.initial]);
         let mut next = 0;
         while let Some(state) = reached.get_index(next).copied() {
-            let out = self
+            let outgoing = self
                 .transitions
                 .iter()
                 .filter(|((from, _), _)| *from == state);
-            reached.extend(out.map(|(_, to)| *to));
+            reached.extend(outgoing.map(|(_, to)| *to));
             next += 1;
         }
         match S::ALL.iter().find(|state| !reached.contains(*state)) {
@@ -200,7 +201,7 @@
     }
 }
 
-/// A life cycle under way.
+/// A running instance of a [`Chart`], with its current state.
 #[derive(Clone, Debug)]
 pub struct Machine<S, E> {
     chart: Rc<Chart<S, E>>,
@@ -212,11 +213,11 @@
     S: Names,
     E: Names,
 {
-    /// Takes an event, and passes to the state that the chart gives.
+    /// Handles an event: moves to the next state of the chart and returns the transition.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Refused`], and stays, if the state has no transition for the event.
+    /// Returns [`Error::Refused`] and keeps the state if it has no transition for the event.
     ///
     /// # Example
     ///
@@ -235,7 +236,7 @@
         Ok(Change { from, to })
     }
 
-    /// Returns the state.
+    /// Returns the current state.
     ///
     /// # Example
     ///
@@ -244,7 +245,7 @@
         self.state
     }
 
-    /// Returns whether the state is final.
+    /// Returns whether the current state is final.
     ///
     /// # Example
     ///
@@ -258,11 +259,11 @@
     }
 }
 
-/// Checks every chart; the process does so when it starts.
+/// Checks every chart; called when the process starts.
 ///
 /// # Errors
 ///
-/// Returns the first [`Fault`].
+/// Returns the first [`Fault`] found.
 ///
 /// # Example
 ///
@@ -278,20 +279,21 @@
     Ok(())
 }
 
-/// A chart's sections, while they are read.
+/// Reads a chart from the sections of its file.
 struct Reader {
     file: String,
     sections: Vec<Section>,
 }
 
 impl Reader {
+    /// Creates a fault that points at the line of a key, or of the section if the key is missing.
     fn fault(&self, section: &str, key: &str, reason: &str) -> Fault {
         let found = self.section(section);
-        let place = found.and_then(|found| found.keys.iter().find(|other| other.name == key));
+        let entry = found.and_then(|found| found.keys.iter().find(|other| other.name == key));
         let header = found.map_or(0, |found| found.line);
         Fault {
             file: self.file.clone(),
-            line: place.map_or(header, |place| place.line),
+            line: entry.map_or(header, |entry| entry.line),
             section: section.to_owned(),
             key: key.to_owned(),
             reason: reason.to_owned(),
@@ -302,10 +304,11 @@
         self.sections.iter().find(|section| section.name == name)
     }
 
-    fn head(&self, key: &str) -> Result<&str, Fault> {
-        let found = self.section(HEAD);
-        let found = found.and_then(|head| head.keys.iter().find(|other| other.name == key));
-        let missing = || self.fault(HEAD, key, "missing key");
+    /// Returns the value of a required key in the section `[chart]`.
+    fn chart_value(&self, key: &str) -> Result<&str, Fault> {
+        let found = self.section(CHART_SECTION);
+        let found = found.and_then(|section| section.keys.iter().find(|other| other.name == key));
+        let missing = || self.fault(CHART_SECTION, key, "missing key");
         found.map(|found| found.value.as_str()).ok_or_else(missing)
     }
 
@@ -329,36 +332,38 @@
     where
         S: Names,
     {
-        self.state(HEAD, "initial", self.head("initial")?)
+        self.state(CHART_SECTION, "initial", self.chart_value("initial")?)
     }
 
-    fn ends<S>(&self) -> Result<IndexSet<S>, Fault>
+    fn final_states<S>(&self) -> Result<IndexSet<S>, Fault>
     where
         S: Names,
     {
-        let names = fields::parts(self.head("final")?);
-        names.map(|name| self.state(HEAD, "final", name)).collect()
+        let names = fields::parts(self.chart_value("final")?);
+        names
+            .map(|name| self.state(CHART_SECTION, "final", name))
+            .collect()
     }
 
-    /// Checks that the file declares just the events that the code has.
-    fn declared<E>(&self) -> Result<(), Fault>
+    /// Checks that the file declares exactly the events of the enumeration, each once.
+    fn check_declared<E>(&self) -> Result<(), Fault>
     where
         E: Names,
     {
-        let names = fields::parts(self.head("events")?);
+        let names = fields::parts(self.chart_value("events")?);
         let mut declared = IndexSet::new();
         for name in names {
-            let event: E = self.event(HEAD, "events", name)?;
+            let event: E = self.event(CHART_SECTION, "events", name)?;
             if !declared.insert(event) {
                 let reason = format!("the event `{name}` stands twice");
-                return Err(self.fault(HEAD, "events", &reason));
+                return Err(self.fault(CHART_SECTION, "events", &reason));
             }
         }
         match E::ALL.iter().find(|event| !declared.contains(*event)) {
             None => Ok(()),
             Some(event) => {
                 let reason = format!("the event `{}` is missing", event.name());
-                Err(self.fault(HEAD, "events", &reason))
+                Err(self.fault(CHART_SECTION, "events", &reason))
             }
         }
     }
@@ -369,7 +374,11 @@
         E: Names,
     {
         let mut transitions = IndexMap::new();
-        for section in self.sections.iter().filter(|section| section.name != HEAD) {
+        for section in self
+            .sections
+            .iter()
+            .filter(|section| section.name != CHART_SECTION)
+        {
             let Some(name) = section.name.strip_prefix("state ") else {
                 return Err(self.fault(&section.name, "", "unknown section"));
             };
--- a/tests/chart.rs
+++ b/tests/chart.rs
@@ -1,4 +1,5 @@
-//! State charts: what is unsound is refused by place, and random events keep to the chart.
+//! State charts: invalid charts are rejected with the line of the fault, and machines follow their
+//! charts under random events.
 
 use std::{fs, path::Path, rc::Rc};
 
@@ -15,7 +16,7 @@
     test_runner::{Config, RngSeed},
 };
 
-const SOUND: &str = "[chart]
+const VALID: &str = "[chart]
 initial = starting
 final = stopped
 events = listening, joined, stop, ended, expired
@@ -32,7 +33,7 @@
 expired = stopped
 ";
 
-/// What is replaced in the sound chart, by what, and the fault that follows.
+/// Text in the valid chart, its replacement, and the fault that is expected.
 const FAULTS: &[(&str, &str, &str)] = &[
     (
         "starting\nfinal",
@@ -117,21 +118,21 @@
 ];
 
 #[test]
-fn unsound_charts_are_refused() {
-    assert!(Chart::<vm::State, vm::Event>::parse("vm", SOUND).is_ok());
-    for (sound, bad, expected) in FAULTS {
-        let text = SOUND.replacen(sound, bad, 1);
+fn invalid_charts_are_rejected() {
+    assert!(Chart::<vm::State, vm::Event>::parse("vm", VALID).is_ok());
+    for (valid, invalid, expected) in FAULTS {
+        let text = VALID.replacen(valid, invalid, 1);
         let fault = Chart::<vm::State, vm::Event>::parse("vm", &text).unwrap_err();
         assert_eq!(
             fault.to_string(),
             format!("charts/vm.ini{expected}"),
-            "in {bad}"
+            "in {invalid}"
         );
     }
 }
 
 #[test]
-fn every_file_is_a_chart_of_the_code() {
+fn every_chart_file_is_used() {
     chart::check_all().unwrap();
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("charts");
     let files = fs::read_dir(folder).unwrap();
@@ -140,7 +141,7 @@
     assert_eq!(names, ["duty.ini", "target.ini", "vm.ini"]);
 }
 
-/// Drives a machine by any events, and checks it against its chart.
+/// Feeds a machine the picked events and compares each transition with the chart.
 fn drive<S, E>(chart: &Rc<Chart<S, E>>, picks: &[usize])
 where
     S: Names,
@@ -153,7 +154,7 @@
         match (chart.next(before, event), machine.on(event)) {
             (Some(next), Ok(change)) => assert_eq!((change.from, change.to), (before, next)),
             (None, Err(_)) => assert_eq!(machine.state(), before),
-            (next, change) => panic!("{next:?} is not {change:?}"),
+            (next, change) => panic!("the chart gives {next:?}, the machine {change:?}"),
         }
     }
 }
@@ -167,7 +168,7 @@
     })]
 
     #[test]
-    fn machines_keep_to_their_charts(picks in collection::vec(0_usize..100, 0..40)) {
+    fn machines_follow_their_charts(picks in collection::vec(0_usize..100, 0..40)) {
         drive(&charts::vm().unwrap(), &picks);
         drive(&charts::target().unwrap(), &picks);
         drive(&charts::duty().unwrap(), &picks);
