--- a/src/timeline/account.rs
+++ b/src/timeline/account.rs
@@ -1,4 +1,4 @@
-//! One account of several processes' events, in causal order.
+//! The events of several processes, merged in causal order.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
@@ -13,28 +13,29 @@
     },
 };
 
-/// The events of several processes, each cause before its effects.
+/// The events of several processes, in an order where each cause precedes its effects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MergedTimeline {
-    /// The events, in the order of their stamps.
+    /// The events, ordered by their stamps.
     pub events: Vec<Event>,
     /// The processes that answered.
     pub answered: Vec<VmId>,
-    /// The VMs that could not be reached: what they know is missing.
+    /// The VMs that could not be reached; their events are missing.
     pub unreached: Vec<VmId>,
-    /// How many events each process no longer keeps, and the stamp from which on it keeps all;
+    /// How many events each process has dropped, and the stamp from which its events are complete;
     /// processes that dropped none are left out.
     pub dropped: IndexMap<VmId, (u64, Stamp)>,
-    /// What the events amount to, by service, up to the last of them.
+    /// The measures by service, computed up to the last event.
     pub measures: IndexMap<ServiceId, Measures>,
 }
 
 impl MergedTimeline {
-    /// Merges what processes answered; `unreached` names the VMs that did not.
+    /// Merges the events that processes returned; `unreached` names the VMs that did not answer.
     ///
-    /// A stamp follows every stamp that its process had seen, so the order of stamps is an order of
-    /// cause and effect; equal stamps are ordered by VM, so that every merge gives the same account.
+    /// A stamp is greater than every stamp that its process had seen before, so ordering by stamps
+    /// puts causes before effects. Equal stamps are ordered by VM, so that the result does not depend
+    /// on the order of the parts. A second part of the same process is ignored.
     ///
     /// # Example
     ///
@@ -52,37 +53,37 @@
     /// two.receive(Duration::from_secs(1), sent);
     /// two.record(Duration::from_secs(1), Event::new(Duty::Grantor, "move", Kind::RangeMoved));
     /// let parts = vec![two.query(&Filter::default()), one.query(&Filter::default())];
-    /// let account = MergedTimeline::merge(parts, vec!["vm-3#1".to_owned()]);
-    /// assert_eq!(account.events[0].kind, Kind::GrantStopped);
+    /// let merged = MergedTimeline::merge(parts, vec!["vm-3#1".to_owned()]);
+    /// assert_eq!(merged.events[0].kind, Kind::GrantStopped);
     /// ```
     pub fn merge(parts: Vec<ProcessEvents>, unreached: Vec<VmId>) -> Self {
-        let mut account = Self {
+        let mut merged = Self {
             unreached,
             ..Self::default()
         };
         for part in parts {
-            if account.answered.contains(&part.vm) {
+            if merged.answered.contains(&part.vm) {
                 continue;
             }
             if part.dropped > 0 {
-                let lost = (part.dropped, part.oldest);
-                account.dropped.insert(part.vm.clone(), lost);
+                let dropped = (part.dropped, part.oldest);
+                merged.dropped.insert(part.vm.clone(), dropped);
             }
-            account.answered.push(part.vm);
-            account.events.extend(part.events);
+            merged.answered.push(part.vm);
+            merged.events.extend(part.events);
         }
-        account.answered.sort();
-        account.dropped.sort_keys();
-        account.events.sort_by(|one, other| {
+        merged.answered.sort();
+        merged.dropped.sort_keys();
+        merged.events.sort_by(|one, other| {
             let stamps = one.stamp.cmp(&other.stamp);
             stamps.then_with(|| one.vm.cmp(&other.vm))
         });
-        account.measures = measures(&account.events);
-        account
+        merged.measures = measures(&merged.events);
+        merged
     }
 }
 
-/// Measures what events in their order amount to, up to the last of them.
+/// Computes the measures of ordered events, up to the last event.
 fn measures(events: &[Event]) -> IndexMap<ServiceId, Measures> {
     let mut meter = Meter::default();
     for event in events {
--- a/src/timeline/draw.rs
+++ b/src/timeline/draw.rs
@@ -1,4 +1,5 @@
-//! An account as a picture: a lane for each process, events from left to right in causal order.
+//! Draws a merged time line as SVG: a lane for each process, with events from left to right in
+//! causal order.
 
 use indexmap::IndexMap;
 use svg::{
@@ -12,21 +13,21 @@
     render,
 };
 
-/// The most events that are drawn; of more, the latest.
+/// The maximum number of events drawn; if there are more, only the latest are.
 pub const EVENTS_MAX: usize = 2_000;
 
-/// The space left of the lanes, for the processes' names.
-const LEFT: usize = 180;
-/// The space above the lanes.
-const TOP: usize = 40;
-/// The distance between events.
-const STEP: usize = 14;
-/// The distance between lanes.
-const LANE: usize = 36;
-/// How many events stand between two labels of time.
-const LABEL_EVERY: usize = 20;
+/// The width left of the lanes, where the names of the processes stand, in user units of the SVG.
+const LEFT_MARGIN: usize = 180;
+/// The height above the lanes, in user units.
+const TOP_MARGIN: usize = 40;
+/// The horizontal distance between events, in user units.
+const EVENT_WIDTH: usize = 14;
+/// The vertical distance between lanes, in user units.
+const LANE_HEIGHT: usize = 36;
+/// A time label is drawn at every event whose index is a multiple of this.
+const LABEL_INTERVAL: usize = 20;
 
-/// Draws an account as SVG; each mark's title is its event's line.
+/// Draws a merged time line as SVG; each mark has its event as title (tooltip).
 ///
 /// # Example
 ///
@@ -36,12 +37,12 @@
 /// let picture = draw::svg(&MergedTimeline::merge(Vec::new(), vec!["vm-3#1".to_owned()]));
 /// assert!(picture.contains("vm-3#1 (not reached)"));
 /// ```
-pub fn svg(account: &MergedTimeline) -> String {
-    let skip = account.events.len().saturating_sub(EVENTS_MAX);
-    let events = &account.events[skip..];
-    let lanes = lanes(account);
-    let width = LEFT + STEP * (events.len() + 2);
-    let height = TOP + LANE * (lanes.len() + 1);
+pub fn svg(timeline: &MergedTimeline) -> String {
+    let skip = timeline.events.len().saturating_sub(EVENTS_MAX);
+    let events = &timeline.events[skip..];
+    let lanes = lanes(timeline);
+    let width = LEFT_MARGIN + EVENT_WIDTH * (events.len() + 2);
+    let height = TOP_MARGIN + LANE_HEIGHT * (lanes.len() + 1);
     let mut picture = Document::new()
         .set("viewBox", (0, 0, width, height))
         .set("width", width)
@@ -56,12 +57,12 @@
     }
     if skip > 0 {
         let note = format!("{skip} earlier events are not drawn");
-        picture = picture.add(Text::new(note).set("x", LEFT).set("y", height - 6));
+        picture = picture.add(Text::new(note).set("x", LEFT_MARGIN).set("y", height - 6));
     }
     for (index, event) in events.iter().enumerate() {
-        if index % LABEL_EVERY == 0 {
+        if index % LABEL_INTERVAL == 0 {
             let time = Text::new(render::utc(event.stamp));
-            picture = picture.add(time.set("x", across(index)).set("y", TOP / 2));
+            picture = picture.add(time.set("x", event_x(index)).set("y", TOP_MARGIN / 2));
         }
         let lane = lanes.get_index_of(event.vm.as_str()).unwrap_or(0);
         picture = picture.add(mark(index, lane, event));
@@ -69,23 +70,25 @@
     picture.to_string()
 }
 
-/// Returns the processes in the order of their lanes, and whether each could not be reached.
-fn lanes(account: &MergedTimeline) -> IndexMap<&str, bool> {
-    let events = account
+/// Returns the processes in the order of their lanes; the value is true for a VM that was not reached.
+fn lanes(timeline: &MergedTimeline) -> IndexMap<&str, bool> {
+    let events = timeline
         .events
         .iter()
         .map(|event| (event.vm.as_str(), false));
-    let answered = account.answered.iter().map(|vm| (vm.as_str(), false));
-    let unreached = account.unreached.iter().map(|vm| (vm.as_str(), true));
+    let answered = timeline.answered.iter().map(|vm| (vm.as_str(), false));
+    let unreached = timeline.unreached.iter().map(|vm| (vm.as_str(), true));
     answered.chain(events).chain(unreached).collect()
 }
 
-fn across(index: usize) -> usize {
-    LEFT + STEP * (index + 1)
+/// Returns the x coordinate of an event.
+fn event_x(index: usize) -> usize {
+    LEFT_MARGIN + EVENT_WIDTH * (index + 1)
 }
 
-fn down(lane: usize) -> usize {
-    TOP + LANE * lane + LANE / 2
+/// Returns the y coordinate of a lane.
+fn lane_y(lane: usize) -> usize {
+    TOP_MARGIN + LANE_HEIGHT * lane + LANE_HEIGHT / 2
 }
 
 fn background(width: usize, height: usize) -> Rectangle {
@@ -99,24 +102,24 @@
     let note = if missing { " (not reached)" } else { "" };
     Text::new(format!("{name}{note}"))
         .set("x", 6)
-        .set("y", down(lane) + 4)
+        .set("y", lane_y(lane) + 4)
 }
 
 fn axis(lane: usize, width: usize) -> Line {
     Line::new()
-        .set("x1", LEFT)
+        .set("x1", LEFT_MARGIN)
         .set("x2", width)
-        .set("y1", down(lane))
-        .set("y2", down(lane))
+        .set("y1", lane_y(lane))
+        .set("y2", lane_y(lane))
         .set("stroke", "lightgrey")
 }
 
 fn mark(index: usize, lane: usize, event: &Event) -> Circle {
     let title = Title::new(format!("{} {event}", render::stamp(event.stamp)));
     Circle::new()
-        .set("cx", across(index))
-        .set("cy", down(lane))
-        .set("r", STEP / 3)
+        .set("cx", event_x(index))
+        .set("cy", lane_y(lane))
+        .set("r", EVENT_WIDTH / 3)
         .set("fill", colour(event.duty))
         .add(title)
 }
--- a/src/timeline/event.rs
+++ b/src/timeline/event.rs
@@ -1,4 +1,4 @@
-//! One event of the time line.
+//! An event of the time line: its kind, the role that recorded it and what it concerns.
 
 use std::fmt;
 
@@ -13,19 +13,19 @@
 };
 
 names! {
-    /// The duty in which a process acted.
+    /// The role (duty) in which a process recorded an event.
     pub enum Duty {
         /// Its own start, stop and settings.
         Process = "process",
-        /// Knowing the other processes.
+        /// Tracking which other processes are live.
         Member = "member",
         /// Taking callers' requests.
         Entry = "entry",
-        /// Remembering orders.
+        /// Keeping the results of orders, so that each runs at most once.
         Orders = "orders",
         /// Granting ranges to targets.
         Grantor = "grantor",
-        /// Reading the platform's service and spreading the news.
+        /// Reading the platform's key-value service and distributing changes to the other VMs.
         Watcher = "watcher",
     }
 }
@@ -89,7 +89,7 @@
 }
 
 impl Kind {
-    /// Returns whether the kind comes with single requests, and so in any number.
+    /// Returns whether events of the kind are recorded per request, so that their number is unbounded.
     ///
     /// # Example
     ///
@@ -104,9 +104,9 @@
     }
 }
 
-/// One event: what happened, where, and to whom.
+/// An event: what happened, on which VM, and which objects it concerns.
 ///
-/// It is also the log line of a change of state: `Display` writes it as `key=value` pairs.
+/// The same event is logged as a line: `Display` writes it as `key=value` pairs.
 ///
 /// # Example
 ///
@@ -124,38 +124,38 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// When, in hybrid logical time; the ring sets it.
+    /// The hybrid logical time of the event; set by the ring.
     pub stamp: Stamp,
-    /// The VM on which it happened; the ring sets it.
+    /// The VM on which it happened; set by the ring.
     pub vm: VmId,
-    /// The duty in which the VM acted.
+    /// The role in which the VM acted.
     pub duty: Duty,
-    /// The step at which it happened.
+    /// The step of the operation in which it happened.
     pub step: String,
     /// What happened.
     pub kind: Kind,
-    /// The other side, if there is one.
+    /// The other party, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer: Option<String>,
-    /// The service concerned.
+    /// The service that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<ServiceId>,
-    /// The target concerned.
+    /// The target that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<TargetId>,
-    /// The request concerned.
+    /// The request that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<RequestId>,
-    /// The key concerned, as its point of the hash space.
+    /// The key that it concerns, as its point in the hash space.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub point: Option<Point>,
-    /// The range concerned.
+    /// The range that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub range: Option<Range>,
     /// The range's epoch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub epoch: Option<Epoch>,
-    /// The version of the document or record concerned.
+    /// The version of the document or record that it concerns.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<Version>,
     /// Why it happened.
@@ -178,7 +178,7 @@
 }
 
 impl Event {
-    /// Creates an event without particulars.
+    /// Creates an event without any of the optional fields.
     ///
     /// # Example
     ///
@@ -208,27 +208,27 @@
     }
 
     setters! {
-        /// Sets the other side.
+        /// Sets the other party.
         peer: &str,
-        /// Sets the service concerned.
+        /// Sets the service that it concerns.
         service: &str,
-        /// Sets the target concerned.
+        /// Sets the target that it concerns.
         target: &str,
-        /// Sets the request concerned.
+        /// Sets the request that it concerns.
         request: &str,
-        /// Sets the key concerned, as its point of the hash space.
+        /// Sets the key that it concerns, as its point in the hash space.
         point: Point,
-        /// Sets the range concerned.
+        /// Sets the range that it concerns.
         range: Range,
         /// Sets the range's epoch.
         epoch: Epoch,
-        /// Sets the version of the document or record concerned.
+        /// Sets the version of the document or record that it concerns.
         version: Version,
         /// Sets why it happened.
         cause: &str,
     }
 
-    /// Returns whether the event concerns a point of the hash space.
+    /// Returns whether the event concerns a point in the hash space, by its range or its key.
     ///
     /// # Example
     ///
@@ -267,7 +267,7 @@
     }
 }
 
-/// Writes a pair if there is a value.
+/// Writes ` key=value` if there is a value.
 fn pair<T>(f: &mut fmt::Formatter<'_>, key: &str, value: Option<T>) -> fmt::Result
 where
     T: fmt::Display,
--- a/src/timeline/filter.rs
+++ b/src/timeline/filter.rs
@@ -1,4 +1,4 @@
-//! Which events are asked for.
+//! The filter of a query for events.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,15 +8,15 @@
     timeline::{event::Event, stamp::Stamp},
 };
 
-/// Which events are asked for; an empty filter passes all.
+/// Selects the events of a query; an empty filter passes all events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Filter {
     /// The earliest stamp.
     pub since: Stamp,
-    /// The service; events of no service pass.
+    /// The service; events without a service pass too.
     pub service: Option<ServiceId>,
-    /// The key, as its point of the hash space.
+    /// The key, as its point in the hash space.
     pub point: Option<Point>,
     /// The request.
     pub request: Option<RequestId>,
@@ -25,7 +25,7 @@
 }
 
 impl Filter {
-    /// Returns whether an event passes.
+    /// Returns whether an event meets all conditions.
     ///
     /// # Example
     ///
@@ -41,14 +41,14 @@
     /// assert!(filter.passes(&event.target("tracking-3")));
     /// ```
     pub fn passes(&self, event: &Event) -> bool {
-        let same =
+        let matches =
             |wanted: &Option<String>, found: &Option<String>| wanted.is_none() || wanted == found;
-        let service = event.service.is_none() || same(&self.service, &event.service);
+        let service = event.service.is_none() || matches(&self.service, &event.service);
         let point = self.point.is_none_or(|point| event.concerns(point));
         event.stamp >= self.since
             && service
             && point
-            && same(&self.request, &event.request)
-            && same(&self.target, &event.target)
+            && matches(&self.request, &event.request)
+            && matches(&self.target, &event.target)
     }
 }
--- a/src/timeline/mod.rs
+++ b/src/timeline/mod.rs
@@ -1,11 +1,11 @@
-//! The time line: what each process did, and one account of all of them in causal order.
+//! The time line: the recent events of each process, merged into one causal order on demand.
 //!
-//! - [`stamp`] is the hybrid logical time that orders events across processes;
-//! - [`event`] is one thing that happened;
-//! - [`filter`] says which events are asked for;
-//! - [`ring`] keeps the last events of this process;
-//! - [`account`] merges what several processes kept;
-//! - [`render`] and [`draw`] show an account.
+//! - [`stamp`] is the hybrid logical clock that orders events across processes;
+//! - [`event`] defines a single event;
+//! - [`filter`] selects events for a query;
+//! - [`ring`] keeps the latest events of this process in bounded memory;
+//! - [`account`] merges the events of several processes;
+//! - [`render`] and [`draw`] show a merged time line as text and as SVG.
 
 pub mod account;
 pub mod draw;
--- a/src/timeline/render.rs
+++ b/src/timeline/render.rs
@@ -1,4 +1,4 @@
-//! An account as text.
+//! Renders a merged time line as text.
 
 use std::fmt::Write as _;
 
@@ -13,7 +13,7 @@
     },
 };
 
-/// Returns a stamp as a time in UTC and the count within its millisecond.
+/// Formats a stamp as a time in UTC and its counter within the millisecond.
 ///
 /// # Example
 ///
@@ -26,7 +26,7 @@
     format!("{}+{}", utc(stamp), stamp::count(stamp))
 }
 
-/// Returns a stamp's time in UTC.
+/// Formats a stamp's time in UTC, with milliseconds.
 ///
 /// # Example
 ///
@@ -46,7 +46,7 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{milli:03}Z")
 }
 
-/// Reads a time in UTC as the first stamp of its millisecond.
+/// Parses an RFC 3339 time as the first stamp of its millisecond.
 ///
 /// # Example
 ///
@@ -62,7 +62,7 @@
     Some(stamp::first(since.try_into().ok()?))
 }
 
-/// Writes an account as text, a line for each event, and what is missing from it.
+/// Renders a merged time line: a line for each event, then the measures and what is missing.
 ///
 /// # Example
 ///
@@ -72,15 +72,15 @@
 /// let account = MergedTimeline::merge(Vec::new(), vec!["vm-3#1".to_owned()]);
 /// assert!(render::text(&account).contains("not reached: vm-3#1"));
 /// ```
-pub fn text(account: &MergedTimeline) -> String {
+pub fn text(timeline: &MergedTimeline) -> String {
     let mut page = String::new();
-    for event in &account.events {
+    for event in &timeline.events {
         line(&mut page, event);
     }
-    let count = account.events.len();
-    let processes = account.answered.len();
+    let count = timeline.events.len();
+    let processes = timeline.answered.len();
     let _ = writeln!(page, "{count} events of {processes} processes");
-    for (service, measures) in &account.measures {
+    for (service, measures) in &timeline.measures {
         let Measures {
             moves,
             churn,
@@ -92,10 +92,10 @@
             "service={service} moves={moves} churn={churn:.4} unavailable={unavailable:.3}s lost={open}"
         );
     }
-    for vm in &account.unreached {
+    for vm in &timeline.unreached {
         let _ = writeln!(page, "not reached: {vm}; what it knows is missing");
     }
-    for (vm, (dropped, oldest)) in &account.dropped {
+    for (vm, (dropped, oldest)) in &timeline.dropped {
         let oldest = utc(*oldest);
         let _ = writeln!(
             page,
@@ -105,7 +105,7 @@
     page
 }
 
-/// Writes one event; writing to a string cannot fail.
+/// Appends the line of one event; writing to a string cannot fail.
 fn line(page: &mut String, event: &Event) {
     let _ = writeln!(page, "{} {} {event}", stamp(event.stamp), event.vm);
 }
--- a/src/timeline/ring.rs
+++ b/src/timeline/ring.rs
@@ -1,4 +1,4 @@
-//! The last events of one process, in bounded memory.
+//! Keeps the latest events of this process in bounded memory.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -13,10 +13,10 @@
     },
 };
 
-/// The last events of this process; the oldest are dropped and counted.
+/// A ring buffer of the latest events of this process; the oldest are dropped and counted.
 ///
-/// Events of single requests are kept apart, as many again, so that an overload does not push out
-/// what led to it.
+/// Events recorded per request have a buffer of their own with the same capacity, so that during an
+/// overload they do not displace the events that led to it.
 ///
 /// # Example
 ///
@@ -35,20 +35,20 @@
 #[derive(Clone, Debug)]
 pub struct Ring {
     vm: VmId,
-    hybrid: Hybrid,
-    events: Queue,
-    requests: Queue,
+    clock: Hybrid,
+    events: Buffer,
+    requests: Buffer,
 }
 
-/// Events of one sort, the oldest first.
+/// A bounded buffer of events, the oldest first.
 #[derive(Clone, Debug)]
-struct Queue {
+struct Buffer {
     events: VecDeque<Event>,
     capacity: usize,
     dropped: u64,
 }
 
-impl Queue {
+impl Buffer {
     fn new(capacity: usize) -> Self {
         Self {
             events: VecDeque::new(),
@@ -66,14 +66,14 @@
         &self.events[self.events.len() - 1]
     }
 
-    /// Returns the stamp from which on nothing was dropped.
-    fn whole_since(&self) -> Stamp {
+    /// Returns the stamp from which the buffer is complete; 0 if nothing was dropped.
+    fn complete_since(&self) -> Stamp {
         let first = self.events.front().filter(|_| self.dropped > 0);
         first.map_or(0, |event| event.stamp)
     }
 }
 
-/// What one process answers when asked for its events.
+/// The events that one process returns for a query.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessEvents {
@@ -81,14 +81,14 @@
     pub vm: VmId,
     /// The events that passed the filter.
     pub events: Vec<Event>,
-    /// How many events are no longer kept.
+    /// How many events the process has dropped.
     pub dropped: u64,
-    /// The stamp from which on the part lacks nothing; 0 if nothing was dropped.
+    /// The stamp from which the events are complete; 0 if nothing was dropped.
     pub oldest: Stamp,
 }
 
 impl Ring {
-    /// Creates an empty ring of a process that keeps up to `capacity` events.
+    /// Creates an empty ring for a process, with `capacity` events in each of its two buffers.
     ///
     /// # Example
     ///
@@ -96,20 +96,20 @@
     pub fn new(vm: VmId, capacity: usize) -> Self {
         Self {
             vm,
-            hybrid: Hybrid::default(),
-            events: Queue::new(capacity),
-            requests: Queue::new(capacity),
+            clock: Hybrid::default(),
+            events: Buffer::new(capacity),
+            requests: Buffer::new(capacity),
         }
     }
 
-    /// Records an event at a reading of the wall clock, and returns it as recorded.
+    /// Stamps an event with the wall clock's time, stores it and returns it as stored.
     ///
     /// # Example
     ///
     /// See [`Ring`].
     pub fn record(&mut self, wall: Duration, event: Event) -> &Event {
         let event = Event {
-            stamp: self.hybrid.tick(wall),
+            stamp: self.clock.tick(wall),
             vm: self.vm.clone(),
             ..event
         };
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Returns the stamp for a message that is sent now.
+    /// Returns a new stamp, for a message that is sent now.
     ///
     /// # Example
     ///
@@ -133,10 +133,10 @@
     /// assert!(ring.stamp(Duration::ZERO) < ring.stamp(Duration::ZERO));
     /// ```
     pub fn stamp(&mut self, wall: Duration) -> Stamp {
-        self.hybrid.tick(wall)
+        self.clock.tick(wall)
     }
 
-    /// Takes the stamp of a message that was received, so that what follows is ordered after it.
+    /// Merges the stamp of a received message, so that later events are ordered after it.
     ///
     /// # Example
     ///
@@ -150,10 +150,10 @@
     /// assert!(ring.stamp(Duration::ZERO) > 9);
     /// ```
     pub fn receive(&mut self, wall: Duration, stamp: Stamp) {
-        self.hybrid.merge(wall, stamp);
+        self.clock.merge(wall, stamp);
     }
 
-    /// Returns the events that pass a filter, for one who asks.
+    /// Returns the events that pass a filter, in the order of their stamps.
     ///
     /// # Example
     ///
@@ -166,11 +166,14 @@
             vm: self.vm.clone(),
             events,
             dropped: self.dropped(),
-            oldest: self.events.whole_since().max(self.requests.whole_since()),
+            oldest: self
+                .events
+                .complete_since()
+                .max(self.requests.complete_since()),
         }
     }
 
-    /// Returns how many events are no longer kept.
+    /// Returns how many events were dropped.
     ///
     /// # Example
     ///
@@ -193,10 +196,10 @@
     /// assert_eq!(ring.ignored(), 1);
     /// ```
     pub fn ignored(&self) -> u64 {
-        self.hybrid.ignored()
+        self.clock.ignored()
     }
 
-    /// Returns the events that are kept; those of requests come last.
+    /// Returns the stored events; those recorded per request come last.
     ///
     /// # Example
     ///
