--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,6 +1,6 @@
-//! The log: a line for each change of state, as `key=value` pairs.
+//! Sets up the log and writes the events of the time line to it, as lines of `key=value` pairs.
 //!
-//! What happens often is counted, not logged.
+//! Each state change is logged. Frequent events are counted by [`metrics`](crate::metrics) instead.
 
 use std::{
     fs::{File, OpenOptions},
@@ -19,15 +19,15 @@
 };
 
 quick_error! {
-    /// Why the log could not be opened.
+    /// Why logging could not be started.
     #[derive(Debug)]
     pub enum Error {
-        /// The file can't be written.
+        /// The log file can't be opened for writing.
         File(path: String, cause: io::Error) {
             display("step=log peer={path} cause={cause}")
             source(cause)
         }
-        /// There is a logger already.
+        /// A logger is installed already.
         Set(cause: SetLoggerError) {
             display("step=log peer=process cause={cause}")
             source(cause)
@@ -35,11 +35,11 @@
     }
 }
 
-/// Opens the log that the settings ask for.
+/// Installs the logger that the settings specify: to a file, or else to standard error.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] if the file can't be written or there is a logger already.
+/// Returns an [`Error`] if the file can't be opened or a logger is installed already.
 ///
 /// # Example
 ///
@@ -63,15 +63,15 @@
         let stderr = TerminalMode::Stderr;
         return Ok(TermLogger::new(level, config(), stderr, ColorChoice::Never));
     };
-    let file = append(path).map_err(|cause| Error::File(path.display().to_string(), cause))?;
+    let file = open_append(path).map_err(|cause| Error::File(path.display().to_string(), cause))?;
     Ok(WriteLogger::new(level, config(), file))
 }
 
-fn append(path: &std::path::Path) -> io::Result<File> {
+fn open_append(path: &std::path::Path) -> io::Result<File> {
     OpenOptions::new().create(true).append(true).open(path)
 }
 
-/// Full times in UTC, and no names of threads: there is one.
+/// Returns the line format: RFC 3339 times in UTC, without thread names since there is one thread only.
 fn config() -> Config {
     ConfigBuilder::new()
         .set_time_format_rfc3339()
@@ -81,7 +81,7 @@
         .build()
 }
 
-/// Logs an event of the time line, at the level of its kind.
+/// Logs an event of the time line at the level of its kind.
 ///
 /// # Example
 ///
--- a/src/measure.rs
+++ b/src/measure.rs
@@ -1,6 +1,7 @@
-//! What operators measure: imbalance, churn and unavailable time.
+//! Computes the measures for operators: load imbalance, churn and unavailable time.
 //!
-//! Several processes report the same move or loss; epochs tell them apart, so each counts once.
+//! Several processes report the same move or loss of a range. The epochs of the reports identify
+//! duplicates, so that each move or loss counts once.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
     },
 };
 
-/// Returns the greatest load over the mean; 1 is even, and without load it is 1 too.
+/// Returns the greatest load divided by the mean load; 1 if the load is even or there is none.
 ///
 /// # Example
 ///
@@ -39,22 +40,22 @@
     greatest * loads.len() as f64 / sum
 }
 
-/// One service's measures over a span of the time line.
+/// The measures of one service over a span of the time line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Measures {
     /// How many ranges moved.
     pub moves: u64,
-    /// The share of the hash space that moved; a range that moves twice counts twice.
+    /// The fraction of the hash space that moved; a range that moves twice counts twice.
     pub churn: f64,
-    /// Seconds without an owner that serves, summed over ranges.
+    /// Seconds without a serving owner, summed over ranges.
     pub unavailable: f64,
-    /// How many ranges, or parts of ranges, have no owner that serves at the end.
+    /// How many ranges, or parts of ranges, have no serving owner at the end of the span.
     pub open: u64,
 }
 
 impl Measures {
-    /// Returns the share of the hash space that moves in an hour, at the rate of a span.
+    /// Returns the churn per hour, if these measures were taken over the span.
     ///
     /// # Example
     ///
@@ -74,27 +75,27 @@
     }
 }
 
-/// A range, or a part of one, that nobody serves.
+/// A period in which no target serves a range or a part of one.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     range: Range,
     since: Duration,
-    /// The part's share of the range that was lost, so that parts sum to one range.
+    /// The part as a fraction of the range that was lost, so that all parts count as one range.
     weight: f64,
 }
 
-/// What is known of one service's ranges.
+/// The measures, open gaps and latest epochs of the ranges of one service.
 #[derive(Clone, Debug, Default)]
 struct Ranges {
     measures: Measures,
     gaps: Vec<Gap>,
     /// The epoch at which each range was last served.
-    served: IndexMap<Range, Epoch>,
+    served_epochs: IndexMap<Range, Epoch>,
     /// The epoch at which each range last moved.
-    moved: IndexMap<Range, Epoch>,
+    moved_epochs: IndexMap<Range, Epoch>,
 }
 
-/// Derives the measures from events, as they happen or from an account.
+/// Computes the measures from events, as they are recorded or from a merged time line.
 ///
 /// # Example
 ///
@@ -125,7 +126,7 @@
 }
 
 impl Meter {
-    /// Takes one event; events of an account come in its order.
+    /// Handles one event; the events of a merged time line must be passed in its order.
     ///
     /// # Example
     ///
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Closes what is open of a range without a word that it is served: from a time since 1970 on,
-    /// others account for it.
+    /// Ends the gaps of a range at a time since 1970, although no report says that it is served: from
+    /// then on, other processes count its unavailable time.
     ///
     /// # Example
     ///
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Returns each service's measures up to a time since 1970.
+    /// Returns the measures of each service up to a time since 1970.
     ///
     /// # Example
     ///
@@ -187,16 +188,16 @@
 
 impl Ranges {
     fn moved(&mut self, range: Range, epoch: Epoch) {
-        if newest(&self.moved, range).is_some_and(|known| epoch <= known) {
+        if highest_epoch(&self.moved_epochs, range).is_some_and(|known| epoch <= known) {
             return;
         }
-        keep(&mut self.moved, range, epoch);
+        set_epoch(&mut self.moved_epochs, range, epoch);
         self.measures.moves += 1;
         self.measures.churn += range.share();
     }
 
     fn lost(&mut self, range: Range, epoch: Epoch, at: Duration) {
-        let outdated = newest(&self.served, range).is_some_and(|known| epoch < known);
+        let outdated = highest_epoch(&self.served_epochs, range).is_some_and(|known| epoch < known);
         let known = self.gaps.iter().any(|gap| gap.range.overlaps(&range));
         if outdated || known {
             return;
@@ -209,53 +210,53 @@
     }
 
     fn served(&mut self, range: Range, epoch: Epoch, at: Duration) {
-        if newest(&self.served, range).is_some_and(|known| epoch < known) {
+        if highest_epoch(&self.served_epochs, range).is_some_and(|known| epoch < known) {
             return;
         }
-        keep(&mut self.served, range, epoch);
+        set_epoch(&mut self.served_epochs, range, epoch);
         self.close(range, at);
     }
 
-    /// Ends the gaps within a range, and keeps what is left of them beside it.
+    /// Ends the gaps within a range; the parts of gaps outside it stay open.
     fn close(&mut self, range: Range, at: Duration) {
         let mut open = Vec::new();
         for gap in std::mem::take(&mut self.gaps) {
-            let rest = rest(&gap, range);
-            let left: f64 = rest.iter().map(|part| part.weight).sum();
+            let outside = subtract(&gap, range);
+            let left: f64 = outside.iter().map(|part| part.weight).sum();
             let closed = (gap.weight - left).max(0.0);
             self.measures.unavailable += closed * at.saturating_sub(gap.since).as_secs_f64();
-            open.extend(rest);
+            open.extend(outside);
         }
         self.gaps = open;
     }
 
     fn measures(&self, until: Duration) -> Measures {
-        let waiting = self.gaps.iter().map(|gap| {
+        let open_seconds = self.gaps.iter().map(|gap| {
             let span = until.saturating_sub(gap.since);
             gap.weight * span.as_secs_f64()
         });
         Measures {
-            unavailable: self.measures.unavailable + waiting.sum::<f64>(),
+            unavailable: self.measures.unavailable + open_seconds.sum::<f64>(),
             open: u64::try_from(self.gaps.len()).unwrap_or(u64::MAX),
             ..self.measures
         }
     }
 }
 
-/// Returns the highest epoch known of any part of a range.
-fn newest(known: &IndexMap<Range, Epoch>, range: Range) -> Option<Epoch> {
+/// Returns the highest known epoch of the ranges that overlap a range.
+fn highest_epoch(known: &IndexMap<Range, Epoch>, range: Range) -> Option<Epoch> {
     let overlapping = known.iter().filter(|(other, _)| other.overlaps(&range));
     overlapping.map(|(_, epoch)| *epoch).max()
 }
 
-/// Notes a range's epoch, and forgets the older ranges that it covers whole.
-fn keep(known: &mut IndexMap<Range, Epoch>, range: Range, epoch: Epoch) {
+/// Sets the epoch of a range, and removes the older ranges that lie within it.
+fn set_epoch(known: &mut IndexMap<Range, Epoch>, range: Range, epoch: Epoch) {
     known.retain(|other, _| other.start < range.start || range.end < other.end);
     known.insert(range, epoch);
 }
 
-/// Returns what is left of a gap beside a range that is served.
-fn rest(gap: &Gap, served: Range) -> Vec<Gap> {
+/// Returns the parts of a gap outside a range that is served.
+fn subtract(gap: &Gap, served: Range) -> Vec<Gap> {
     let whole = gap.range;
     if !whole.overlaps(&served) {
         return vec![*gap];
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and gauges, kept here and sent over UDP.
+//! Counters and gauges, aggregated in memory and sent as statsd datagrams over UDP.
 //!
-//! Counting touches memory only; [`Metrics::flush`] sends what has gathered, so that the cost does
-//! not grow with the requests.
+//! Counting only changes memory; [`Metrics::flush`] sends the aggregated values, so that the number
+//! of datagrams does not grow with the number of requests.
 
 use std::{cell::RefCell, io, net::SocketAddr, net::UdpSocket, rc::Rc};
 
@@ -11,19 +11,19 @@
 
 use crate::id::ServiceId;
 
-/// What precedes each metric's name.
+/// The prefix of every metric's name, without the separating dot.
 pub const PREFIX: &str = "bramleypier";
 
 quick_error! {
     /// Why metrics can't be sent.
     #[derive(Debug)]
     pub enum Error {
-        /// No socket could be had.
+        /// The UDP socket could not be opened.
         Socket(peer: SocketAddr, cause: io::Error) {
             display("step=metrics peer={peer} cause={cause}")
             source(cause)
         }
-        /// The sink could not be made.
+        /// The statsd sink could not be created.
         Sink(peer: SocketAddr, cause: cadence::MetricError) {
             display("step=metrics peer={peer} cause={cause}")
             source(cause)
@@ -31,29 +31,29 @@
     }
 }
 
-/// What a metric is.
+/// The kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// A count that only grows.
+    /// A count that only grows; its growth since the last flush is sent.
     Counter,
-    /// A reading, sent as it stands.
+    /// A current value, sent at each flush.
     Gauge,
 }
 
-/// One metric, as operators know it.
+/// The definition of a metric, as documented for operators.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Metric {
-    /// The name, after the prefix.
+    /// The name without the prefix.
     pub name: &'static str,
-    /// What it is.
+    /// Counter or gauge.
     pub kind: MetricKind,
-    /// What it counts.
+    /// What it counts or measures.
     pub meaning: &'static str,
-    /// What an operator does about it.
+    /// What an operator should do about it.
     pub action: &'static str,
 }
 
-/// Declares each metric as a constant, and the table of them all.
+/// Declares each metric as a static, and the table of all metrics.
 macro_rules! metrics {
     ($($const:ident $kind:ident $name:literal, $meaning:literal, $action:literal;)+) => {
         $(
@@ -103,20 +103,22 @@
     STAMPS_IGNORED Gauge "timeline.ignored", "Messages whose time was far ahead of the wall clock here.", "Set the wall clock of the VM that sends them.";
 }
 
+/// The value of a metric for one service.
 #[derive(Clone, Copy, Debug, Default)]
 struct Reading {
     total: i64,
+    /// The total at the last flush.
     sent: i64,
 }
 
 #[derive(Debug)]
 struct State {
     client: StatsdClient,
-    /// By name, then by service; the empty service stands for none.
+    /// By name, then by service; the empty service is for metrics without one.
     readings: IndexMap<&'static str, IndexMap<ServiceId, Reading>>,
 }
 
-/// A process's metrics; clones share them.
+/// The metrics of a process; clones share the values.
 ///
 /// # Example
 ///
@@ -133,11 +135,11 @@
 }
 
 impl Metrics {
-    /// Opens metrics that are sent to an address, or nowhere.
+    /// Creates metrics that are sent to a statsd address, or not at all if there is none.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] if no socket can be had.
+    /// Returns an [`Error`] if the socket or the sink can't be opened.
     ///
     /// # Example
     ///
@@ -160,16 +162,16 @@
         })
     }
 
-    /// Adds to a counter, of a service if one is named.
+    /// Adds to a counter, for a service if one is given.
     ///
     /// # Example
     ///
     /// See [`Metrics`].
     pub fn count(&self, metric: &'static Metric, service: Option<&str>, by: u32) {
-        self.change(metric, service, |reading| reading.total += i64::from(by));
+        self.update(metric, service, |reading| reading.total += i64::from(by));
     }
 
-    /// Sets a gauge, or the total of a counter that is kept elsewhere, of a service if one is named.
+    /// Sets a gauge, or the total of a counter that is kept elsewhere, for a service if one is given.
     ///
     /// # Example
     ///
@@ -182,26 +184,26 @@
     /// ```
     pub fn set(&self, metric: &'static Metric, service: Option<&str>, to: u64) {
         let to = i64::try_from(to).unwrap_or(i64::MAX);
-        self.change(metric, service, |reading| reading.total = to);
+        self.update(metric, service, |reading| reading.total = to);
     }
 
-    fn change<F>(&self, metric: &'static Metric, service: Option<&str>, change: F)
+    fn update<F>(&self, metric: &'static Metric, service: Option<&str>, update: F)
     where
         F: FnOnce(&mut Reading),
     {
         let mut state = self.state.borrow_mut();
         let services = state.readings.entry(metric.name).or_default();
         let service = service.unwrap_or_default();
-        // Looked up first, since an entry would need the name's copy each time.
+        // A lookup first: `entry` would allocate a copy of the service name at each call.
         match services.get_mut(service) {
-            Some(reading) => change(reading),
-            None => change(services.entry(service.to_owned()).or_default()),
+            Some(reading) => update(reading),
+            None => update(services.entry(service.to_owned()).or_default()),
         }
     }
 
-    /// Sends the counters' growth since the last flush, and the gauges as they stand.
+    /// Sends the growth of counters since the last flush, and the current values of gauges.
     ///
-    /// A datagram that can't be sent is lost: metrics never hold up the process.
+    /// A datagram that can't be sent is lost, so that metrics never block the process.
     ///
     /// # Example
     ///
@@ -221,18 +223,18 @@
                 reading.sent = reading.total;
             }
         }
-        // A full socket buffer or an absent receiver loses this round only.
+        // If the socket buffer is full or there is no receiver, only the values of this flush are lost.
         let _ = client.flush();
     }
 
-    /// Returns every reading by name and service.
+    /// Returns every value, by name and service.
     ///
     /// # Example
     ///
     /// See [`Metrics`].
     pub fn totals(&self) -> IndexMap<String, i64> {
         let state = self.state.borrow();
-        let all = state.readings.iter().flat_map(|(name, services)| {
+        let totals = state.readings.iter().flat_map(|(name, services)| {
             let label = move |service: &str| match service {
                 "" => (*name).to_owned(),
                 service => format!("{name}{{service={service}}}"),
@@ -241,11 +243,11 @@
                 .iter()
                 .map(move |(service, reading)| (label(service), reading.total))
         });
-        all.collect()
+        totals.collect()
     }
 }
 
-/// Opens a client that gathers lines into datagrams and never waits.
+/// Creates a client that batches lines into datagrams and never blocks.
 fn udp(address: SocketAddr) -> Result<StatsdClient, Error> {
     let local: SocketAddr = match address {
         SocketAddr::V4(_) => ([0, 0, 0, 0], 0).into(),
@@ -259,13 +261,13 @@
     Ok(StatsdClient::from_sink(PREFIX, sink))
 }
 
-/// Sends one reading; counters that did not grow are left out.
+/// Sends one value; a counter that did not grow is skipped.
 fn send(client: &StatsdClient, name: &str, service: &str, reading: Reading) {
     let kind = TABLE
         .iter()
         .find(|metric| metric.name == name)
         .map(|metric| metric.kind);
-    let grown = reading.total - reading.sent;
+    let growth = reading.total - reading.sent;
     if kind == Some(MetricKind::Gauge) {
         let total = u64::try_from(reading.total).unwrap_or(0);
         let mut line = client.gauge_with_tags(name, total);
@@ -273,8 +275,8 @@
             line = line.with_tag("service", service);
         }
         line.send();
-    } else if grown > 0 {
-        let mut line = client.count_with_tags(name, grown);
+    } else if growth > 0 {
+        let mut line = client.count_with_tags(name, growth);
         if !service.is_empty() {
             line = line.with_tag("service", service);
         }
@@ -282,7 +284,7 @@
     }
 }
 
-/// Returns the table as Markdown, as the operators' page carries it.
+/// Returns the table of metrics as Markdown, for the operators' manual.
 ///
 /// # Example
 ///
--- a/src/util/mod.rs
+++ b/src/util/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the crate that know nothing of routing.
+//! General helpers of the crate, independent of routing.
 
 pub use bramleypier_util::{body, client, decimal, fields, ini, server, stream};
 
--- a/src/util/names.rs
+++ b/src/util/names.rs
@@ -1,17 +1,18 @@
-//! Enumerations whose variants have a name in files and on the wire, and a meaning for operators.
+//! Enumerations whose variants have a name, used in files and on the wire, and a description for
+//! operators.
 
-/// The variants of an enumeration, by name.
+/// An enumeration whose variants have names and descriptions; the macro `names!` implements it.
 pub trait Names: Copy + Eq + std::hash::Hash + std::fmt::Debug + 'static {
-    /// Every variant, in order.
+    /// Every variant, in the order of declaration.
     const ALL: &'static [Self];
 
     /// Returns the variant's name.
     fn name(self) -> &'static str;
 
-    /// Returns what the variant stands for, in one sentence.
+    /// Returns the variant's description, one sentence.
     fn meaning(self) -> &'static str;
 
-    /// Returns the variant of a name.
+    /// Returns the variant with a name.
     ///
     /// # Example
     ///
@@ -28,7 +29,7 @@
     }
 }
 
-/// Returns names and meanings as a Markdown table, as the operators' page carries them.
+/// Returns the names and descriptions as a Markdown table, for the operators' manual.
 ///
 /// # Example
 ///
@@ -46,7 +47,7 @@
     format!("| {head} | meaning |\n|---|---|\n{rows}")
 }
 
-/// Declares an enumeration with [`Names`]; a variant's doc comment is its meaning.
+/// Declares an enumeration that implements [`Names`]; a variant's doc comment is its description.
 macro_rules! names {
     (
         $(#[$outer:meta])*
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: what is counted goes out once, and names are unique.
+//! Metrics: the growth of a counter is sent once, and names are unique.
 
 use std::{net::UdpSocket, time::Duration};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn growth_goes_out_once_and_gauges_each_time() {
+fn flush_sends_counter_growth_once_and_gauges_each_time() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_counter_that_is_kept_elsewhere_goes_out_as_growth() {
+fn a_counter_set_to_a_total_is_sent_as_growth() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket
         .set_read_timeout(Some(Duration::from_secs(10)))
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_absent_receiver_holds_up_nothing() {
+fn a_missing_receiver_does_not_block_the_sender() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     drop(socket);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn each_metric_has_its_own_name() {
+fn metric_names_are_unique() {
     let names: IndexSet<&str> = metrics::TABLE.iter().map(|metric| metric.name).collect();
     assert_eq!(names.len(), metrics::TABLE.len());
 }
--- a/tests/timeline.rs
+++ b/tests/timeline.rs
@@ -1,4 +1,5 @@
-//! The time line: cause before effect whatever the wall clocks say, in bounded memory, nothing hidden.
+//! The time line: causes precede effects for any wall clocks, memory is bounded, and missing events
+//! are reported.
 
 use std::{env, time::Duration};
 
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn filters_pass_what_they_name() {
+fn filters_pass_matching_events_only() {
     let point = key::point("letter-1");
     let here = Range {
         start: point,
@@ -116,14 +117,14 @@
 }
 
 #[test]
-fn an_account_says_what_is_missing() {
+fn a_merged_time_line_reports_missing_events() {
     let mut ring = Ring::new("vm-1#1".to_owned(), 2);
     for second in 1..=5 {
         ring.record(Duration::from_secs(second), event(Kind::Phase).cause("a<b"));
     }
     let parts = vec![ring.query(&Filter::default()); 2];
-    let account = MergedTimeline::merge(parts, vec!["vm-2#1".to_owned()]);
-    let text = render::text(&account);
+    let merged = MergedTimeline::merge(parts, vec!["vm-2#1".to_owned()]);
+    let text = render::text(&merged);
     assert!(
         text.starts_with(
             "1970-01-01T00:00:04.000Z+0 vm-1#1 duty=grantor step=test kind=phase cause=\"a<b\"\n"
@@ -139,7 +140,7 @@
         text.contains("dropped: 3 events of vm-1#1, those before 1970-01-01T00:00:04.000Z\n"),
         "{text}"
     );
-    let picture = draw::svg(&account);
+    let picture = draw::svg(&merged);
     assert!(
         picture.contains("a&lt;b") && !picture.contains("a<b"),
         "{picture}"
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn refused_requests_push_out_nothing_else() {
+fn refused_requests_do_not_displace_other_events() {
     let mut ring = Ring::new("vm-1#1".to_owned(), 3);
     ring.record(Duration::from_secs(1), event(Kind::RangeLost));
     for second in 2..=9 {
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn an_account_counts_a_loss_once() {
+fn a_merged_time_line_counts_a_loss_once() {
     let mut one = Ring::new("vm-1#1".to_owned(), 9);
     let mut two = Ring::new("vm-2#1".to_owned(), 9);
     let lost = event(Kind::RangeLost)
@@ -187,8 +188,8 @@
         .epoch(2);
     two.record(Duration::from_secs(4), served);
     let parts = vec![one.query(&Filter::default()), two.query(&Filter::default())];
-    let account = MergedTimeline::merge(parts, Vec::new());
-    let text = render::text(&account);
+    let merged = MergedTimeline::merge(parts, Vec::new());
+    let text = render::text(&merged);
     assert!(
         text.contains("service=a moves=0 churn=0.0000 unavailable=3.000s lost=0\n"),
         "{text}"
@@ -196,25 +197,25 @@
 }
 
 #[test]
-fn a_wall_clock_that_is_far_ahead_pulls_nobody() {
+fn a_stamp_far_ahead_of_the_wall_clock_is_ignored() {
     let mut ring = Ring::new("vm-1#1".to_owned(), 9);
     let wall = Duration::from_hours(1);
     ring.receive(wall, stamp::first(wall * 2));
     assert_eq!(stamp::time(ring.stamp(wall)), wall);
 }
 
-/// Events as (second, kind, range, epoch), and what they amount to after 100 s: moves, churn, seconds
-/// unavailable, ranges still open.
+/// Events as (second, kind, range, epoch), and the expected measures after 100 s: moves, churn, seconds
+/// unavailable, ranges still without a serving owner.
 type Case<'a> = (&'a [(u64, Kind, Range, u64)], u64, f64, f64, u64);
 
 #[test]
-fn measures_count_each_thing_once() {
+fn measures_count_each_move_and_loss_once() {
     use Kind::{RangeLost, RangeMoved, RangeServed};
     let halves = Range::ALL.split(2);
     let (all, low, high) = (Range::ALL, halves[0], halves[1]);
     let cases: &[Case<'_>] = &[
         (&[], 0, 0.0, 0.0, 0),
-        // Three grantors say the same, one of them late.
+        // Three grantors report the same loss, one of them after the range is served again.
         (
             &[
                 (10, RangeLost, all, 1),
@@ -229,7 +230,7 @@
             3.0,
             0,
         ),
-        // It is served at the same epoch again, and lost again.
+        // The range is served at the same epoch again, and lost again.
         (
             &[
                 (10, RangeLost, all, 1),
@@ -242,7 +243,7 @@
             3.0,
             0,
         ),
-        // It comes back in halves.
+        // The two halves are served again at different times.
         (
             &[
                 (10, RangeLost, all, 1),
@@ -254,9 +255,9 @@
             3.0,
             0,
         ),
-        // It does not come back.
+        // The range is not served again.
         (&[(90, RangeLost, low, 1)], 0, 0.0, 10.0, 1),
-        // Two moves of a half.
+        // A half moves twice; the last report is a duplicate.
         (
             &[
                 (1, RangeMoved, low, 2),
@@ -287,55 +288,56 @@
     }
 }
 
-/// A step of a random run: a process records, sends to another, or takes what was sent.
+/// A step of a random run: a process records an event, sends a message to another or receives one, or
+/// its wall clock is set.
 #[derive(Clone, Debug)]
-enum Move {
+enum Step {
     Record(usize),
     Send(usize, usize),
-    Take(usize),
-    Turn(usize, i64),
+    Receive(usize),
+    SetClock(usize, i64),
 }
 
-fn moves() -> impl Strategy<Value = Vec<Move>> {
+fn steps() -> impl Strategy<Value = Vec<Step>> {
     let vm = 0_usize..4;
     let one = prop_oneof![
-        vm.clone().prop_map(Move::Record),
-        (vm.clone(), vm.clone()).prop_map(|(from, to)| Move::Send(from, to)),
-        (0_usize..8).prop_map(Move::Take),
-        (vm, -300_000_i64..300_000).prop_map(|(vm, by)| Move::Turn(vm, by)),
+        vm.clone().prop_map(Step::Record),
+        (vm.clone(), vm.clone()).prop_map(|(from, to)| Step::Send(from, to)),
+        (0_usize..8).prop_map(Step::Receive),
+        (vm, -300_000_i64..300_000).prop_map(|(vm, by)| Step::SetClock(vm, by)),
     ];
     collection::vec(one, 0..80)
 }
 
-/// Plays the moves, and returns the rings and, for each event, the events that it must follow.
-fn play(moves: &[Move]) -> (Vec<Ring>, IndexMap<String, Vec<String>>) {
+/// Runs the steps, and returns the rings and, for each event, the events that must precede it.
+fn run(steps: &[Step]) -> (Vec<Ring>, IndexMap<String, Vec<String>>) {
     let mut rings: Vec<Ring> = (0..4)
         .map(|vm| Ring::new(format!("vm-{vm}#1"), 999))
         .collect();
     let mut walls = [1_000_000_i64; 4];
     let mut known: Vec<Vec<String>> = vec![Vec::new(); 4];
     let mut causes = IndexMap::new();
-    let mut wire: Vec<(usize, u64, Vec<String>)> = Vec::new();
+    let mut in_flight: Vec<(usize, u64, Vec<String>)> = Vec::new();
     let wall = |millis: i64| Duration::from_millis(u64::try_from(millis).unwrap());
-    for (index, step) in moves.iter().enumerate() {
+    for (index, step) in steps.iter().enumerate() {
         match step {
-            Move::Record(vm) => {
+            Step::Record(vm) => {
                 let name = index.to_string();
                 rings[*vm].record(wall(walls[*vm]), event(Kind::Phase).cause(&name));
                 causes.insert(name.clone(), known[*vm].clone());
                 known[*vm].push(name);
             }
-            Move::Send(from, to) => {
+            Step::Send(from, to) => {
                 let stamp = rings[*from].stamp(wall(walls[*from]));
-                wire.push((*to, stamp, known[*from].clone()));
+                in_flight.push((*to, stamp, known[*from].clone()));
             }
-            Move::Take(pick) if !wire.is_empty() => {
-                let (to, stamp, names) = wire.remove(pick % wire.len());
+            Step::Receive(pick) if !in_flight.is_empty() => {
+                let (to, stamp, names) = in_flight.remove(pick % in_flight.len());
                 rings[to].receive(wall(walls[to]), stamp);
                 known[to].extend(names);
             }
-            Move::Take(_) => {}
-            Move::Turn(vm, by) => walls[*vm] = 1_000_000 + by,
+            Step::Receive(_) => {}
+            Step::SetClock(vm, by) => walls[*vm] = 1_000_000 + by,
         }
     }
     (rings, causes)
@@ -345,15 +347,15 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_merged_account_is_causal(moves in moves(), turn in 0_usize..4) {
-        let (rings, causes) = play(&moves);
+    fn a_merged_time_line_is_in_causal_order(steps in steps(), turn in 0_usize..4) {
+        let (rings, causes) = run(&steps);
         let mut parts: Vec<_> = rings.iter().map(|ring| ring.query(&Filter::default())).collect();
-        let account = MergedTimeline::merge(parts.clone(), Vec::new());
-        let order: IndexMap<String, usize> = account
+        let merged = MergedTimeline::merge(parts.clone(), Vec::new());
+        let order: IndexMap<String, usize> = merged
             .events
             .iter()
             .enumerate()
-            .map(|(place, event)| (event.cause.clone().unwrap(), place))
+            .map(|(index, event)| (event.cause.clone().unwrap(), index))
             .collect();
         prop_assert_eq!(order.len(), causes.len());
         for (effect, before) in &causes {
@@ -362,11 +364,11 @@
             }
         }
         parts.rotate_left(turn);
-        prop_assert_eq!(MergedTimeline::merge(parts, Vec::new()), account);
+        prop_assert_eq!(MergedTimeline::merge(parts, Vec::new()), merged);
     }
 
     #[test]
-    fn a_ring_keeps_the_last_and_counts_the_rest(capacity in 1_usize..20, count in 0_usize..60) {
+    fn a_ring_keeps_the_latest_events_and_counts_dropped_ones(capacity in 1_usize..20, count in 0_usize..60) {
         let mut ring = Ring::new("vm-1#1".to_owned(), capacity);
         for index in 0..count {
             ring.record(Duration::ZERO, event(Kind::Phase).cause(&index.to_string()));
