--- a/src/lib.rs
+++ b/src/lib.rs
@@ -41,7 +41,7 @@
 //! # Keys, ranges and owners
 //!
 //! A key hashes to a point, and the hash space is divided into ranges of points. Each range has one
-//! owner at an [epoch](id::Epoch), which increases with each change of owner:
+//! owner at an [epoch](id::Epoch) that only increases:
 //!
 //! ```
 //! use bramleypier::{key, range::Range};
@@ -77,7 +77,7 @@
 //! ```
 //!
 //! Up to three VMs outside the target's failure domain, its [grantors](grantor), renew the grant.
-//! Each of them may renew it alone, but ranges are moved away only after all of them have stopped.
+//! They share the work of renewing it, but ranges are moved away only after all of them have stopped.
 //! `docs/DESIGN.md` gives the rules and the failures that each protects against.
 //!
 //! # Decisions without I/O
--- a/src/timeline/render.rs
+++ b/src/timeline/render.rs
@@ -69,8 +69,8 @@
 /// ```
 /// use bramleypier::timeline::{MergedTimeline, render};
 ///
-/// let account = MergedTimeline::merge(Vec::new(), vec!["vm-3#1".to_owned()]);
-/// assert!(render::text(&account).contains("not reached: vm-3#1"));
+/// let merged = MergedTimeline::merge(Vec::new(), vec!["vm-3#1".to_owned()]);
+/// assert!(render::text(&merged).contains("not reached: vm-3#1"));
 /// ```
 pub fn text(timeline: &MergedTimeline) -> String {
     let mut page = String::new();
