--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between the processes of bramleypier: HTTP with `MessagePack` bodies.
 //!
-//! Messages go one way and in batches: each peer has a task of its own that owns the sending, and
-//! takes whatever has gathered while the last batch was under way. A message that can't be sent
-//! is dropped and counted; every protocol above this one lives with lost messages.
+//! Messages are one-way and sent in batches. Each peer has its own sending task, which collects the messages
+//! queued while earlier batches are in flight. A message that can't be sent is dropped; one that is dropped
+//! because the queue is full is also counted. Every protocol on top of this module tolerates lost messages.
 
 use std::{fmt, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -24,76 +24,76 @@
     },
 };
 
-/// Where batches go.
+/// Path that receives batches.
 pub const BATCH_PATH: &str = "/peer/batch";
-/// Carries the sender's hybrid logical time, so that events order causally.
+/// Carries the sender's hybrid logical clock, so that events can be ordered causally.
 pub const STAMP: HeaderName = HeaderName::from_static("bramleypier-stamp");
-/// The largest batch that is read, in bytes.
+/// Maximum size of a received batch, in bytes.
 pub const BATCH_LIMIT: usize = 8 * 1024 * 1024;
-/// The most messages in a batch.
-const BATCH_MESSAGES: usize = 128;
-/// The most connections to a peer.
-const CONNECTIONS: usize = 16;
-/// How many batches to a peer may be under way at once.
-const IN_FLIGHT: usize = 4;
-/// How long a batch may take.
+/// Maximum number of messages in a batch.
+const MAX_BATCH_MESSAGES: usize = 128;
+/// Maximum number of connections to a peer.
+const MAX_CONNECTIONS: usize = 16;
+/// Maximum number of batches in flight to a peer.
+const MAX_IN_FLIGHT: usize = 4;
+/// Timeout for sending a batch.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many messages may wait for a peer; more are dropped.
-const QUEUE: usize = 4_096;
+/// Maximum number of messages queued for a peer; further messages are dropped.
+const QUEUE_LIMIT: usize = 4_096;
 
 quick_error! {
-    /// Why a peer did not answer.
+    /// Why a call to a peer failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The exchange failed.
+        /// The HTTP exchange failed.
         Exchange(step: &'static str, peer: SocketAddr, cause: client::Error) {
             display("step={step} peer={peer} cause={cause}")
             source(cause)
         }
-        /// The peer answered, but not as agreed.
+        /// The peer's response violates the protocol.
         Answer(step: &'static str, peer: SocketAddr, cause: String) {
             display("step={step} peer={peer} cause={cause:?}")
         }
     }
 }
 
-/// What hears of each message to and from a peer, for the time line and the counters.
+/// Observes every message to and from a peer, for the timeline and the counters.
 pub trait Observer: fmt::Debug {
-    /// Returns the stamp of a message that leaves now.
+    /// Returns the stamp for a message that is sent now.
     fn stamp(&self) -> Stamp;
 
-    /// Takes the stamp of a message that came.
+    /// Merges the stamp of a received message.
     fn receive(&self, stamp: Stamp);
 
-    /// Counts the bytes of a body that is sent.
+    /// Counts a sent message and the bytes of its body.
     fn sent(&self, bytes: usize);
 
-    /// Counts a message that was dropped because too many waited.
+    /// Counts a message that was dropped because the peer's queue was full.
     fn dropped(&self);
 }
 
-/// Reads the stamp that a message carries.
+/// Reads the stamp from a message's headers.
 pub fn stamp(headers: &HeaderMap) -> Option<Stamp> {
     headers.get(STAMP)?.to_str().ok()?.parse().ok()
 }
 
-/// Who sends, and what.
+/// A batch of messages from one VM.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Batch<M> {
     /// The sender.
     pub from: VmId,
-    /// The address at which the sender takes batches.
+    /// The address at which the sender receives batches.
     pub address: SocketAddr,
-    /// The messages, in the order in which they were sent.
+    /// The messages in the order in which they were queued.
     pub messages: Vec<M>,
 }
 
-/// Writes a value for the wire.
+/// Encodes a value as `MessagePack`.
 ///
 /// # Errors
 ///
-/// The value can't be written; its types are at fault.
+/// The value's type can't be serialised.
 pub fn encode<T>(value: &T) -> Result<Bytes, rmp_serde::encode::Error>
 where
     T: Serialize,
@@ -101,11 +101,11 @@
     rmp_serde::to_vec_named(value).map(Bytes::from)
 }
 
-/// Reads a value from the wire.
+/// Decodes a value from `MessagePack`.
 ///
 /// # Errors
 ///
-/// The bytes hold no such value.
+/// The bytes don't encode a value of this type.
 pub fn decode<T>(bytes: &[u8]) -> Result<T, rmp_serde::decode::Error>
 where
     T: DeserializeOwned,
@@ -113,7 +113,7 @@
     rmp_serde::from_slice(bytes)
 }
 
-/// Sends to peers; each has a task of its own.
+/// Queues messages for peers and sends them, with one sending task per peer.
 #[derive(Debug)]
 pub struct Outbox<M> {
     client: Client,
@@ -127,10 +127,10 @@
 where
     M: Serialize + 'static,
 {
-    /// Creates an outbox of the VM `from`, which takes batches at `address`.
+    /// Creates an outbox for the VM `from`, which receives batches at `address`.
     pub fn new(clock: Clock, from: VmId, address: SocketAddr, observer: Rc<dyn Observer>) -> Self {
         Self {
-            client: Client::new(clock, CONNECTIONS),
+            client: Client::new(clock, MAX_CONNECTIONS),
             from,
             address,
             observer,
@@ -138,18 +138,18 @@
         }
     }
 
-    /// Queues a message for a peer, or drops it when too many wait.
+    /// Queues a message for a peer; drops it when the peer's queue is full.
     pub fn send(&mut self, to: SocketAddr, message: M) {
         let queue = self.queues.entry(to).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE);
-            let courier = Sender {
+            let (sender, receiver) = mpsc::channel(QUEUE_LIMIT);
+            let task = Sender {
                 client: self.client.clone(),
                 from: self.from.clone(),
                 address: self.address,
                 to,
                 observer: self.observer.clone(),
             };
-            compio::runtime::spawn(courier.run(receiver)).detach();
+            compio::runtime::spawn(task.run(receiver)).detach();
             sender
         });
         if queue.try_send(message).is_err() {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Forgets the peers that are no longer there; their tasks end.
+    /// Removes the peers for which `keep` returns false, and ends their tasks.
     pub fn retain<F>(&mut self, mut keep: F)
     where
         F: FnMut(&SocketAddr) -> bool,
@@ -166,7 +166,7 @@
     }
 }
 
-/// The sending side of one peer.
+/// Sends the batches for one peer.
 #[derive(Clone, Debug)]
 struct Sender {
     client: Client,
@@ -177,17 +177,17 @@
 }
 
 impl Sender {
-    /// Sends batch after batch, a few at a time, until the outbox forgets the peer.
+    /// Sends batches, up to [`MAX_IN_FLIGHT`] at once, until the outbox removes the peer.
     async fn run<M>(self, queue: mpsc::Receiver<M>)
     where
         M: Serialize + 'static,
     {
         queue
-            .ready_chunks(BATCH_MESSAGES)
-            .for_each_concurrent(IN_FLIGHT, |messages| {
+            .ready_chunks(MAX_BATCH_MESSAGES)
+            .for_each_concurrent(MAX_IN_FLIGHT, |messages| {
                 let sender = self.clone();
                 async move {
-                    // A lost batch is a lost batch; membership finds lost peers by itself.
+                    // A lost batch isn't retried: membership detects failed peers by itself.
                     let _ = sender.post(messages).await;
                 }
             })
@@ -204,30 +204,30 @@
             messages,
         };
         let observer = &*self.observer;
-        let span = SEND_TIMEOUT;
-        exchange(&self.client, observer, self.to, BATCH_PATH, &batch, span).await?;
+        let timeout = SEND_TIMEOUT;
+        exchange(&self.client, observer, self.to, BATCH_PATH, &batch, timeout).await?;
         Ok(())
     }
 }
 
-/// Calls a peer and reads its answer.
+/// Sends a request to a peer and decodes its response.
 ///
 /// # Errors
 ///
-/// The peer did not answer in time, or not as agreed.
+/// The peer did not respond within `timeout`, or its response violates the protocol.
 pub async fn call<Q, A>(
     client: &Client,
     observer: &dyn Observer,
     to: SocketAddr,
     path: &str,
     question: &Q,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<A, Error>
 where
     Q: Serialize,
     A: DeserializeOwned,
 {
-    let bytes = exchange(client, observer, to, path, question, span).await?;
+    let bytes = exchange(client, observer, to, path, question, timeout).await?;
     decode(&bytes).map_err(|cause| Error::Answer("call", to, cause.to_string()))
 }
 
@@ -237,31 +237,31 @@
     to: SocketAddr,
     path: &str,
     question: &Q,
-    span: Duration,
+    timeout: Duration,
 ) -> Result<Vec<u8>, Error>
 where
     Q: Serialize,
 {
-    let wrong = |cause: String| Error::Answer("call", to, cause);
-    let bytes = encode(question).map_err(|cause| wrong(cause.to_string()))?;
+    let invalid = |cause: String| Error::Answer("call", to, cause);
+    let bytes = encode(question).map_err(|cause| invalid(cause.to_string()))?;
     observer.sent(bytes.len());
     let request = Request::post(path)
         .header(header::HOST, to.to_string())
         .header(STAMP, observer.stamp())
         .body(Body::from(bytes))
-        .map_err(|cause| wrong(cause.to_string()))?;
+        .map_err(|cause| invalid(cause.to_string()))?;
     let response = client
-        .send(to, request, span)
+        .send(to, request, timeout)
         .await
         .map_err(|cause| Error::Exchange("call", to, cause))?;
     if let Some(stamp) = stamp(response.headers()) {
         observer.receive(stamp);
     }
     if response.status() != StatusCode::OK {
-        return Err(wrong(format!("status {}", response.status())));
+        return Err(invalid(format!("status {}", response.status())));
     }
     body::read(response.into_body(), BATCH_LIMIT)
         .await
         .map(Vec::from)
-        .map_err(|cause| wrong(cause.to_string()))
+        .map_err(|cause| invalid(cause.to_string()))
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's service, as bramleypier sees it: `docs/CONTRACTS.md`, section "Platform".
+//! Client of the platform's service, specified in `docs/CONTRACTS.md`, section "Platform".
 //!
-//! This file is the only one that knows the platform's protocol. A write whose answer was lost is
-//! reported as [`Error::OutcomeUnknown`]: it may have taken effect, and only reading back can tell.
+//! Only this module knows the platform's protocol. A write whose response was lost is reported as
+//! [`Error::OutcomeUnknown`]: it may have taken effect, and only reading the value back can tell.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,34 +21,34 @@
     },
 };
 
-/// The start of all our keys.
+/// Prefix of all keys that bramleypier owns.
 pub const ROOT: &str = "bramleypier/";
-/// The start of the keys of service documents.
+/// Key prefix of the service documents.
 pub const DOCUMENTS: &str = "bramleypier/documents/";
-/// The start of the keys of groups' records.
+/// Key prefix of the groups' records.
 pub const GROUPS: &str = "bramleypier/groups/";
-/// The key of the views of orders.
+/// Key of the views of orders.
 pub const ORDERS: &str = "bramleypier/orders";
-/// The most connections to the platform; a waiting watch holds one.
-const CONNECTIONS: usize = 8;
-/// How long a call may take.
+/// Maximum number of connections to the platform; an open watch occupies one.
+const MAX_CONNECTIONS: usize = 8;
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a watch may wait.
+/// Timeout of a watch, which the service holds open until a change or for about 20 s.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(25);
-/// The largest value, in bytes.
+/// Maximum size of a value, in bytes.
 pub const VALUE_LIMIT: usize = 1_000_000;
-/// The largest answer that is read, in bytes.
-const ANSWER_LIMIT: usize = 16 * 1024 * 1024;
-/// Carries a value's version in an answer.
+/// Maximum size of a response, in bytes.
+const RESPONSE_LIMIT_BYTES: usize = 16 * 1024 * 1024;
+/// Carries a value's version in a response.
 const VERSION: HeaderName = HeaderName::from_static("version");
 /// Carries the version that a write is based on.
 const IF_VERSION: HeaderName = HeaderName::from_static("if-version");
-/// Carries the lease that a key is put under.
+/// Carries the lease that a key is attached to.
 const LEASE: HeaderName = HeaderName::from_static("lease");
-/// Carries the name of the VM that calls.
+/// Carries the name of the calling VM.
 const FROM: HeaderName = HeaderName::from_static("bramleypier-from");
 
-/// What is escaped in a path or a query: a bare `#` would cut the rest off.
+/// Characters escaped in a path or a query; an unescaped `#`, for example, would start a fragment.
 const ESCAPED: &AsciiSet = &percent::NON_ALPHANUMERIC
     .remove(b'/')
     .remove(b'-')
@@ -57,10 +57,10 @@
     .remove(b'~');
 
 quick_error! {
-    /// Why a call to the platform did not succeed.
+    /// Why a call to the platform failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The call can't have taken effect.
+        /// The call had no effect.
         Failed(step: &'static str, peer: SocketAddr, cause: String) {
             display("step={step} peer={peer} outcome=not-run cause={cause:?}")
         }
@@ -71,13 +71,13 @@
     }
 }
 
-/// What became of a compare-and-swap.
+/// Result of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WriteOutcome {
-    /// The value is in place at this version.
+    /// The write took effect and created this version.
     #[serde(rename = "Won")]
     Committed(Version),
-    /// The value stands at another version (0: there is none); nothing was changed.
+    /// The key has this other version (0: it doesn't exist); nothing was changed.
     #[serde(rename = "Lost")]
     Conflict(Version),
 }
@@ -87,11 +87,11 @@
 pub struct KeyVersion {
     /// The key.
     pub key: String,
-    /// Its version; 0 when it was deleted.
+    /// Its version; 0 when the key was deleted.
     pub version: Version,
 }
 
-/// Keys below a prefix, as of a revision of the store.
+/// Keys with a prefix, as of a revision of the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     /// The store's revision.
@@ -103,19 +103,19 @@
 /// A VM in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// Its name: a VM's id, or a target's name.
+    /// Its name; for a target, the target's id.
     pub name: VmId,
     /// The address at which peers reach it.
     pub address: String,
-    /// The failure domain it stands in.
+    /// Its failure domain.
     pub domain: DomainId,
     /// What runs on it.
     pub kind: Kind,
-    /// Whether it is going.
+    /// Whether it is about to be removed.
     pub state: State,
 }
 
-/// Returns the targets whose VMs the list says are leaving.
+/// Returns the targets whose VMs are listed as leaving.
 ///
 /// # Example
 ///
@@ -136,7 +136,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A process of ours.
+    /// A bramleypier process.
     Entry,
     /// A target.
     Target,
@@ -146,9 +146,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It runs.
+    /// It is running.
     Live,
-    /// It is about to go.
+    /// It is about to be removed.
     Leaving,
 }
 
@@ -167,28 +167,28 @@
     metrics: Option<Metrics>,
 }
 
-/// An answer, read whole.
-struct Answer {
+/// A response with its complete body.
+struct RawResponse {
     status: StatusCode,
     version: Version,
     body: Bytes,
 }
 
 impl Platform {
-    /// Creates a client; it connects when first used. `from` names the caller to the platform.
+    /// Creates a client that connects on first use. `from` identifies this process to the platform.
     pub fn new(clock: Clock, address: SocketAddr, from: String) -> Self {
         Self {
             address,
             from,
-            client: Client::new(clock.clone(), CONNECTIONS),
+            client: Client::new(clock.clone(), MAX_CONNECTIONS),
             clock,
             metrics: None,
         }
     }
 
-    /// Counts the calls, those that failed and those in doubt.
+    /// Counts all calls, failed calls and writes with an unknown outcome in `metrics`.
     #[must_use]
-    pub fn counted(mut self, metrics: Metrics) -> Self {
+    pub fn with_metrics(mut self, metrics: Metrics) -> Self {
         self.metrics = Some(metrics);
         self
     }
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn get(&self, key: &str) -> Result<Option<(Version, Bytes)>, Error> {
         let answer = self
             .call(
@@ -217,25 +217,25 @@
         match answer.status {
             StatusCode::OK => Ok(Some((answer.version, answer.body))),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(self.unexpected("get", status)),
+            status => Err(self.status_error("get", status)),
         }
     }
 
-    /// Lists the keys below a prefix.
+    /// Lists the keys with a prefix.
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn list(&self, prefix: &str) -> Result<Listing, Error> {
         self.read("list", &format!("/v1/list?prefix={}", escape(prefix)))
             .await
     }
 
-    /// Waits until a key below a prefix has changed after a revision, or some 20 s have passed.
+    /// Waits until a key with a prefix has changed after the revision `since`, or about 20 s have passed.
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn watch(&self, prefix: &str, since: Version) -> Result<Listing, Error> {
         self.read(
             "watch",
@@ -244,16 +244,16 @@
         .await
     }
 
-    /// Lists the VMs, with a lag.
+    /// Lists the VMs. The list may be out of date.
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn vms(&self) -> Result<Vec<ListedVm>, Error> {
         self.read("vms", "/v1/vms").await
     }
 
-    /// Puts a value where the key stands at `base` (0: it must not exist).
+    /// Writes a value if the key's version is `base` (0: the key must not exist).
     ///
     /// # Errors
     ///
@@ -269,7 +269,7 @@
         .await
     }
 
-    /// Puts a value under a lease; it goes when the lease lapses.
+    /// Creates a key attached to a lease; it is deleted when the lease expires.
     ///
     /// # Errors
     ///
@@ -284,7 +284,7 @@
         self.write("put", Method::PUT, key, &headers, value).await
     }
 
-    /// Deletes a value where the key stands at `base`.
+    /// Deletes a key if its version is `base`.
     ///
     /// # Errors
     ///
@@ -295,11 +295,11 @@
             .await
     }
 
-    /// Creates a lease of `ttl`.
+    /// Creates a lease that expires after `ttl` unless it is renewed.
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn lease(&self, ttl: Duration) -> Result<LeaseId, Error> {
         let path = format!("/v1/lease?ttl_ms={}", ttl.as_millis());
         let answer = self
@@ -309,11 +309,11 @@
         Ok(granted.id)
     }
 
-    /// Renews a lease; `false` when it has lapsed, which is for good.
+    /// Renews a lease; returns `false` when it has expired, after which it can't be renewed.
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn renew(&self, lease: &LeaseId) -> Result<bool, Error> {
         let path = format!("/v1/lease/{lease}/renew");
         let answer = self
@@ -322,11 +322,11 @@
         self.exists("renew", answer.status)
     }
 
-    /// Ends a lease.
+    /// Ends a lease; returns `false` when it no longer exists.
     ///
     /// # Errors
     ///
-    /// The service did not answer.
+    /// The service did not respond, or responded with an unexpected status.
     pub async fn revoke(&self, lease: &LeaseId) -> Result<bool, Error> {
         let path = format!("/v1/lease/{lease}");
         let answer = self
@@ -339,7 +339,7 @@
         match status {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
-            status => Err(self.unexpected(step, status)),
+            status => Err(self.status_error(step, status)),
         }
     }
 
@@ -353,12 +353,12 @@
         self.parse(step, &answer)
     }
 
-    fn parse<T>(&self, step: &'static str, answer: &Answer) -> Result<T, Error>
+    fn parse<T>(&self, step: &'static str, answer: &RawResponse) -> Result<T, Error>
     where
         T: DeserializeOwned,
     {
         if answer.status != StatusCode::OK {
-            return Err(self.unexpected(step, answer.status));
+            return Err(self.status_error(step, answer.status));
         }
         serde_json::from_slice(&answer.body)
             .map_err(|cause| Error::OutcomeUnknown(step, self.address, cause.to_string()))
@@ -384,7 +384,7 @@
         match answer.status {
             StatusCode::OK => Ok(WriteOutcome::Committed(answer.version)),
             StatusCode::PRECONDITION_FAILED => Ok(WriteOutcome::Conflict(answer.version)),
-            // An error of the service's own: it doesn't say whether the write took effect.
+            // Any other status doesn't tell whether the write took effect.
             status => Err(Error::OutcomeUnknown(
                 step,
                 self.address,
@@ -393,7 +393,7 @@
         }
     }
 
-    /// Makes a call and counts how it ended.
+    /// Makes a call and counts its outcome.
     async fn call(
         &self,
         step: &'static str,
@@ -401,7 +401,7 @@
         path: &str,
         headers: &[(HeaderName, String)],
         value: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<RawResponse, Error> {
         self.count(&metrics::PLATFORM_CALLS);
         let is_write = method == Method::PUT || method == Method::DELETE;
         let result = self.exchange(step, method, path, headers, value).await;
@@ -420,7 +420,7 @@
         path: &str,
         headers: &[(HeaderName, String)],
         value: Bytes,
-    ) -> Result<Answer, Error> {
+    ) -> Result<RawResponse, Error> {
         let mut request = Request::builder()
             .method(method)
             .uri(path)
@@ -432,16 +432,16 @@
         let request = request
             .body(Body::from(value))
             .map_err(|cause| Error::Failed(step, self.address, cause.to_string()))?;
-        let span = if step == "watch" {
+        let timeout = if step == "watch" {
             WATCH_TIMEOUT
         } else {
             CALL_TIMEOUT
         };
         let response = self
             .client
-            .send(self.address, request, span)
+            .send(self.address, request, timeout)
             .await
-            .map_err(|cause| self.broken(step, &cause))?;
+            .map_err(|cause| self.send_error(step, &cause))?;
         let status = response.status();
         let version = response
             .headers()
@@ -450,18 +450,21 @@
             .unwrap_or(0);
         let body = self
             .clock
-            .timeout(CALL_TIMEOUT, body::read(response.into_body(), ANSWER_LIMIT))
+            .timeout(
+                CALL_TIMEOUT,
+                body::read(response.into_body(), RESPONSE_LIMIT_BYTES),
+            )
             .await
             .unwrap_or_else(|_| Err("timed out".into()))
             .map_err(|cause| Error::OutcomeUnknown(step, self.address, cause.to_string()))?;
-        Ok(Answer {
+        Ok(RawResponse {
             status,
             version,
             body,
         })
     }
 
-    fn broken(&self, step: &'static str, cause: &client::Error) -> Error {
+    fn send_error(&self, step: &'static str, cause: &client::Error) -> Error {
         if cause.unsent() {
             Error::Failed(step, self.address, cause.to_string())
         } else {
@@ -469,12 +472,12 @@
         }
     }
 
-    fn unexpected(&self, step: &'static str, status: StatusCode) -> Error {
+    fn status_error(&self, step: &'static str, status: StatusCode) -> Error {
         Error::Failed(step, self.address, format!("status {status}"))
     }
 }
 
-/// Returns a key or a prefix as it is written in a path or a query.
+/// Escapes a key or a prefix for a path or a query.
 fn escape(key: &str) -> percent::PercentEncode<'_> {
     percent::utf8_percent_encode(key, ESCAPED)
 }
--- a/src/target.rs
+++ b/src/target.rs
@@ -1,6 +1,6 @@
-//! Targets, as bramleypier sees them: `docs/CONTRACTS.md`, section "Target".
+//! Client of the targets, specified in `docs/CONTRACTS.md`, section "Target".
 //!
-//! This file is the only one that knows the targets' protocol.
+//! Only this module knows the targets' protocol: grants, state, requests and cancellation.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -22,42 +22,42 @@
     },
 };
 
-/// Where grants go.
+/// Path that receives grants.
 const GRANT_PATH: &str = "/bramleypier/grant";
-/// Where the state is read.
+/// Path that returns the target's state.
 const STATE_PATH: &str = "/bramleypier/state";
-/// The start of the path at which a request is given up.
+/// Prefix of the path that cancels an attempt.
 const CANCEL_PATH: &str = "/bramleypier/cancel/";
-/// The largest state that is read, in bytes.
-const STATE_LIMIT: usize = 4 * 1024 * 1024;
-/// The most connections to a target for grants.
+/// Maximum size of a state response, in bytes.
+const STATE_LIMIT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of connections to a target for grants and state.
 const GRANT_CONNECTIONS: usize = 2;
 /// Carries the id of one attempt of a request.
 const REQUEST: HeaderName = HeaderName::from_static("bramleypier-request");
-/// Carries the key.
+/// Carries the key, percent-encoded.
 const KEY: HeaderName = HeaderName::from_static("bramleypier-key");
-/// Carries the key's point, in decimal.
+/// Carries the key's point in the hash space, in decimal.
 const HASH: HeaderName = HeaderName::from_static("bramleypier-hash");
 /// Carries the epoch of the key's range.
 const EPOCH: HeaderName = HeaderName::from_static("bramleypier-epoch");
 
 quick_error! {
-    /// Why a target did not answer a grant.
+    /// Why a grant or a state request failed.
     #[derive(Debug)]
     pub enum Error {
-        /// The exchange failed.
+        /// The HTTP exchange failed.
         Exchange(step: &'static str, peer: SocketAddr, cause: client::Error) {
             display("step={step} peer={peer} cause={cause}")
             source(cause)
         }
-        /// The target answered, but not as agreed.
+        /// The target's response violates the protocol.
         Answer(step: &'static str, peer: SocketAddr, cause: String) {
             display("step={step} peer={peer} cause={cause:?}")
         }
     }
 }
 
-/// Sends grants, and reads targets' states.
+/// Sends grants and reads the targets' state.
 #[derive(Clone, Debug)]
 pub struct Control {
     clock: Clock,
@@ -65,7 +65,7 @@
 }
 
 impl Control {
-    /// Creates a client; it connects when first used.
+    /// Creates a client that connects on first use.
     pub fn new(clock: Clock) -> Self {
         Self {
             client: Client::new(clock.clone(), GRANT_CONNECTIONS),
@@ -73,12 +73,17 @@
         }
     }
 
-    /// Gives a target a grant, and returns the state it answers with.
+    /// Sends a grant to a target and returns the state in its response.
     ///
     /// # Errors
     ///
-    /// The target did not answer within `span`.
-    pub async fn grant<G, S>(&self, peer: SocketAddr, grant: &G, span: Duration) -> Result<S, Error>
+    /// The target did not respond within `timeout`, or its response violates the protocol.
+    pub async fn grant<G, S>(
+        &self,
+        peer: SocketAddr,
+        grant: &G,
+        timeout: Duration,
+    ) -> Result<S, Error>
     where
         G: Serialize,
         S: DeserializeOwned,
@@ -86,20 +91,20 @@
         let bytes = serde_json::to_vec(grant)
             .map_err(|cause| Error::Answer("grant", peer, cause.to_string()))?;
         let request = Request::post(GRANT_PATH).body(Body::from(bytes));
-        self.state_of("grant", peer, request, span).await
+        self.state_of("grant", peer, request, timeout).await
     }
 
     /// Reads a target's state.
     ///
     /// # Errors
     ///
-    /// The target did not answer within `span`.
-    pub async fn state<S>(&self, peer: SocketAddr, span: Duration) -> Result<S, Error>
+    /// The target did not respond within `timeout`, or its response violates the protocol.
+    pub async fn state<S>(&self, peer: SocketAddr, timeout: Duration) -> Result<S, Error>
     where
         S: DeserializeOwned,
     {
         let request = Request::get(STATE_PATH).body(Body::empty());
-        self.state_of("state", peer, request, span).await
+        self.state_of("state", peer, request, timeout).await
     }
 
     async fn state_of<S>(
@@ -107,39 +112,39 @@
         step: &'static str,
         peer: SocketAddr,
         request: http::Result<Request<Body>>,
-        span: Duration,
+        timeout: Duration,
     ) -> Result<S, Error>
     where
         S: DeserializeOwned,
     {
-        let wrong = |cause: String| Error::Answer(step, peer, cause);
-        let mut request = request.map_err(|cause| wrong(cause.to_string()))?;
+        let invalid = |cause: String| Error::Answer(step, peer, cause);
+        let mut request = request.map_err(|cause| invalid(cause.to_string()))?;
         set_host(request.headers_mut(), peer);
         let exchange = async {
             let response = self
                 .client
-                .send(peer, request, span)
+                .send(peer, request, timeout)
                 .await
                 .map_err(|cause| Error::Exchange(step, peer, cause))?;
-            // 409 carries the state too: of another start of the target.
+            // 409 also carries the state: another process of the target is running than the one addressed.
             let status = response.status();
             if status != StatusCode::OK && status != StatusCode::CONFLICT {
-                return Err(wrong(format!("status {status}")));
+                return Err(invalid(format!("status {status}")));
             }
-            let bytes = body::read(response.into_body(), STATE_LIMIT)
+            let bytes = body::read(response.into_body(), STATE_LIMIT_BYTES)
                 .await
-                .map_err(|cause| wrong(cause.to_string()))?;
-            serde_json::from_slice(&bytes).map_err(|cause| wrong(cause.to_string()))
+                .map_err(|cause| invalid(cause.to_string()))?;
+            serde_json::from_slice(&bytes).map_err(|cause| invalid(cause.to_string()))
         };
-        let late = || Err(wrong("timed out".into()));
+        let timed_out = || Err(invalid("timed out".into()));
         self.clock
-            .timeout(span, exchange)
+            .timeout(timeout, exchange)
             .await
-            .unwrap_or_else(|_| late())
+            .unwrap_or_else(|_| timed_out())
     }
 }
 
-/// One attempt of a request, as a target gets it.
+/// One attempt of a request, as sent to a target.
 #[derive(Clone, Debug)]
 pub struct TargetRequest {
     /// The caller's method.
@@ -150,17 +155,17 @@
     pub headers: HeaderMap,
     /// The id of this attempt.
     pub attempt: RequestId,
-    /// The key.
+    /// The key, not yet percent-encoded.
     pub key: String,
     /// The key's point.
     pub point: Point,
-    /// The epoch of the key's range; none for a shared service.
+    /// The epoch of the key's range; `None` for a shared service.
     pub epoch: Option<Epoch>,
-    /// How long the answer may take.
+    /// The time that remains for the response.
     pub left: Duration,
 }
 
-/// Sends work to targets.
+/// Sends requests to targets.
 #[derive(Clone, Debug)]
 pub struct Sender {
     client: Client,
@@ -174,16 +179,16 @@
         }
     }
 
-    /// Returns how many connections were opened so far.
+    /// Returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.client.opened()
     }
 
-    /// Sends one attempt, and waits for the head of the answer.
+    /// Sends one attempt and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// [`client::Error::unsent`] tells whether the target can't have seen any of it.
+    /// [`client::Error::unsent`] tells whether the target can't have received any part of the request.
     pub async fn send(
         &self,
         peer: SocketAddr,
@@ -192,31 +197,31 @@
     ) -> Result<Response<Incoming>, client::Error> {
         let mut request = Request::new(body);
         *request.method_mut() = work.method.clone();
-        // The caller's own path was parsed as a URI before.
+        // The caller's path was parsed as a URI before, so parsing it again can't fail.
         *request.uri_mut() = work.uri.parse().unwrap_or_default();
         *request.headers_mut() = headers(work);
         set_host(request.headers_mut(), peer);
         self.client.send(peer, request, work.left).await
     }
 
-    /// Tells a target that nobody waits for an attempt any more.
-    pub async fn cancel(&self, peer: SocketAddr, attempt: &RequestId, span: Duration) {
+    /// Tells a target that the response to an attempt is no longer needed.
+    pub async fn cancel(&self, peer: SocketAddr, attempt: &RequestId, timeout: Duration) {
         let mut request = Request::new(Body::empty());
         *request.method_mut() = Method::POST;
         *request.uri_mut() = format!("{CANCEL_PATH}{attempt}")
             .parse()
             .unwrap_or_default();
         set_host(request.headers_mut(), peer);
-        // Cancelling only saves work: a target that doesn't hear of it runs to the end.
-        let _ = self.client.send(peer, request, span).await;
+        // Cancellation only saves work: a target that doesn't receive it runs the request to its end.
+        let _ = self.client.send(peer, request, timeout).await;
     }
 }
 
-/// Returns the caller's headers without those of the connection, with ours.
+/// Returns the caller's headers without the hop-by-hop ones, plus those that bramleypier adds.
 fn headers(work: &TargetRequest) -> HeaderMap {
     let mut headers = work.headers.clone();
     drop_hop_headers(&mut headers);
-    // A caller's own epoch would be believed by the target.
+    // The target would trust an epoch header set by the caller.
     headers.remove(&EPOCH);
     let mut set = |name: HeaderName, value: String| {
         if let Ok(value) = HeaderValue::from_str(&value) {
@@ -239,7 +244,7 @@
     headers
 }
 
-/// Removes the headers that belong to one connection, those that `Connection` names too.
+/// Removes the hop-by-hop headers, including those named by `Connection`, and `Host`.
 pub fn drop_hop_headers(headers: &mut HeaderMap) {
     headers::strip(headers);
     headers.remove(header::HOST);
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -147,7 +147,7 @@
             domain: settings.domain.clone(),
         },
         platform: Platform::new(clock.clone(), settings.platform, vm.clone())
-            .counted(metrics.clone()),
+            .with_metrics(metrics.clone()),
         clock,
         tasks,
         recorder,
