--- a/src/vm/gone.rs
+++ b/src/vm/gone.rs
@@ -1,9 +1,9 @@
-//! Which VMs are gone for certain.
+//! Decides which VMs are certainly gone, from the platform's list of VMs and from membership.
 //!
-//! Two things show it. The platform's list lags but doesn't err: once a VM has been known for longer than
-//! the list may lag, a list without its name is newer than the VM's removal. Before that, a list without
-//! it may only be too old to have it yet. And names are unique: a later start of the same name, once it is
-//! live, took the place of an earlier one.
+//! There are two kinds of evidence. The platform's list may be out of date by a bounded time, but is never
+//! wrong: once a VM has been known for longer than that bound, a list without its name is newer than the VM's
+//! removal. Before that, a list without it may merely predate the VM. And names are unique: a live process of
+//! the same name that started later has replaced an earlier one.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
     platform::ListedVm,
 };
 
-/// How long the call that read a list may have taken.
-const CALL: Duration = Duration::from_secs(2);
+/// Maximum duration of the call that read the list; it adds to the list's lag.
+const LIST_CALL_TIME: Duration = Duration::from_secs(2);
 
-/// Judges by the platform's list, and by what is live.
+/// Detects removed VMs from the platform's list and the live peers.
 #[derive(Clone, Debug)]
 pub struct RemovalDetector {
     lag: Duration,
-    /// Since when each VM is known.
-    known: IndexMap<VmId, Duration>,
+    /// Time at which each VM was first named in a call.
+    first_seen: IndexMap<VmId, Duration>,
 }
 
 impl RemovalDetector {
-    /// Creates a judge for a list that lags by no more than `lag`.
+    /// Creates a detector for a list that is out of date by at most `lag`.
     ///
     /// # Example
     ///
@@ -35,11 +35,11 @@
     pub fn new(lag: Duration) -> Self {
         Self {
             lag,
-            known: IndexMap::new(),
+            first_seen: IndexMap::new(),
         }
     }
 
-    /// Returns which of the VMs that are named are gone, by a list that was read just now.
+    /// Returns those of the VMs `named` that are certainly gone, given a list that was read just now.
     ///
     /// # Example
     ///
@@ -48,11 +48,11 @@
     ///
     /// use bramleypier::vm::gone::RemovalDetector;
     ///
-    /// let mut gone = RemovalDetector::new(Duration::from_secs(60));
+    /// let mut detector = RemovalDetector::new(Duration::from_secs(60));
     /// let named = ["vm-1#1".to_owned()].into();
-    /// // Not listed yet, or no longer? It is too early to tell.
-    /// assert!(gone.detect(Duration::from_secs(1), &named, &[], &[]).is_empty());
-    /// assert_eq!(gone.detect(Duration::from_secs(70), &named, &[], &[]), named);
+    /// // The VM may be new and not listed yet, or removed: it is too early to tell.
+    /// assert!(detector.detect(Duration::from_secs(1), &named, &[], &[]).is_empty());
+    /// assert_eq!(detector.detect(Duration::from_secs(70), &named, &[], &[]), named);
     /// ```
     pub fn detect(
         &mut self,
@@ -61,27 +61,27 @@
         list: &[ListedVm],
         live: &[Peer],
     ) -> IndexSet<VmId> {
-        self.known.retain(|vm, _| named.contains(vm));
+        self.first_seen.retain(|vm, _| named.contains(vm));
         for vm in named {
-            self.known.entry(vm.clone()).or_insert(now);
+            self.first_seen.entry(vm.clone()).or_insert(now);
         }
         let listed: IndexSet<&str> = list.iter().map(|vm| vm.name.as_str()).collect();
         let removed = |vm: &VmId| {
-            let known = self.known.get(vm).copied().unwrap_or(now);
-            now >= known + self.lag + CALL && !listed.contains(membership::name(vm))
+            let first_seen = self.first_seen.get(vm).copied().unwrap_or(now);
+            now >= first_seen + self.lag + LIST_CALL_TIME && !listed.contains(membership::name(vm))
         };
         let all = named.iter();
-        // What answers probes is there, whatever the list says.
+        // A VM that answers probes exists, whatever the list says.
         let answers = |vm: &VmId| live.iter().any(|peer| peer.vm == *vm);
         let gone = all.filter(|vm| !answers(vm) && (removed(vm) || replaced(vm, live)));
         gone.cloned().collect()
     }
 }
 
-/// Returns whether a later start of a VM is live, and this one isn't.
+/// Returns whether a live process of the same name started later than `vm`.
 fn replaced(vm: &VmId, live: &[Peer]) -> bool {
     let name = membership::name(vm);
-    // The ids of starts are UUIDv7, which order by time.
+    // The part of a VM's id that identifies its start is a UUIDv7, which orders by time.
     let later = |peer: &Peer| membership::name(&peer.vm) == name && peer.vm > *vm;
     live.iter().any(later)
 }
--- a/src/vm/grantor_events.rs
+++ b/src/vm/grantor_events.rs
@@ -1,4 +1,7 @@
-//! What the grantors of this VM did and saw, as events of the time line and counters.
+//! Records what this VM's grantors do and observe, as timeline events and counters.
+//!
+//! It keeps the observed state of each target, this VM's role in each group, and the ranges that no target is
+//! known to serve.
 
 use std::rc::Rc;
 
@@ -25,96 +28,106 @@
     util::names::Names,
 };
 
-/// The weight of a target's newest answer in its smoothed load.
+/// Weight of a target's latest response in its smoothed load.
 const SMOOTHING: f64 = 0.05;
 
-/// What has been seen of the targets and ranges of this VM's groups.
+/// The observed state of the targets and ranges of this VM's groups.
 #[derive(Debug)]
 pub struct GrantorEvents {
     recorder: Recorder,
     chart: Option<Rc<Chart<State, Event>>>,
-    duties: IndexMap<GroupId, Machine<duty::State, duty::Event>>,
-    targets: IndexMap<(GroupId, TargetId), Seen>,
-    /// Ranges that no target is known to serve, with the epoch that was lost or is awaited.
-    lost: IndexMap<(GroupId, Range), Epoch>,
+    roles: IndexMap<GroupId, Machine<duty::State, duty::Event>>,
+    targets: IndexMap<(GroupId, TargetId), TargetView>,
+    /// Ranges that no target is known to serve, with the epoch that was lost or is expected.
+    lost_ranges: IndexMap<(GroupId, Range), Epoch>,
 }
 
-/// What was seen of one target.
+/// The observed state of one target.
 #[derive(Debug)]
-struct Seen {
+struct TargetView {
     machine: Machine<State, Event>,
     boot: BootId,
-    /// Requests that run there, smoothed over its answers.
+    /// Requests running on the target, smoothed over its responses.
     running: f64,
 }
 
 impl GrantorEvents {
-    /// Creates notes of nothing.
+    /// Creates a recorder without any observations.
     pub fn new(recorder: Recorder) -> Self {
         Self {
             recorder,
-            // The process checked all charts when it started.
+            // Can't fail here: the process checks all charts at start.
             chart: charts::target().ok(),
-            duties: IndexMap::new(),
+            roles: IndexMap::new(),
             targets: IndexMap::new(),
-            lost: IndexMap::new(),
+            lost_ranges: IndexMap::new(),
         }
     }
 
-    /// Notes a target's answer: its state, and the lost ranges that it holds a grant for now.
+    /// Records a target's response: its state, and the lost ranges for which it now holds a grant.
     pub fn answered(&mut self, group: &GroupId, target: &TargetId, state: &TargetState) {
         let service = service(group);
         self.recorder.count(&metrics::GRANTS_RENEWED, Some(service));
         let boot = &state.boot;
-        let seen = self.targets.get(&(group.clone(), target.clone()));
-        if seen.is_some_and(|seen| !seen.boot.is_empty() && seen.boot != *boot) {
-            self.on(group, target, Event::Restart);
+        let view = self.targets.get(&(group.clone(), target.clone()));
+        if view.is_some_and(|view| !view.boot.is_empty() && view.boot != *boot) {
+            self.target_event(group, target, Event::Restart);
         }
         let event = match state.phase {
             Phase::Cold => Event::Cold,
             Phase::Ready => Event::Ready,
             Phase::Draining => Event::Draining,
         };
-        self.on(group, target, event);
-        self.duty(group, duty::Event::Confirmed);
-        if let Some(seen) = self.targets.get_mut(&(group.clone(), target.clone())) {
-            seen.boot.clone_from(boot);
-            seen.running += SMOOTHING * (f64::from(state.running) - seen.running);
+        self.target_event(group, target, event);
+        self.role_event(group, duty::Event::Confirmed);
+        if let Some(view) = self.targets.get_mut(&(group.clone(), target.clone())) {
+            view.boot.clone_from(boot);
+            view.running += SMOOTHING * (f64::from(state.running) - view.running);
         }
         self.imbalance(group);
-        self.held(group, target, state);
+        self.mark_served(group, target, state);
     }
 
-    /// Sets the imbalance among the targets of a service that this VM grants to.
+    /// Sets the imbalance metric for the targets to which this VM grants, in thousandths.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "the figure is between 1 and the count of targets"
+        reason = "the imbalance is between 1 and the number of targets"
     )]
     fn imbalance(&self, group: &GroupId) {
         let service = service(group);
         let ours = self.targets.iter().filter(|((other, _), _)| other == group);
-        let loads: Vec<f64> = ours.map(|(_, seen)| seen.running).collect();
+        let loads: Vec<f64> = ours.map(|(_, view)| view.running).collect();
         let thousandths = (measure::imbalance(&loads) * 1000.0) as u64;
         let metrics = self.recorder.metrics();
         metrics.set(&metrics::IMBALANCE, Some(service), thousandths);
     }
 
-    /// Notes that a target did not answer once; what follows from it is the grantor's to say.
+    /// Counts a call that a target did not answer; the grantor decides what follows.
     pub fn failed(&self, group: &GroupId) {
         let service = Some(service(group));
         self.recorder.count(&metrics::GRANTS_FAILED, service);
     }
 
-    /// Notes that a range was given to another target.
-    pub fn moved(&mut self, group: &GroupId, fact: &Handover) {
-        let heir = fact.chain.first().map(|heir| heir.target.as_str());
-        let target = heir.unwrap_or_default();
-        self.range(group, Kind::RangeMoved, target, fact.range, fact.epoch);
-        self.lost.insert((group.clone(), fact.range), fact.epoch);
+    /// Records that a range was handed over to another target.
+    pub fn moved(&mut self, group: &GroupId, handover: &Handover) {
+        let successor = handover
+            .chain
+            .first()
+            .map(|successor| successor.target.as_str());
+        let target = successor.unwrap_or_default();
+        self.range_event(
+            group,
+            Kind::RangeMoved,
+            target,
+            handover.range,
+            handover.epoch,
+        );
+        self.lost_ranges
+            .insert((group.clone(), handover.range), handover.epoch);
     }
 
-    /// Notes what a grantor did; `routes` are the ranges' owners as it knows them.
+    /// Records an action of a grantor; `routes` are the owners of the ranges as the grantor knows them.
     pub fn note(&mut self, group: &GroupId, note: &grantor::Note, routes: &[Route]) {
         let subject = note.subject.as_str();
         let kind = match note.kind {
@@ -123,8 +136,8 @@
             grantor::Kind::Release => Kind::TargetReleased,
             grantor::Kind::Replacement => Kind::GrantorStruck,
             grantor::Kind::Write => Kind::RecordWritten,
-            grantor::Kind::Retire => return self.duty(group, duty::Event::Move),
-            // A handover is recorded as a fact, with its range and epoch.
+            grantor::Kind::Retire => return self.role_event(group, duty::Event::Move),
+            // `moved` records handovers, with their range and epoch.
             grantor::Kind::Handover => return,
         };
         let event = timeline::Event::new(Duty::Grantor, "grant", kind).service(service(group));
@@ -142,21 +155,21 @@
         self.recorder.event(event);
         match kind {
             Kind::GrantStopped => {
-                self.on(group, &note.subject, Event::Silence);
-                self.lost(group, subject, routes);
+                self.target_event(group, &note.subject, Event::Silence);
+                self.mark_lost(group, subject, routes);
             }
-            Kind::TargetReleased => self.on(group, &note.subject, Event::Release),
+            Kind::TargetReleased => self.target_event(group, &note.subject, Event::Release),
             _ => {}
         }
     }
 
-    /// Notes a newer record: whether it names this VM, and what it says of lost ranges. One
-    /// whose new owner is granted to by other VMs is theirs to account for.
+    /// Processes a newer record: whether it names this VM as a grantor, and who now owns the lost ranges.
+    /// Other VMs account for a lost range when they grant to its new owner.
     pub fn record(&mut self, me: &VmId, group: &GroupId, record: &Record) {
         let mut grantors = record.grantors.values().flatten();
         let is_named = grantors.any(|grantor| grantor.vm == *me);
-        let state = self.duties.get(group).map(Machine::state);
-        self.duty(
+        let state = self.roles.get(group).map(Machine::state);
+        self.role_event(
             group,
             match state {
                 _ if is_named => duty::Event::Named,
@@ -164,39 +177,41 @@
                 _ => duty::Event::Lapse,
             },
         );
-        let passed: Vec<Range> = self
-            .lost
+        let reassigned: Vec<Range> = self
+            .lost_ranges
             .iter()
-            .filter(|((lost, range), epoch)| lost == group && passes(me, record, *range, **epoch))
+            .filter(|((lost, range), epoch)| {
+                lost == group && is_granted_elsewhere(me, record, *range, **epoch)
+            })
             .map(|((_, range), _)| *range)
             .collect();
-        for range in passed {
-            self.lost.swap_remove(&(group.clone(), range));
+        for range in reassigned {
+            self.lost_ranges.swap_remove(&(group.clone(), range));
             self.recorder.pass(service(group), range);
         }
     }
 
-    /// Notes that a document is in force: targets that it no longer names are gone.
+    /// Processes a new document in force: targets that it no longer names are removed.
     pub fn document(&mut self, document: &Document) {
         let known: Vec<(GroupId, TargetId)> = self.targets.keys().cloned().collect();
         for (group, target) in known {
             let is_ours = service(&group) == document.service;
             if is_ours && !document.targets.contains_key(&target) {
-                self.on(&group, &target, Event::Removed);
+                self.target_event(&group, &target, Event::Removed);
                 self.targets.swap_remove(&(group, target));
             }
         }
     }
 
-    /// Passes the duty of grantor to the state that its chart gives, likewise.
-    fn duty(&mut self, group: &GroupId, event: duty::Event) {
-        if !self.duties.contains_key(group) {
+    /// Applies an event to this VM's grantor role in a group, and records the transition if there is one.
+    fn role_event(&mut self, group: &GroupId, event: duty::Event) {
+        if !self.roles.contains_key(group) {
             let Ok(chart) = charts::duty() else {
                 return;
             };
-            self.duties.insert(group.clone(), chart.machine());
+            self.roles.insert(group.clone(), chart.machine());
         }
-        let machine = self.duties.get_mut(group);
+        let machine = self.roles.get_mut(group);
         let Some(Ok(change)) = machine.map(|machine| machine.on(event)) else {
             return;
         };
@@ -205,19 +220,19 @@
         self.recorder.event(phase.cause(&change.to_string()));
     }
 
-    /// Passes a target to the state that its chart gives; an event that the state has no
-    /// transition for says nothing new.
-    fn on(&mut self, group: &GroupId, target: &TargetId, event: Event) {
+    /// Applies an event to a target's state chart and records the transition. Events without a
+    /// transition from the current state are ignored: they add no information.
+    fn target_event(&mut self, group: &GroupId, target: &TargetId, event: Event) {
         let Some(chart) = &self.chart else {
             return;
         };
         let entry = self.targets.entry((group.clone(), target.clone()));
-        let seen = entry.or_insert_with(|| Seen {
+        let view = entry.or_insert_with(|| TargetView {
             machine: chart.clone().machine(),
             boot: BootId::new(),
             running: 0.0,
         });
-        let Ok(change) = seen.machine.on(event) else {
+        let Ok(change) = view.machine.on(event) else {
             return;
         };
         let phase = timeline::Event::new(Duty::Grantor, event.name(), Kind::TargetPhase);
@@ -225,17 +240,18 @@
         self.recorder.event(phase.cause(&change.to_string()));
     }
 
-    /// Records the ranges of a target as lost.
-    fn lost(&mut self, group: &GroupId, target: &str, routes: &[Route]) {
+    /// Records all ranges of a target as lost.
+    fn mark_lost(&mut self, group: &GroupId, target: &str, routes: &[Route]) {
         for route in routes.iter().filter(|route| route.target == target) {
-            self.lost.insert((group.clone(), route.range), route.epoch);
-            self.range(group, Kind::RangeLost, target, route.range, route.epoch);
+            self.lost_ranges
+                .insert((group.clone(), route.range), route.epoch);
+            self.range_event(group, Kind::RangeLost, target, route.range, route.epoch);
         }
     }
 
-    /// Records the lost ranges that a target holds a grant for now.
-    fn held(&mut self, group: &GroupId, target: &TargetId, state: &TargetState) {
-        if self.lost.is_empty() {
+    /// Records the lost ranges for which a target now holds a grant as served again.
+    fn mark_served(&mut self, group: &GroupId, target: &TargetId, state: &TargetState) {
+        if self.lost_ranges.is_empty() {
             return;
         }
         for held in &state.held {
@@ -244,22 +260,27 @@
                 end: held.end,
             };
             let is_live = held.until_ms > state.clock_ms;
-            if is_live && self.lost.swap_remove(&(group.clone(), range)).is_some() {
-                self.range(group, Kind::RangeServed, target, range, held.epoch);
+            if is_live
+                && self
+                    .lost_ranges
+                    .swap_remove(&(group.clone(), range))
+                    .is_some()
+            {
+                self.range_event(group, Kind::RangeServed, target, range, held.epoch);
             }
         }
     }
 
-    fn range(&self, group: &GroupId, kind: Kind, target: &str, range: Range, epoch: Epoch) {
+    fn range_event(&self, group: &GroupId, kind: Kind, target: &str, range: Range, epoch: Epoch) {
         let event = timeline::Event::new(Duty::Grantor, "range", kind).service(service(group));
         let event = event.target(target).range(range).epoch(epoch);
         self.recorder.event(event);
     }
 }
 
-/// Returns whether a range that was lost has an owner at a later epoch, or at the one that is
-/// awaited, and this VM doesn't grant to it.
-fn passes(me: &VmId, record: &Record, range: Range, epoch: Epoch) -> bool {
+/// Returns whether a lost range has an owner at the expected epoch or a later one, and this VM isn't a grantor
+/// of that owner.
+fn is_granted_elsewhere(me: &VmId, record: &Record, range: Range, epoch: Epoch) -> bool {
     let mut entries = record.ranges.iter();
     let Some(entry) = entries.find(|entry| entry.range.overlaps(&range)) else {
         return false;
@@ -268,12 +289,13 @@
         .chain
         .first()
         .and_then(|owner| record.members.get(owner));
-    let trio = owner.and_then(|owner| record.grantors.get(&owner.domain));
-    let is_mine = trio.is_some_and(|trio| trio.iter().any(|grantor| grantor.vm == *me));
-    entry.epoch >= epoch && !is_mine
+    let grantors = owner.and_then(|owner| record.grantors.get(&owner.domain));
+    let is_granted_here =
+        grantors.is_some_and(|grantors| grantors.iter().any(|grantor| grantor.vm == *me));
+    entry.epoch >= epoch && !is_granted_here
 }
 
-/// Returns the service of a group: `service/index`.
+/// Returns the service of a group, whose id has the form `service/index`.
 pub fn service(group: &GroupId) -> &str {
     group.split_once('/').map_or(group, |(service, _)| service)
 }
--- a/src/vm/outbound.rs
+++ b/src/vm/outbound.rs
@@ -1,4 +1,4 @@
-//! The task that sends messages to other VMs by their names.
+//! The task that sends messages to other VMs. It keeps the addresses of the live VMs and their ids.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -12,17 +12,17 @@
 /// A message to the task.
 #[derive(Debug)]
 pub enum Message {
-    /// Send this to a VM; dropped when its address isn't known.
+    /// Sends to a VM; the message is dropped when the VM's address isn't known.
     Send(VmId, wire::Message),
-    /// Send this to an address.
+    /// Sends to an address.
     SendTo(SocketAddr, wire::Message),
-    /// The VMs that are there now.
+    /// Replaces the known addresses by those of the live VMs.
     Live(Vec<membership::Peer>),
-    /// A VM wrote from this address.
+    /// A batch arrived from a VM that receives batches at this address.
     Seen(VmId, SocketAddr),
 }
 
-/// Runs the task until nobody can ask any more.
+/// Runs the task until all senders of its channel are dropped.
 pub async fn run(
     parts: Parts,
     address: SocketAddr,
--- a/src/vm/recorder.rs
+++ b/src/vm/recorder.rs
@@ -1,6 +1,7 @@
-//! What this process did: the time line, the metrics and the log, from one call.
+//! Records events of this process in the timeline, the metrics and the log with a single call.
 //!
-//! All tasks of a process run on one thread and share the recorder; a call touches memory only.
+//! All tasks of a process run on one thread and share the recorder. Recording an event does no metrics I/O;
+//! [`Recorder::flush`] sends the metrics.
 
 use std::{
     cell::{Cell, RefCell},
@@ -25,7 +26,7 @@
     active: Rc<Cell<u64>>,
 }
 
-/// Counts one request as active for as long as it lives.
+/// Guard that counts one request as active until it is dropped.
 #[derive(Debug)]
 pub struct Active(Rc<Cell<u64>>);
 
@@ -42,7 +43,7 @@
 }
 
 impl Recorder {
-    /// Creates the recorder of a process that keeps `capacity` events.
+    /// Creates a recorder that keeps the last `capacity` events.
     pub fn new(vm: VmId, capacity: usize, metrics: Metrics) -> Self {
         let state = State {
             ring: Ring::new(vm, capacity),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Records an event: in the time line, in the counter of its kind, and in the log.
+    /// Records an event in the timeline, in the counter of its kind and in the log.
     pub fn event(&self, event: Event) {
         let mut state = self.state.borrow_mut();
         let State { ring, meter } = &mut *state;
@@ -67,18 +68,18 @@
         }
     }
 
-    /// Counts a request as active until what this returns is dropped.
+    /// Counts a request as active until the returned guard is dropped.
     pub fn enter(&self) -> Active {
         self.active.set(self.active.get() + 1);
         Active(self.active.clone())
     }
 
-    /// Returns how many requests have no answer yet.
+    /// Returns the number of requests without a response.
     pub fn active(&self) -> u64 {
         self.active.get()
     }
 
-    /// Counts.
+    /// Adds 1 to a counter.
     pub fn count(&self, metric: &'static Metric, service: Option<&str>) {
         self.metrics.count(metric, service, 1);
     }
@@ -93,31 +94,31 @@
         &self.metrics
     }
 
-    /// Leaves it to other processes to account for a range that is lost.
+    /// Stops accounting for a lost range here, because other processes account for it.
     pub fn pass(&self, service: &str, range: Range) {
         let mut state = self.state.borrow_mut();
         state.meter.close_gaps(service, range, stamp::wall());
     }
 
-    /// Returns the kept events that pass a filter.
+    /// Returns the recorded events that match a filter.
     pub fn part(&self, filter: &Filter) -> ProcessEvents {
         self.state.borrow().ring.query(filter)
     }
 
-    /// Returns the measures by service.
+    /// Returns the measures of each service.
     pub fn measures(&self) -> indexmap::IndexMap<String, measure::Measures> {
         self.state.borrow().meter.measures(stamp::wall())
     }
 
-    /// Sends what has gathered to where metrics go.
+    /// Updates the gauges and totals, and sends all metrics.
     pub fn flush(&self) {
         let measures = self.measures();
         for (service, measures) in measures {
             let service = Some(service.as_str());
             let churn = Duration::from_secs_f64(measures.churn.clamp(0.0, 1e9));
             let unavailable = Duration::from_secs_f64(measures.unavailable.clamp(0.0, 1e9));
-            self.set_of(&metrics::CHURN, service, churn.as_micros());
-            self.set_of(&metrics::UNAVAILABLE, service, unavailable.as_millis());
+            self.set_total(&metrics::CHURN, service, churn.as_micros());
+            self.set_total(&metrics::UNAVAILABLE, service, unavailable.as_millis());
             self.metrics
                 .set(&metrics::RANGES_LOST, service, measures.open);
         }
@@ -131,7 +132,7 @@
         self.metrics.flush();
     }
 
-    fn set_of(&self, metric: &'static Metric, service: Option<&str>, to: u128) {
+    fn set_total(&self, metric: &'static Metric, service: Option<&str>, to: u128) {
         self.metrics
             .set(metric, service, u64::try_from(to).unwrap_or(u64::MAX));
     }
@@ -158,7 +159,7 @@
     }
 }
 
-/// Returns the counter of a kind of event, where there is one.
+/// Returns the counter for a kind of event, if there is one.
 fn counter(kind: Kind) -> Option<&'static Metric> {
     match kind {
         Kind::RangeMoved => Some(&metrics::RANGES_MOVED),
--- a/src/vm/ticks.rs
+++ b/src/vm/ticks.rs
@@ -1,4 +1,4 @@
-//! Wakes a task from time to time.
+//! Wakes a task periodically.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 
-/// Sends a message to a task at once and then each `period`, until the task has ended.
+/// Sends a message to a task immediately and then every `period`, until the task has ended.
 pub fn start<M, F>(clock: &Clock, task: &mpsc::UnboundedSender<M>, period: Duration, tick: F)
 where
     M: 'static,
--- a/src/vm/wire.rs
+++ b/src/vm/wire.rs
@@ -1,4 +1,4 @@
-//! What the processes of bramleypier say to each other, besides probes.
+//! Messages that bramleypier processes send each other in batches; probes and gossip travel separately.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,8 +7,8 @@
 /// A message from one VM to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Message {
-    /// Between the grantors of a group.
+    /// A message between the grantors of a group.
     Grantor(GroupId, grantor::Message),
-    /// About orders.
+    /// A message about orders.
     Order(order::Message),
 }
--- a/tests/gone.rs
+++ b/tests/gone.rs
@@ -1,4 +1,4 @@
-//! A VM is taken for gone only where that is certain.
+//! A VM is reported as gone only when that is certain.
 
 use std::time::Duration;
 
@@ -30,52 +30,53 @@
     vms.iter().map(peer).collect()
 }
 
-/// Seconds since the VM `a#2` is known, names listed, VMs live, and whether it is gone.
+/// Seconds since the VM `a#2` was first named, listed names, live VMs, and whether `a#2` is gone.
 type Case<'a> = (u64, &'a [&'a str], &'a [&'a str], bool);
 
 const CASES: &[Case<'_>] = &[
-    // The list may be too old to have it yet.
+    // The list may predate the VM.
     (0, &[], &[], false),
     (59, &[], &["a#2"], false),
     (59, &["b"], &[], false),
-    // It lags no further.
+    // The list's maximum lag and the call's duration have passed.
     (63, &["b"], &[], true),
     (63, &["a"], &[], false),
-    // It answers all the same.
+    // The VM isn't listed, but answers probes.
     (63, &["b"], &["a#2"], false),
-    // Another start of its name.
+    // Another process of the same name is live.
     (1, &["a"], &["a#3"], true),
     (1, &["a"], &["a#1"], false),
     (1, &["a"], &["ab#3"], false),
-    // Two processes of one name: neither is gone while both are heard.
+    // Two live processes of one name: neither is gone while both answer probes.
     (1, &["a"], &["a#2", "a#3"], false),
 ];
 
 #[test]
-fn only_what_is_certain_is_gone() {
+fn reports_a_vm_as_gone_only_when_that_is_certain() {
     for (second, names, vms, expected) in CASES {
-        let mut gone = RemovalDetector::new(LAG);
+        let mut detector = RemovalDetector::new(LAG);
         let named = ["a#2".to_owned()].into();
-        gone.detect(
+        detector.detect(
             Duration::from_secs(5),
             &named,
             &listed(&["a"]),
             &live(&["a#2"]),
         );
         let now = Duration::from_secs(5 + second);
-        let found = gone.detect(now, &named, &listed(names), &live(vms));
+        let found = detector.detect(now, &named, &listed(names), &live(vms));
         assert_eq!(!found.is_empty(), *expected, "{second} {names:?} {vms:?}");
     }
 }
 
 #[test]
-fn a_vm_that_is_named_again_is_known_anew() {
-    let mut gone = RemovalDetector::new(LAG);
+fn a_vm_that_is_named_again_starts_a_new_waiting_time() {
+    let mut detector = RemovalDetector::new(LAG);
     let named = ["a#2".to_owned()].into();
-    gone.detect(Duration::ZERO, &named, &[], &[]);
-    gone.detect(Duration::from_secs(90), &[].into(), &[], &[]);
+    detector.detect(Duration::ZERO, &named, &[], &[]);
+    detector.detect(Duration::from_secs(90), &[].into(), &[], &[]);
     assert!(
-        gone.detect(Duration::from_secs(91), &named, &[], &[])
+        detector
+            .detect(Duration::from_secs(91), &named, &[], &[])
             .is_empty()
     );
 }
