--- a/src/vm/admin.rs
+++ b/src/vm/admin.rs
@@ -1,11 +1,11 @@
-//! Answers peers and operators on the address for peers.
+//! Serves peers and operators on the listen address for peers: batches, gossip, status and timeline.
 
 use futures_channel::oneshot;
 use http::{HeaderValue, Method, StatusCode};
 use hyper::{Request, Response, body::Incoming};
 use serde::Serialize;
 
-use super::{Parts, fleet, life::Shown, outbound, owners, wire};
+use super::{Parts, fleet, life::StateHandle, outbound, owners, wire};
 use crate::{
     admin::{self, Query, Status},
     entry::{orders, reply},
@@ -17,20 +17,20 @@
     },
 };
 
-/// The largest probe, piece of news or question that is read, in bytes.
-const CALL_LIMIT: usize = 4 * 1024 * 1024;
+/// Maximum size of a gossip message or an operator's request, in bytes.
+const CALL_LIMIT_BYTES: usize = 4 * 1024 * 1024;
 
-/// What answering takes.
+/// Handler of requests from peers and operators.
 #[derive(Clone, Debug)]
 pub struct Admin {
     parts: Parts,
     callers: Control,
-    life: Shown,
+    life: StateHandle,
 }
 
 impl Admin {
     /// Creates the handler of a process.
-    pub fn new(parts: Parts, callers: Control, life: Shown) -> Self {
+    pub fn new(parts: Parts, callers: Control, life: StateHandle) -> Self {
         Self {
             parts,
             callers,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn handle(self, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
         let recorder = self.parts.recorder.clone();
@@ -57,10 +57,10 @@
 
     async fn batch(self, body: Incoming) -> Response<Body> {
         let Ok(bytes) = body::read(body, peer::BATCH_LIMIT).await else {
-            return bad("cut short or too long\n");
+            return bad_request("cut short or too long\n");
         };
         let Ok(batch) = peer::decode::<Batch<wire::Message>>(&bytes) else {
-            return bad("not a batch\n");
+            return bad_request("not a batch\n");
         };
         let seen = outbound::Message::Seen(batch.from.clone(), batch.address);
         let _ = self.parts.tasks.outbound.unbounded_send(seen);
@@ -70,7 +70,7 @@
         Response::new(Body::empty())
     }
 
-    /// Hands a message to the task that it is for.
+    /// Passes a message to its task.
     fn deliver(&self, from: &VmId, message: wire::Message) {
         match message {
             wire::Message::Grantor(group, message) => {
@@ -85,11 +85,11 @@
     }
 
     async fn gossip(self, body: Incoming) -> Response<Body> {
-        let Ok(bytes) = body::read(body, CALL_LIMIT).await else {
-            return bad("cut short or too long\n");
+        let Ok(bytes) = body::read(body, CALL_LIMIT_BYTES).await else {
+            return bad_request("cut short or too long\n");
         };
         let Ok(envelope) = peer::decode(&bytes) else {
-            return bad("not a probe or news\n");
+            return bad_request("not a probe or news\n");
         };
         let (sender, answer) = oneshot::channel();
         let message = fleet::Message::Asked(envelope, sender);
@@ -101,8 +101,8 @@
     }
 
     async fn question(self, method: &Method, path: &str, body: Incoming) -> Response<Body> {
-        let Ok(bytes) = body::read(body, CALL_LIMIT).await else {
-            return bad("cut short or too long\n");
+        let Ok(bytes) = body::read(body, CALL_LIMIT_BYTES).await else {
+            return bad_request("cut short or too long\n");
         };
         match Query::read(method, path, &bytes) {
             Ok(Query::Status) => json(&self.status().await),
@@ -137,7 +137,7 @@
             platform: fleet.is_reached.unwrap_or(true),
             peers: fleet.members.len() as u64,
             documents: fleet.documents,
-            duties: duties(fleet.is_watcher, &owners),
+            duties: role_names(fleet.is_watcher, &owners),
             active: self.callers.open() as u64,
             measures: self.parts.recorder.measures(),
             totals: self.parts.recorder.metrics().totals(),
@@ -147,18 +147,18 @@
     }
 }
 
-fn duties(is_watcher: bool, owners: &owners::Status) -> Vec<String> {
+fn role_names(is_watcher: bool, owners: &owners::Status) -> Vec<String> {
     let watcher = is_watcher.then(|| "watcher".to_owned());
     let named = owners.groups.iter().filter(|(_, group)| group.is_grantor);
     let grantor = named.map(|(name, _)| format!("grantor of {name}"));
     watcher.into_iter().chain(grantor).collect()
 }
 
-fn bad(text: &'static str) -> Response<Body> {
+fn bad_request(text: &'static str) -> Response<Body> {
     reply::plain(StatusCode::BAD_REQUEST, text)
 }
 
-/// Makes an answer in JSON.
+/// Creates a JSON response.
 fn json<T>(value: &T) -> Response<Body>
 where
     T: Serialize,
--- a/src/vm/fleet/items.rs
+++ b/src/vm/fleet/items.rs
@@ -1,4 +1,4 @@
-//! What spreads: which task gets an item, and which key of the platform's service it stands for.
+//! Gossiped items: which task receives an item, and which key of the platform's store it mirrors.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,22 +18,22 @@
     watcher,
 };
 
-/// How long a handover is kept; the group's record carries it long before, but for an outage.
-const HANDOVER_KEPT: Duration = Duration::from_hours(24);
+/// How long a handover item is kept. Except during an outage, the group's record contains it much earlier.
+const HANDOVER_TTL: Duration = Duration::from_hours(24);
 
 impl FleetTask {
-    pub(super) fn fact(&mut self, fact: &Handover) {
-        let Ok(bytes) = peer::encode(fact) else {
+    pub(super) fn publish_handover(&mut self, handover: &Handover) {
+        let Ok(bytes) = peer::encode(handover) else {
             return;
         };
-        let range = fact.range;
-        let name = format!("{}/{:x}-{:x}", fact.group, range.start, range.end);
+        let range = handover.range;
+        let name = format!("{}/{:x}-{:x}", handover.group, range.start, range.end);
         let id = Id::new(Kind::Handover, name);
-        let item = Item::new(id, fact.epoch, bytes.to_vec()).with_ttl(HANDOVER_KEPT);
+        let item = Item::new(id, handover.epoch, bytes.to_vec()).with_ttl(HANDOVER_TTL);
         self.feed(Event::Put(item));
     }
 
-    /// Hands a new item to the task that needs it.
+    /// Passes a newly accepted item to the task that needs it.
     pub(super) fn accepted(&mut self, item: &Item) {
         if let Some(key) = platform_key(&item.id) {
             let version = item.version;
@@ -51,12 +51,12 @@
                 let _ = self.parts.tasks.owners.unbounded_send(message);
             }
             Kind::Handover => match peer::decode::<Handover>(bytes) {
-                Ok(fact) => {
+                Ok(handover) => {
                     let _ = self
                         .parts
                         .tasks
                         .owners
-                        .unbounded_send(owners::Message::Fact(fact));
+                        .unbounded_send(owners::Message::Handover(handover));
                 }
                 Err(cause) => log::error!("step=news peer={} cause={cause:?}", item.id.name),
             },
@@ -82,11 +82,12 @@
         let text = String::from_utf8_lossy(bytes);
         let text = Stored::parse(&text).text;
         match document::text::parse(service, &text) {
-            Ok(document) => self.enforce(version, document),
-            // `put` refuses such a text; whoever wrote it did so past us. The last good one stays.
+            Ok(document) => self.put_in_force(version, document),
+            // `document put` refuses such a text, so it was written by other means. The last valid document
+            // stays in force.
             Err(fault) => {
-                let refused = timeline::Kind::DocumentRefused;
-                let event = timeline::Event::new(Duty::Watcher, "document", refused);
+                let kind = timeline::Kind::DocumentRefused;
+                let event = timeline::Event::new(Duty::Watcher, "document", kind);
                 let event = event.service(service).version(version);
                 self.parts
                     .recorder
@@ -95,9 +96,9 @@
         }
     }
 
-    pub(super) fn enforce(&mut self, version: Version, document: Document) {
-        let forced = timeline::Kind::DocumentForced;
-        let event = timeline::Event::new(Duty::Watcher, "document", forced);
+    pub(super) fn put_in_force(&mut self, version: Version, document: Document) {
+        let kind = timeline::Kind::DocumentForced;
+        let event = timeline::Event::new(Duty::Watcher, "document", kind);
         let event = event.service(document.service.as_str()).version(version);
         self.parts.recorder.event(event);
         let document = Rc::new(document);
@@ -108,7 +109,7 @@
     }
 }
 
-/// Returns the item that a key of the platform's service stands for.
+/// Returns the id of the item that mirrors a key of the platform's store.
 pub fn item_id(key: &str) -> Option<Id> {
     if let Some(name) = key.strip_prefix(platform::DOCUMENTS) {
         return Some(Id::new(Kind::Document, name));
@@ -119,7 +120,7 @@
     (key == platform::ORDERS).then(|| Id::new(Kind::View, VIEWS))
 }
 
-/// Returns the key of the platform's service that an item stands for.
+/// Returns the key of the platform's store that an item mirrors.
 fn platform_key(id: &Id) -> Option<String> {
     match id.kind {
         Kind::Document => Some(format!("{}{}", platform::DOCUMENTS, id.name)),
--- a/src/vm/fleet/mod.rs
+++ b/src/vm/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! The task that owns this VM's view of the fleet and all news: documents, records, handovers.
+//! The task that owns this VM's view of the fleet and all gossiped items: documents, records, handovers.
 //!
-//! What it learns from the platform's service (when it is a watcher) or from peers it hands to the
-//! tasks that need it. Probes and news between peers travel as calls at one path.
+//! It receives items from peers and, when this VM is a watcher, from the platform's service, and passes them to
+//! the tasks that need them. Probes and gossip between peers are calls to one path.
 //!
-//! - `service` is what it asks the platform's service;
-//! - `items` is what it does with news.
+//! - `service` makes the calls to the platform's service;
+//! - `items` passes received items to the tasks and maps items to the platform's keys.
 
 mod items;
 mod service;
@@ -31,78 +31,78 @@
     watcher::{self, Watcher},
 };
 
-/// Where probes and news go.
+/// Path that receives probes and gossip.
 pub const GOSSIP_PATH: &str = "/peer/gossip";
-/// The name of the item that holds the views of orders.
+/// Name of the item that holds the views of orders.
 pub const VIEWS: &str = "orders";
-/// How often the task is woken.
+/// Interval between ticks of the task.
 const TICK: Duration = Duration::from_millis(50);
-/// The most connections to a peer for probes and news.
-const CONNECTIONS: usize = 6;
+/// Maximum number of connections to a peer for probes and gossip.
+const MAX_CONNECTIONS: usize = 6;
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum Message {
-    /// Time has passed.
+    /// Periodic tick.
     Tick,
-    /// The platform's list of VMs was read.
+    /// The platform's list of VMs was read; `None` if the call failed.
     Listed(Option<Vec<platform::ListedVm>>),
-    /// Addresses from the settings.
+    /// Seed addresses from the settings.
     Seeds(Vec<String>),
-    /// A peer asks.
+    /// A call from a peer, and the sender for its response.
     Asked(Envelope, oneshot::Sender<Envelope>),
-    /// A peer answered, or did not.
+    /// The response to a call to a peer; `None` if the call failed.
     Answered(CallId, Option<Envelope>),
-    /// The platform's service answered, or did not.
+    /// The result of a call to the platform's service.
     Platform(watcher::Event),
     /// A value was read from the platform's service.
     Value(watcher::Change, Bytes),
-    /// This VM has something new to tell.
+    /// This VM has a new item to publish.
     Put(Item),
-    /// A grantor has made a handover.
-    Fact(Handover),
-    /// This VM is about to stop: it takes no new duties.
+    /// A grantor of this VM has made a handover.
+    Handover(Handover),
+    /// This VM is about to stop: it takes no new roles.
     Leave,
-    /// This VM stops now.
+    /// This VM is stopping now.
     Stop,
-    /// Tell what is known here.
+    /// Requests the status of the fleet and the documents as known to this VM.
     Status(oneshot::Sender<Status>),
-    /// Tell whether this process knows what is in force.
+    /// Asks whether this process knows the configuration in force.
     Joined(oneshot::Sender<bool>),
 }
 
-/// Asks whether this process knows what is in force.
+/// Asks whether this process knows the configuration in force.
 pub async fn is_joined(tasks: &Tasks) -> bool {
     let (sender, answer) = oneshot::channel();
     let _ = tasks.fleet.unbounded_send(Message::Joined(sender));
     answer.await.unwrap_or(false)
 }
 
-/// What others hear of the fleet.
+/// View of the fleet that is passed to the other tasks.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// This VM and those that are there.
+    /// The live VMs, including this one.
     pub live: Vec<Peer>,
-    /// Those of them that take no new duties.
+    /// The live VMs that are leaving and take no new roles.
     pub leaving: Vec<Peer>,
 }
 
-/// What is known here, for operators.
+/// Status of the fleet and the documents as known to this VM, for operators.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Status {
-    /// The members as seen here.
+    /// The members in this VM's view.
     pub members: Vec<Update>,
-    /// The documents in force here.
+    /// The versions of the documents in force on this VM.
     pub documents: IndexMap<ServiceId, Version>,
     /// Whether this VM watches the platform's service.
     pub is_watcher: bool,
-    /// Whether the platform's service answered last time; none if it was not asked.
+    /// Whether the latest call to the platform's service succeeded; `None` if there was no call.
     pub is_reached: Option<bool>,
-    /// What was asked of the platform's service to hear of changes.
+    /// Counts of the calls to the platform's service that look for changes.
     pub asked: watcher::Counts,
 }
 
-/// Returns the platform's key of a group's record.
+/// Returns the key of a group's record in the platform's store.
 pub fn record_key(group: &GroupId) -> String {
     format!("{}{group}", platform::GROUPS)
 }
@@ -114,30 +114,30 @@
     client: Client,
     gossip: Gossip,
     watcher: Watcher,
-    waiting: IndexMap<CallId, oneshot::Sender<Envelope>>,
+    pending_calls: IndexMap<CallId, oneshot::Sender<Envelope>>,
     next_call: CallId,
     next_list: Duration,
     is_listing: bool,
-    has_told: bool,
+    has_published: bool,
 }
 
 impl FleetTask {
     /// Creates the task's state.
     pub fn new(parts: Parts, gossip: Gossip, seed: u64) -> Self {
         Self {
-            client: Client::new(parts.clock.clone(), CONNECTIONS),
+            client: Client::new(parts.clock.clone(), MAX_CONNECTIONS),
             parts,
             gossip,
             watcher: Watcher::new(watcher::Timing::default(), seed),
-            waiting: IndexMap::new(),
+            pending_calls: IndexMap::new(),
             next_call: 0,
             next_list: Duration::ZERO,
             is_listing: false,
-            has_told: false,
+            has_published: false,
         }
     }
 
-    /// Serves messages until nobody can send any more.
+    /// Handles messages until all senders of the channel are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         ticks::start(&self.parts.clock, &self.parts.tasks.fleet, TICK, || {
             Message::Tick
@@ -160,7 +160,7 @@
             Message::Platform(event) => self.watch(event),
             Message::Value(change, bytes) => self.value(change, &bytes),
             Message::Put(item) => self.feed(Event::Put(item)),
-            Message::Fact(fact) => self.fact(&fact),
+            Message::Handover(handover) => self.publish_handover(&handover),
             Message::Leave => self.feed(Event::Leave),
             Message::Stop => self.feed(Event::Stop),
             Message::Status(reply) => {
@@ -173,9 +173,9 @@
     }
 
     fn tick(&mut self) {
-        if !self.has_told {
-            self.has_told = true;
-            self.tell();
+        if !self.has_published {
+            self.has_published = true;
+            self.publish_fleet();
         }
         self.feed(Event::Tick);
         self.watch(watcher::Event::Tick);
@@ -185,11 +185,11 @@
         }
     }
 
-    /// Keeps the peer waiting until there is an answer; calls from outside have ids of their own.
+    /// Handles a call from a peer, which waits for the response. Incoming calls get their own ids.
     fn asked(&mut self, envelope: Envelope, reply: oneshot::Sender<Envelope>) {
         self.next_call += 1;
         let call = self.next_call;
-        self.waiting.insert(call, reply);
+        self.pending_calls.insert(call, reply);
         self.feed(Event::Asked { call, envelope });
     }
 
@@ -205,13 +205,13 @@
                     within,
                 } => self.ask(call, &address, envelope, within),
                 Effect::Answer { call, envelope } => {
-                    if let Some(reply) = self.waiting.swap_remove(&call) {
-                        // The peer may have given up.
+                    if let Some(reply) = self.pending_calls.swap_remove(&call) {
+                        // The peer may have closed the connection.
                         let _ = reply.send(envelope);
                     }
                 }
                 Effect::Changed(update) => {
-                    self.note(&update);
+                    self.record_change(&update);
                     has_changed = true;
                 }
                 Effect::Accepted(item) => self.accepted(&item),
@@ -219,11 +219,11 @@
             }
         }
         if has_changed {
-            self.tell();
+            self.publish_fleet();
         }
     }
 
-    fn note(&self, update: &Update) {
+    fn record_change(&self, update: &Update) {
         let kind = match update.standing {
             Standing::Live => timeline::Kind::PeerJoined,
             Standing::Suspect => timeline::Kind::PeerSuspected,
@@ -238,7 +238,7 @@
 
     fn ask(&self, call: CallId, address: &str, envelope: Envelope, within: Duration) {
         let client = self.client.clone();
-        let fleet = self.parts.tasks.fleet.clone();
+        let task = self.parts.tasks.fleet.clone();
         let recorder = self.parts.recorder.clone();
         let address = address.parse::<SocketAddr>();
         compio::runtime::spawn(async move {
@@ -248,13 +248,13 @@
                     .ok(),
                 Err(_) => None,
             };
-            let _ = fleet.unbounded_send(Message::Answered(call, answer));
+            let _ = task.unbounded_send(Message::Answered(call, answer));
         })
         .detach();
     }
 
-    /// Tells the fleet to the tasks that need it, and weighs the duty to watch anew.
-    fn tell(&mut self) {
+    /// Passes the view of the fleet to the tasks that need it, and re-evaluates whether this VM is a watcher.
+    fn publish_fleet(&mut self) {
         let members = self.gossip.membership();
         let live = members.live();
         self.parts
@@ -266,8 +266,8 @@
         let me = members.me().clone();
         let now = self.parts.clock.now();
         let watchers = members.candidates_in(now, watcher::SUBJECT, usize::MAX, &me.domain);
-        let place = watchers.iter().position(|peer| peer.vm == me.vm);
-        let size = members.fleet_size();
+        let own_rank = watchers.iter().position(|peer| peer.vm == me.vm);
+        let vm_count = members.fleet_size();
         let _ = self
             .parts
             .tasks
@@ -286,8 +286,8 @@
             .owners
             .unbounded_send(owners::Message::Fleet(fleet));
         self.watch(watcher::Event::Role {
-            rank: place,
-            fleet_size: size,
+            rank: own_rank,
+            fleet_size: vm_count,
         });
     }
 
@@ -299,8 +299,8 @@
             .collect()
     }
 
-    /// Returns whether this process knows what is in force: the platform told it, or it agrees with
-    /// a peer.
+    /// Returns whether this process knows the configuration in force: it can reach the platform, or it has
+    /// synchronised with a peer.
     fn is_joined(&self) -> bool {
         self.watcher.is_reachable() == Some(true) || self.gossip.store().synced_peers() > 0
     }
--- a/src/vm/fleet/service.rs
+++ b/src/vm/fleet/service.rs
@@ -1,4 +1,4 @@
-//! What this VM asks the platform's service: watches, values, and the list of VMs.
+//! Calls to the platform's service: lists, watches, values, and the list of VMs.
 
 use std::time::Duration;
 
@@ -17,12 +17,12 @@
     watcher,
 };
 
-/// How often a VM without the duty to watch reads the platform's list of VMs.
+/// Interval at which a VM that is not a watcher reads the platform's list of VMs.
 const LIST_PERIOD: Duration = Duration::from_secs(30);
-/// How often a watcher does, or a VM that misses a member.
-const LIST_PERIOD_SHORT: Duration = Duration::from_secs(1);
-/// How long a watcher's sign of life counts.
-const WATCH_KEPT: Duration = Duration::from_mins(2);
+/// Interval at which a watcher, or a VM that suspects a member, reads the list.
+const SHORT_LIST_PERIOD: Duration = Duration::from_secs(1);
+/// How long a watcher's heartbeat item is kept.
+const HEARTBEAT_TTL: Duration = Duration::from_mins(2);
 
 impl FleetTask {
     pub(super) fn watch(&mut self, event: watcher::Event) {
@@ -32,7 +32,7 @@
                 watcher::Effect::Watch(since) => self.list(Some(since)),
                 watcher::Effect::Read(change) => self.read(change),
                 watcher::Effect::Removed(change) => self.removed(&change),
-                watcher::Effect::Heartbeat => self.mark(),
+                watcher::Effect::Heartbeat => self.publish_heartbeat(),
                 watcher::Effect::Reachable(is_reached) => {
                     let kind = if is_reached {
                         timeline::Kind::PlatformBack
@@ -48,7 +48,7 @@
 
     pub(super) fn list(&self, since: Option<Version>) {
         let platform = self.parts.platform.clone();
-        let fleet = self.parts.tasks.fleet.clone();
+        let task = self.parts.tasks.fleet.clone();
         compio::runtime::spawn(async move {
             let listing = match since {
                 None => platform.list(platform::ROOT).await,
@@ -60,28 +60,28 @@
                 (Err(_), None) => watcher::Event::Failed(watcher::Call::List),
                 (Err(_), Some(_)) => watcher::Event::Failed(watcher::Call::Watch),
             };
-            let _ = fleet.unbounded_send(Message::Platform(event));
+            let _ = task.unbounded_send(Message::Platform(event));
         })
         .detach();
     }
 
     pub(super) fn read(&self, change: watcher::Change) {
         let platform = self.parts.platform.clone();
-        let fleet = self.parts.tasks.fleet.clone();
+        let task = self.parts.tasks.fleet.clone();
         compio::runtime::spawn(async move {
             let message = match platform.get(&change.key).await {
                 Ok(Some((version, bytes))) => {
                     let key = change.key;
                     Message::Value(watcher::Change { key, version }, bytes)
                 }
-                // Deleted meanwhile; the watch tells of that too.
+                // Deleted in the meantime; the watch reports the deletion.
                 Ok(None) => Message::Platform(watcher::Event::Read(change)),
                 Err(_) => {
                     let asked = watcher::Call::Read(change.key);
                     Message::Platform(watcher::Event::Failed(asked))
                 }
             };
-            let _ = fleet.unbounded_send(message);
+            let _ = task.unbounded_send(message);
         })
         .detach();
     }
@@ -100,32 +100,32 @@
         }
     }
 
-    /// Tells the fleet that this failure domain has a watcher that hears the platform.
-    pub(super) fn mark(&mut self) {
+    /// Publishes that this failure domain has a watcher that reaches the platform.
+    pub(super) fn publish_heartbeat(&mut self) {
         let name = self.gossip.membership().me().domain.clone();
         let id = Id::new(Kind::Watch, name);
         let version = self.gossip.store().version(&id).unwrap_or(0) + 1;
-        let item = Item::new(id, version, Vec::new()).with_ttl(WATCH_KEPT);
+        let item = Item::new(id, version, Vec::new()).with_ttl(HEARTBEAT_TTL);
         self.feed(Event::Put(item));
     }
 
     pub(super) fn read_list(&self) {
         let platform = self.parts.platform.clone();
-        let fleet = self.parts.tasks.fleet.clone();
+        let task = self.parts.tasks.fleet.clone();
         compio::runtime::spawn(async move {
             let list = platform.vms().await.ok();
-            let _ = fleet.unbounded_send(Message::Listed(list));
+            let _ = task.unbounded_send(Message::Listed(list));
         })
         .detach();
     }
 
     pub(super) fn listed(&mut self, list: Option<Vec<platform::ListedVm>>) {
         self.is_listing = false;
-        let suspects = |update: &Update| update.standing == Standing::Suspect;
-        let misses = self.gossip.membership().members().iter().any(suspects);
-        let is_short = self.watcher.is_active() || misses;
+        let is_suspect = |update: &Update| update.standing == Standing::Suspect;
+        let has_suspects = self.gossip.membership().members().iter().any(is_suspect);
+        let is_short = self.watcher.is_active() || has_suspects;
         let period = if is_short {
-            LIST_PERIOD_SHORT
+            SHORT_LIST_PERIOD
         } else {
             LIST_PERIOD
         };
--- a/src/vm/grantor_events.rs
+++ b/src/vm/grantor_events.rs
@@ -180,8 +180,8 @@
         let reassigned: Vec<Range> = self
             .lost_ranges
             .iter()
-            .filter(|((lost, range), epoch)| {
-                lost == group && is_granted_elsewhere(me, record, *range, **epoch)
+            .filter(|((lost_group, range), epoch)| {
+                lost_group == group && is_granted_elsewhere(me, record, *range, **epoch)
             })
             .map(|((_, range), _)| *range)
             .collect();
--- a/src/vm/life.rs
+++ b/src/vm/life.rs
@@ -1,4 +1,7 @@
-//! The process's own life cycle: the chart `charts/vm.ini`, run.
+//! The life cycle of the process, following the state chart `charts/vm.ini`.
+//!
+//! The process opens its sockets, joins the fleet, serves until a signal asks it to stop, hands over its roles
+//! and drains the requests in flight.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -20,131 +23,131 @@
     util::{ini, names::Names, server::Control},
 };
 
-/// How often a process looks whether it has joined, or its last request has ended.
-const POLL: Duration = Duration::from_millis(20);
-/// After this long a process takes work even if it has heard from nobody.
+/// Interval between checks whether the process has joined, or has no request left.
+const POLL_PERIOD: Duration = Duration::from_millis(20);
+/// Time after which a process serves requests even if it has reached neither the platform nor a peer.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the balancer and the peers have to hear that this VM stops.
-const NOTICE: Duration = Duration::from_millis(500);
-/// How long a stopping VM waits for its shards of orders to be handed over.
-const HAND_OVER: Duration = Duration::from_secs(3);
-/// How long the last messages have to leave.
-const FAREWELL: Duration = Duration::from_millis(200);
-/// The signal that asks for a stop.
+/// Time for the load balancer and the peers to notice that this VM is stopping.
+const STOP_NOTICE_TIME: Duration = Duration::from_millis(500);
+/// Maximum time that a stopping VM waits for the handover of its order shards.
+const SHARD_HANDOVER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time to send the last messages before the process ends.
+const FINAL_SEND_TIME: Duration = Duration::from_millis(200);
+/// Signal sent by process managers to request a stop.
 const SIGTERM: i32 = 15;
-/// The signal that a terminal sends.
+/// Signal sent by a terminal on Ctrl-C.
 const SIGINT: i32 = 2;
 
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Every request in flight was answered.
+    /// All connections ended before the drain timeout.
     Graceful,
-    /// A second signal, or the end of the drain time, cut off this many connections.
+    /// A second signal or the drain timeout closed this many connections.
     Cut(usize),
 }
 
-/// What the process serves on.
+/// Controls of the process's health check and of its two servers.
 #[derive(Clone, Debug)]
-pub struct Served {
-    /// What the balancer's health check sees.
+pub struct Servers {
+    /// The result of the load balancer's health check.
     pub health: entry::Health,
-    /// Callers' connections.
+    /// The server for callers.
     pub callers: Control,
-    /// Peers' connections.
+    /// The server for peers.
     pub peers: Control,
 }
 
-/// Where the process stands, readable by others.
+/// Shared handle to the current state of the life cycle.
 #[derive(Clone, Debug)]
-pub struct Shown(Rc<Cell<State>>);
+pub struct StateHandle(Rc<Cell<State>>);
 
-impl Shown {
-    /// Returns the state's name.
+impl StateHandle {
+    /// Returns the name of the current state.
     pub fn name(&self) -> &'static str {
         self.0.get().name()
     }
 }
 
-/// The life cycle, run by the chart.
+/// The life cycle of the process, driven by its state chart.
 #[derive(Debug)]
 pub struct Life {
     machine: Machine<State, Event>,
-    shown: Shown,
+    current: StateHandle,
     recorder: Recorder,
 }
 
 impl Life {
-    /// Begins a life cycle.
+    /// Starts the life cycle.
     ///
     /// # Errors
     ///
-    /// The chart is unsound.
+    /// The state chart is invalid.
     pub fn new(recorder: Recorder) -> Result<Self, ini::Fault> {
         let machine = charts::vm()?.machine();
-        let shown = Shown(Rc::new(Cell::new(machine.state())));
+        let current = StateHandle(Rc::new(Cell::new(machine.state())));
         recorder.event(timeline::Event::new(Duty::Process, "start", Kind::Started));
         Ok(Self {
             machine,
-            shown,
+            current,
             recorder,
         })
     }
 
-    /// Returns where the process stands, now and later.
-    pub fn state(&self) -> Shown {
-        self.shown.clone()
+    /// Returns a handle to the current state, which follows later changes.
+    pub fn state(&self) -> StateHandle {
+        self.current.clone()
     }
 
-    /// The sockets are open.
+    /// Records that the sockets are open.
     pub fn listening(&mut self) {
         self.on(Event::Listening);
     }
 
-    /// Runs from the open sockets to the end.
-    pub async fn run(mut self, settings: &Settings, parts: &Parts, served: &Served) -> Ending {
-        let mut stop = Box::pin(signal());
+    /// Runs the process from the opening of its sockets to its end.
+    pub async fn run(mut self, settings: &Settings, parts: &Parts, servers: &Servers) -> Ending {
+        let mut stop = Box::pin(stop_signal());
         let join = Box::pin(join(parts));
         if let future::Either::Left(_) = future::select(join, &mut stop).await {
             self.on(Event::Joined);
-            served.health.set(true);
+            servers.health.set(true);
             stop.await;
         }
         self.on(Event::Stop);
-        self.stop(settings, parts, served).await
+        self.stop(settings, parts, servers).await
     }
 
-    /// Stops in order: says so, hands duties over, ends what is in flight.
-    async fn stop(&mut self, settings: &Settings, parts: &Parts, served: &Served) -> Ending {
-        served.health.set(false);
+    /// Stops in order: announces the stop, hands over roles, and drains the requests in flight.
+    async fn stop(&mut self, settings: &Settings, parts: &Parts, servers: &Servers) -> Ending {
+        servers.health.set(false);
         let _ = parts.tasks.fleet.unbounded_send(fleet::Message::Leave);
         let _ = parts.tasks.owners.unbounded_send(owners::Message::Leave);
         let _ = parts.tasks.orders.unbounded_send(orders::Message::Leave);
-        parts.clock.sleep(NOTICE).await;
-        served.callers.stop();
-        let drained = drain(parts, &served.callers);
+        parts.clock.sleep(STOP_NOTICE_TIME).await;
+        servers.callers.stop();
+        let drained = drain(parts, &servers.callers);
         let bounded = parts.clock.timeout(settings.timing.drain, drained);
-        future::select(Box::pin(bounded), Box::pin(signal())).await;
-        let open = served.callers.open();
+        future::select(Box::pin(bounded), Box::pin(stop_signal())).await;
+        let open = servers.callers.open();
         let (event, ending) = match open {
             0 => (Event::Ended, Ending::Graceful),
             open => (Event::Expired, Ending::Cut(open)),
         };
         let _ = parts.tasks.fleet.unbounded_send(fleet::Message::Stop);
-        parts.clock.sleep(FAREWELL).await;
+        parts.clock.sleep(FINAL_SEND_TIME).await;
         self.on(event);
         let stopped = timeline::Event::new(Duty::Process, "stop", Kind::Stopped);
         let cause = format!("{ending:?}");
         self.recorder.event(stopped.cause(cause.as_str()));
         self.recorder.flush();
-        served.peers.stop();
+        servers.peers.stop();
         ending
     }
 
     fn on(&mut self, event: Event) {
         match self.machine.on(event) {
             Ok(change) => {
-                self.shown.0.set(change.to);
+                self.current.0.set(change.to);
                 let phase = timeline::Event::new(Duty::Process, event.name(), Kind::Phase);
                 self.recorder.event(phase.cause(change.to.name()));
             }
@@ -153,39 +156,43 @@
     }
 }
 
-/// Waits until this process has learnt what is in force, from the platform or from a peer.
+/// Waits until this process knows the configuration in force, from the platform or from a peer.
 async fn join(parts: &Parts) {
     let joined = async {
         while !fleet::is_joined(&parts.tasks).await {
-            parts.clock.sleep(POLL).await;
+            parts.clock.sleep(POLL_PERIOD).await;
         }
     };
-    // Serving late beats never serving: after a while it takes work, and refuses what it can't route.
+    // After the timeout the process serves anyway, and refuses requests that it can't route, rather than never
+    // serving at all.
     let _ = parts.clock.timeout(JOIN_TIMEOUT, joined).await;
 }
 
-/// Waits for a signal that asks for a stop.
-async fn signal() {
+/// Waits for SIGTERM or SIGINT.
+async fn stop_signal() {
     let term = Box::pin(compio::signal::unix::signal(SIGTERM));
     let interrupt = Box::pin(compio::signal::unix::signal(SIGINT));
     future::select(term, interrupt).await;
 }
 
-/// Waits until no request and no order is under way, then for what is known of orders to be handed
-/// over; the last VM of a fleet has nobody to hand it to, and doesn't wait for long.
+/// Waits until no request and no order is in progress, then until the order shards are handed over. The last
+/// VM of a fleet has no successor for its shards, so this second wait is limited by [`SHARD_HANDOVER_TIMEOUT`].
 async fn drain(parts: &Parts, callers: &Control) {
-    while callers.open() > 0 || !idle(parts).await.orders {
-        parts.clock.sleep(POLL).await;
+    while callers.open() > 0 || !idle_state(parts).await.orders {
+        parts.clock.sleep(POLL_PERIOD).await;
     }
-    let handing = async {
-        while !idle(parts).await.shards {
-            parts.clock.sleep(POLL).await;
+    let handed_over = async {
+        while !idle_state(parts).await.shards {
+            parts.clock.sleep(POLL_PERIOD).await;
         }
     };
-    let _ = parts.clock.timeout(HAND_OVER, handing).await;
+    let _ = parts
+        .clock
+        .timeout(SHARD_HANDOVER_TIMEOUT, handed_over)
+        .await;
 }
 
-async fn idle(parts: &Parts) -> orders::Idle {
+async fn idle_state(parts: &Parts) -> orders::Idle {
     let (reply, answer) = oneshot::channel();
     let _ = parts
         .tasks
--- a/src/vm/mod.rs
+++ b/src/vm/mod.rs
@@ -1,14 +1,14 @@
-//! One process of bramleypier: its tasks, and how they start and stop.
+//! One bramleypier process: its tasks, and how they start and stop.
 //!
-//! Each task owns its state and talks to the others by messages:
+//! Each task owns its state and communicates with the others by messages:
 //!
-//! - [`fleet`] owns the view of the fleet and all that is spread, and watches the platform's service;
-//! - [`outbound`] sends to other VMs;
+//! - [`fleet`] owns the view of the fleet and all gossiped items, and watches the platform's service;
+//! - [`outbound`] sends messages to other VMs;
 //! - [`owners`] owns the grantors of this VM;
-//! - [`crate::entry::router`] owns routes and limits, and says where a request may go;
-//! - [`crate::entry::orders`] owns what is known of orders;
-//! - [`admin`] answers peers and operators;
-//! - [`life`] is the process's own life cycle.
+//! - [`crate::entry::router`] owns routes and limits, and decides where a request is sent;
+//! - [`crate::entry::orders`] owns the state of orders;
+//! - [`admin`] serves peers and operators;
+//! - [`life`] runs the life cycle of the process.
 
 pub mod admin;
 pub mod fleet;
@@ -52,13 +52,13 @@
 
 pub use life::Ending;
 
-/// The most connections from this VM to one target: 12 VMs stay within its 120.
+/// Maximum number of connections from this VM to one target; 12 VMs stay within a target's limit of 120.
 const TARGET_CONNECTIONS: usize = 10;
-/// How often metrics are sent.
+/// Interval between sends of the metrics.
 const FLUSH_PERIOD: Duration = Duration::from_secs(1);
 
 quick_error! {
-    /// Why a process did not start.
+    /// Why a process failed to start.
     #[derive(Debug)]
     pub enum Error {
         /// An address could not be bound.
@@ -66,13 +66,13 @@
             display("[listen] {key}: {address}: {cause}")
             source(cause)
         }
-        /// The metrics' socket could not be opened.
+        /// The socket for metrics could not be opened.
         Metrics(cause: metrics::Error) {
             display("[metrics] statsd: {cause}")
             source(cause)
             from()
         }
-        /// A state chart is unsound; the program is at fault.
+        /// A state chart is invalid; this is a bug in the program.
         Chart(cause: ini::Fault) {
             display("{cause}")
             from()
@@ -80,7 +80,7 @@
     }
 }
 
-/// The senders to this process's tasks.
+/// Senders of the channels of this process's tasks.
 #[derive(Clone, Debug)]
 pub struct Tasks {
     /// To [`outbound`].
@@ -95,7 +95,7 @@
     pub orders: mpsc::UnboundedSender<orders::Message>,
 }
 
-/// The receivers of this process's tasks.
+/// Receivers of the channels of this process's tasks.
 struct Inboxes {
     outbound: mpsc::UnboundedReceiver<outbound::Message>,
     fleet: mpsc::UnboundedReceiver<fleet::Message>,
@@ -104,37 +104,38 @@
     orders: mpsc::UnboundedReceiver<orders::Message>,
 }
 
-/// What every task of a process is given.
+/// Shared context of the process's tasks.
 #[derive(Clone, Debug)]
 pub struct Parts {
-    /// This VM, as its peers know it.
+    /// This VM as its peers know it.
     pub me: Peer,
     /// The process's clock.
     pub clock: Clock,
-    /// The platform's service.
+    /// Client of the platform's service.
     pub platform: Platform,
-    /// The other tasks.
+    /// Senders to the other tasks.
     pub tasks: Tasks,
-    /// The time line, the metrics and the log.
+    /// Records events in the timeline, the metrics and the log.
     pub recorder: recorder::Recorder,
-    /// Spans of time from the settings.
+    /// Durations from the settings.
     pub timing: settings::Timing,
-    /// How many orders are remembered, and for how long.
+    /// Limits on the number of remembered orders and how long they are kept.
     pub memory: memory::Limits,
 }
 
-/// Runs a process until it is told to stop.
+/// Runs a process until a signal stops it.
 ///
 /// # Errors
 ///
-/// An address could not be bound, or the metrics' socket not be opened; nothing was started.
+/// An address could not be bound, the socket for metrics could not be opened, or a state chart is invalid. The
+/// process doesn't serve then.
 pub async fn run(settings: Settings) -> Result<Ending, Error> {
     let callers = bind("callers", settings.callers).await?;
     let peers = bind("peers", settings.peers).await?;
     let metrics = Metrics::open(settings.statsd)?;
-    let caller = local(&callers, settings.callers);
-    let bound = local(&peers, settings.peers);
-    let address = settings.advertise.unwrap_or(bound);
+    let caller = local_address(&callers, settings.callers);
+    let peer = local_address(&peers, settings.peers);
+    let address = settings.advertise.unwrap_or(peer);
     let vm = format!("{}#{}", settings.name, Uuid::now_v7().simple());
     let recorder = recorder::Recorder::new(vm.clone(), settings.limits.events, metrics.clone());
     let mut life = life::Life::new(recorder.clone())?;
@@ -154,25 +155,25 @@
         timing: settings.timing.clone(),
         memory: settings.memory(),
     };
-    let context = start(&parts, inboxes, address);
-    let served = life::Served {
+    let context = start_tasks(&parts, inboxes, address);
+    let servers = life::Servers {
         health: context.health.clone(),
         callers: Control::default(),
         peers: Control::default(),
     };
     let handle = move |request| entry::handle(context.clone(), request);
-    compio::runtime::spawn(server::serve(callers, served.callers.clone(), handle)).detach();
-    let admin = admin::Admin::new(parts.clone(), served.callers.clone(), life.state());
+    compio::runtime::spawn(server::serve(callers, servers.callers.clone(), handle)).detach();
+    let admin = admin::Admin::new(parts.clone(), servers.callers.clone(), life.state());
     let answer = move |request| admin.clone().handle(request);
-    compio::runtime::spawn(server::serve(peers, served.peers.clone(), answer)).detach();
+    compio::runtime::spawn(server::serve(peers, servers.peers.clone(), answer)).detach();
     let seeds = settings.seeds.iter().map(SocketAddr::to_string).collect();
     let _ = parts
         .tasks
         .fleet
         .unbounded_send(fleet::Message::Seeds(seeds));
     life.listening();
-    ready(&vm, caller, bound);
-    Ok(life.run(&settings, &parts, &served).await)
+    print_ready(&vm, caller, peer);
+    Ok(life.run(&settings, &parts, &servers).await)
 }
 
 async fn bind(key: &'static str, address: SocketAddr) -> Result<TcpListener, Error> {
@@ -180,14 +181,14 @@
     listener.map_err(|cause| Error::Bind(key, address, cause))
 }
 
-fn local(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(asked)
+fn local_address(listener: &TcpListener, requested: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(requested)
 }
 
-/// Says on standard output that the process takes requests, and where.
-fn ready(vm: &VmId, callers: SocketAddr, peers: SocketAddr) {
+/// Prints to standard output that the process accepts requests, and at which addresses.
+fn print_ready(vm: &VmId, callers: SocketAddr, peers: SocketAddr) {
     let mut out = io::stdout();
-    // Nobody may be reading; the process serves all the same.
+    // Standard output may be closed; the process serves regardless.
     let _ = writeln!(out, "ready caller={callers} peer={peers} vm={vm}");
     let _ = out.flush();
 }
@@ -215,8 +216,8 @@
     (tasks, inboxes)
 }
 
-/// Starts all tasks, and returns what the tasks of connections need.
-fn start(parts: &Parts, inboxes: Inboxes, address: SocketAddr) -> entry::Context {
+/// Starts all tasks and returns the context for handling requests.
+fn start_tasks(parts: &Parts, inboxes: Inboxes, address: SocketAddr) -> entry::Context {
     let seed = key::point(&parts.me.vm);
     let timing = parts.timing.membership();
     let gossip = Gossip::new(parts.me.clone(), timing, spread::Limits::default(), seed);
@@ -230,7 +231,7 @@
     compio::runtime::spawn(orders.run(inboxes.orders)).detach();
     compio::runtime::spawn(outbound::run(parts.clone(), address, inboxes.outbound)).detach();
     let sender = target::Sender::new(parts.clock.clone(), TARGET_CONNECTIONS);
-    compio::runtime::spawn(flush(parts.clone(), sender.clone())).detach();
+    compio::runtime::spawn(flush_metrics(parts.clone(), sender.clone())).detach();
     entry::Context {
         clock: parts.clock.clone(),
         vm: parts.me.vm.clone(),
@@ -242,8 +243,8 @@
     }
 }
 
-/// Sends the metrics from time to time.
-async fn flush(parts: Parts, sender: target::Sender) {
+/// Sends the metrics periodically.
+async fn flush_metrics(parts: Parts, sender: target::Sender) {
     loop {
         parts.clock.sleep(FLUSH_PERIOD).await;
         let opened = sender.opened();
--- a/src/vm/owners.rs
+++ b/src/vm/owners.rs
@@ -1,4 +1,7 @@
-//! The task that owns this VM's grantors, one a group, and gives the router its routes.
+//! The task that owns this VM's grantors, one per group, and gives the router its routes.
+//!
+//! It passes events to the grantors, carries out the effects they return (grants, messages, reads and writes of
+//! records), and publishes newer records to the router and to other VMs.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -30,48 +33,48 @@
     target::Control,
 };
 
-/// How often grantors are woken.
+/// Interval between ticks of the grantors.
 const TICK: Duration = Duration::from_millis(50);
-/// How often the right to send to targets that don't check grants is asked for.
+/// Interval between requests for leases, which allow sending to targets that don't check grants.
 const LEASE_PERIOD: Duration = Duration::from_millis(250);
-/// How long a grant or a probe of a target may take; a later answer would be of little use.
+/// Timeout of a grant or a probe; a later response would be of little use.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A message to the task.
 #[derive(Debug)]
 pub enum Message {
-    /// Time has passed.
+    /// Periodic tick.
     Tick,
-    /// The fleet has changed.
+    /// The set of live VMs has changed.
     Fleet(Fleet),
     /// A document is in force.
     Document(Version, Rc<Document>),
     /// A group's record was read.
     Record(GroupId, Version, Bytes),
-    /// What callers ask a group for.
+    /// The load that callers put on a group's ranges.
     Load(GroupId, Vec<balance::Load>),
-    /// A handover was heard of.
-    Fact(Handover),
-    /// Another VM writes.
+    /// A handover was received by gossip.
+    Handover(Handover),
+    /// A message for a group's grantor, from another VM or from this VM itself.
     Peer(VmId, GroupId, grantor::Message),
-    /// Something that this task asked for has ended.
-    Ended(GroupId, Box<Event>),
+    /// An operation that this task started has completed.
+    Completed(GroupId, Box<Event>),
     /// The platform's list of VMs was read.
     Listed(Vec<platform::ListedVm>),
-    /// This VM stops: it hands its duties over.
+    /// This VM is stopping: its grantors hand over their role.
     Leave,
-    /// Tell the groups as known here.
+    /// Requests the status of the groups.
     Status(oneshot::Sender<Status>),
 }
 
-/// The groups as known here, for operators.
+/// Status of the groups as known to this VM, for operators.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Status {
-    /// By group.
+    /// Status by group.
     pub groups: IndexMap<GroupId, GroupStatus>,
 }
 
-/// A group as known here.
+/// Status of a group as known to this VM.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// The record's version.
@@ -93,8 +96,8 @@
     gone: RemovalDetector,
     next_lease: Duration,
     notes: GrantorEvents,
-    /// The versions that the others were told.
-    told: IndexMap<GroupId, Version>,
+    /// The latest version of each group's record that this task has published.
+    published: IndexMap<GroupId, Version>,
 }
 
 impl Owners {
@@ -108,12 +111,12 @@
             fleet: None,
             gone: RemovalDetector::new(parts.timing.list_lag),
             next_lease: Duration::ZERO,
-            told: IndexMap::new(),
+            published: IndexMap::new(),
             parts,
         }
     }
 
-    /// Serves messages until nobody can send any more.
+    /// Handles messages until all senders of the channel are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         ticks::start(&self.parts.clock, &self.parts.tasks.owners, TICK, || {
             Message::Tick
@@ -127,18 +130,18 @@
         match message {
             Message::Tick => {
                 self.feed_all(&Event::Tick);
-                self.ask_leases();
+                self.request_leases();
             }
             Message::Fleet(fleet) => self.fleet(fleet),
             Message::Document(version, document) => self.document(version, &document),
             Message::Record(group, version, bytes) => self.record(&group, version, &bytes),
-            Message::Fact(fact) => {
-                let group = fact.group.clone();
-                let message = grantor::Message::Handover(fact);
+            Message::Handover(handover) => {
+                let group = handover.group.clone();
+                let message = grantor::Message::Handover(handover);
                 self.peer(self.parts.me.vm.clone(), &group, message);
             }
             Message::Peer(from, group, message) => self.peer(from, &group, message),
-            Message::Ended(group, event) => {
+            Message::Completed(group, event) => {
                 match &*event {
                     Event::TargetAnswered { target, state, .. } => {
                         self.notes.answered(&group, target, state);
@@ -163,7 +166,8 @@
         self.feed_all(&Event::LiveVms { vms });
     }
 
-    /// Tells grantors which of the VMs they name are gone for certain.
+    /// Processes the platform's list: tells grantors which targets are leaving, and which of the VMs named in
+    /// records are certainly gone.
     fn listed(&mut self, list: &[platform::ListedVm]) {
         let leaving = platform::leaving_targets(list);
         if !leaving.is_empty() {
@@ -182,7 +186,7 @@
         }
     }
 
-    /// Takes a document: each group of an exclusive service gets a grantor.
+    /// Processes a document in force; creates a grantor for each group of an exclusive service.
     fn document(&mut self, version: Version, document: &Rc<Document>) {
         self.documents
             .insert(document.service.clone(), document.clone());
@@ -192,13 +196,13 @@
         }
         for index in 0..document.groups {
             let group = build::group_id(&document.service, index);
-            self.ensure(&group);
+            self.ensure_group(&group);
             let document = (**document).clone();
             self.feed(&group, Event::Document { version, document });
         }
     }
 
-    fn ensure(&mut self, group: &GroupId) {
+    fn ensure_group(&mut self, group: &GroupId) {
         if self.groups.contains_key(group) {
             return;
         }
@@ -213,7 +217,7 @@
     fn record(&mut self, group: &GroupId, version: Version, bytes: &Bytes) {
         match peer::decode::<Record>(bytes) {
             Ok(record) => {
-                self.ensure(group);
+                self.ensure_group(group);
                 self.feed(group, Event::Record { version, record });
             }
             Err(cause) => log::error!("step=record peer={group} version={version} cause={cause:?}"),
@@ -234,12 +238,12 @@
         };
         let effects = grantor.on(now, event);
         for effect in effects {
-            self.act(now, group, effect);
+            self.apply(now, group, effect);
         }
-        self.tell_record(group);
+        self.publish_record(group);
     }
 
-    fn act(&mut self, now: Duration, group: &GroupId, effect: Effect) {
+    fn apply(&mut self, now: Duration, group: &GroupId, effect: Effect) {
         match effect {
             Effect::Grant {
                 target,
@@ -249,7 +253,7 @@
                 self.grant(now, group, target, &address, Some(grant));
             }
             Effect::Probe { target, address } => self.grant(now, group, target, &address, None),
-            // What this VM has to say to itself takes no wire.
+            // Messages to this VM itself don't use the network.
             Effect::Send { to, message } if to == self.parts.me.vm => {
                 let message = Message::Peer(to, group.clone(), message);
                 let _ = self.parts.tasks.owners.unbounded_send(message);
@@ -268,20 +272,20 @@
                 record,
             } => self.write(group, base, sequence, &record),
             Effect::Read { asked } => self.read(group, asked),
-            Effect::Handover(fact) => {
-                self.notes.moved(group, &fact);
-                self.tell_fact(fact.clone());
+            Effect::Handover(handover) => {
+                self.notes.moved(group, &handover);
+                self.route_handover(handover.clone());
                 let _ = self
                     .parts
                     .tasks
                     .fleet
-                    .unbounded_send(fleet::Message::Fact(fact));
+                    .unbounded_send(fleet::Message::Handover(handover));
             }
             Effect::Note(note) => self.note(group, &note),
         }
     }
 
-    /// Records what a grantor did.
+    /// Records an action of a grantor.
     fn note(&mut self, group: &GroupId, note: &grantor::Note) {
         let now = self.parts.clock.now();
         let grantor = self.groups.get(group);
@@ -291,7 +295,7 @@
         self.notes.note(group, note, &routes);
     }
 
-    /// Sends a grant, or reads the state, and feeds the answer back.
+    /// Sends a grant, or reads the target's state when there is none, and passes the result to the grantor.
     fn grant(
         &self,
         asked: Duration,
@@ -318,12 +322,12 @@
                 },
                 None => Event::TargetFailed { target, asked },
             };
-            let _ = owners.unbounded_send(Message::Ended(group, Box::new(event)));
+            let _ = owners.unbounded_send(Message::Completed(group, Box::new(event)));
         })
         .detach();
     }
 
-    /// Writes a record by compare-and-swap, and feeds the result back.
+    /// Writes a record by compare-and-swap and passes the result to the grantor.
     fn write(&self, group: &GroupId, base: Version, sequence: u64, record: &Record) {
         let platform = self.parts.platform.clone();
         let owners = self.parts.tasks.owners.clone();
@@ -335,12 +339,12 @@
                 Err(_) => Outcome::Conflict(base),
             };
             let event = Event::Written { sequence, result };
-            let _ = owners.unbounded_send(Message::Ended(group, Box::new(event)));
+            let _ = owners.unbounded_send(Message::Completed(group, Box::new(event)));
         })
         .detach();
     }
 
-    /// Reads the record, and feeds it back with when it was asked for.
+    /// Reads the record and passes it to the grantor with the time of the request.
     fn read(&self, group: &GroupId, asked: Duration) {
         let platform = self.parts.platform.clone();
         let owners = self.parts.tasks.owners.clone();
@@ -356,22 +360,22 @@
                     version,
                     record,
                 };
-                let _ = owners.unbounded_send(Message::Ended(group, Box::new(event)));
+                let _ = owners.unbounded_send(Message::Completed(group, Box::new(event)));
             }
         })
         .detach();
     }
 
-    /// Gives the router, and everyone else, a record that is newer than what they know.
-    fn tell_record(&mut self, group: &GroupId) {
+    /// Publishes a group's record to the router and to other VMs if it is newer than the last one published.
+    fn publish_record(&mut self, group: &GroupId) {
         let Some((version, record)) = self.groups.get(group).and_then(Grantor::record) else {
             return;
         };
-        let told = self.told.entry(group.clone()).or_default();
-        if *told >= version {
+        let published = self.published.entry(group.clone()).or_default();
+        if *published >= version {
             return;
         }
-        *told = version;
+        *published = version;
         self.notes.record(&self.parts.me.vm, group, record);
         let record = Box::new(record.clone());
         if let Ok(bytes) = peer::encode(&record) {
@@ -387,8 +391,8 @@
         let _ = self.parts.tasks.router.unbounded_send(message);
     }
 
-    /// Asks the grantors of targets that don't check grants for the right to send to them.
-    fn ask_leases(&mut self) {
+    /// Requests leases from the grantors of targets that don't check grants.
+    fn request_leases(&mut self) {
         let now = self.parts.clock.now();
         if now < self.next_lease {
             return;
@@ -398,7 +402,7 @@
             let Some((_, record)) = grantor.record() else {
                 continue;
             };
-            for to in lenders(record) {
+            for to in unchecked_grantors(record) {
                 let message = grantor::Message::LeaseRequest { asked: now };
                 if to == self.parts.me.vm {
                     let message = Message::Peer(to, group.clone(), message);
@@ -412,10 +416,10 @@
         }
     }
 
-    /// Takes a message of another VM; handovers and leases are for the router too.
+    /// Handles a message for a grantor; passes handovers and leases to the router too.
     fn peer(&mut self, from: VmId, group: &GroupId, message: grantor::Message) {
         match &message {
-            grantor::Message::Handover(fact) => self.tell_fact(fact.clone()),
+            grantor::Message::Handover(handover) => self.route_handover(handover.clone()),
             grantor::Message::Lease { asked, routes } => {
                 let message = ticket::Message::Lease(group.clone(), *asked, routes.clone());
                 let _ = self.parts.tasks.router.unbounded_send(message);
@@ -425,8 +429,8 @@
         self.feed(group, Event::Peer { from, message });
     }
 
-    fn tell_fact(&self, fact: Handover) {
-        let message = ticket::Message::Handover(fact);
+    fn route_handover(&self, handover: Handover) {
+        let message = ticket::Message::Handover(handover);
         let _ = self.parts.tasks.router.unbounded_send(message);
     }
 
@@ -445,27 +449,32 @@
     }
 }
 
-/// Returns the VMs that may take duties.
+/// Returns the VMs that may become grantors: live and not leaving.
 fn candidates(fleet: &Fleet) -> Vec<build::Candidate> {
-    let stays = |peer: &&membership::Peer| !fleet.leaving.contains(peer);
+    let is_staying = |peer: &&membership::Peer| !fleet.leaving.contains(peer);
     let candidate = |peer: &membership::Peer| build::Candidate {
         vm: peer.vm.clone(),
         domain: peer.domain.clone(),
     };
-    fleet.live.iter().filter(stays).map(candidate).collect()
+    fleet
+        .live
+        .iter()
+        .filter(is_staying)
+        .map(candidate)
+        .collect()
 }
 
 fn outcome(result: &Result<WriteOutcome, platform::Error>) -> Outcome {
     match result {
         Ok(WriteOutcome::Committed(version)) => Outcome::Committed(*version),
         Ok(WriteOutcome::Conflict(version)) => Outcome::Conflict(*version),
-        // Even a write that surely failed is settled by reading back: one way for all.
+        // Writes that certainly failed are also settled by reading the record back, so that there is one path.
         Err(_) => Outcome::Unknown,
     }
 }
 
-/// Returns the grantors of a group's targets that don't check grants.
-fn lenders(record: &Record) -> IndexSet<VmId> {
+/// Returns the grantors of a group's targets that don't check grants; they give out leases.
+fn unchecked_grantors(record: &Record) -> IndexSet<VmId> {
     let unchecked = record
         .members
         .values()
