--- a/src/peer.rs
+++ b/src/peer.rs
@@ -36,7 +36,7 @@
 const MAX_CONNECTIONS: usize = 16;
 /// Maximum number of batches in flight to a peer.
 const MAX_IN_FLIGHT: usize = 4;
-/// Timeout for sending a batch.
+/// Timeout of a batch, including the peer's response.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum number of messages queued for a peer; further messages are dropped.
 const QUEUE_LIMIT: usize = 4_096;
--- a/src/vm/life.rs
+++ b/src/vm/life.rs
@@ -41,7 +41,7 @@
 /// How a process ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// All connections ended before the drain timeout.
+    /// Every request in flight was answered.
     Graceful,
     /// A second signal or the drain timeout closed this many connections.
     Cut(usize),
--- a/src/vm/recorder.rs
+++ b/src/vm/recorder.rs
@@ -1,6 +1,6 @@
 //! Records events of this process in the timeline, the metrics and the log with a single call.
 //!
-//! All tasks of a process run on one thread and share the recorder. Recording an event does no metrics I/O;
+//! All tasks of a process run on one thread and share the recorder. Recording only changes memory;
 //! [`Recorder::flush`] sends the metrics.
 
 use std::{
